--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -251,9 +251,9 @@
 
 /// Takes loads into the cells of the endpoints that they are of.
 fn apply_loads(routed: &RoutedInterface, rows: &[LoadRow], now: Timestamp) {
-    let cells = routed.load_cells.load();
+    let counters = routed.counters_by_agent.load();
     for row in rows {
-        if let Some(cell) = cells.get(&row.subject) {
+        if let Some(cell) = counters.get(&row.subject) {
             let measured_at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
             let load = LoadReport { in_flight: row.load, queued: 0, measured_at };
             cell.hear(&load, cell.hard_limit());
--- a/crates/entry/src/cells.rs
+++ b/crates/entry/src/counters.rs
@@ -10,16 +10,16 @@
 
 /// The counts that an entry keeps.
 #[derive(Debug, Default)]
-pub(crate) struct EndpointCells {
+pub(crate) struct CounterRegistry {
     endpoints: HashMap<InstanceId, Arc<EndpointCell>>,
     /// The processes whose counts the cells hold.
-    pub(crate) lives: EndpointLives,
+    pub(crate) processes: EndpointLives,
     services: HashMap<ServiceName, Arc<AtomicU32>>,
 }
 
-impl EndpointCells {
+impl CounterRegistry {
     /// The counts of an endpoint.
-    pub(crate) fn of(&mut self, instance: &InstanceId) -> Arc<EndpointCell> {
+    pub(crate) fn endpoint(&mut self, instance: &InstanceId) -> Arc<EndpointCell> {
         self.endpoints.entry(instance.clone()).or_default().clone()
     }
 
@@ -34,7 +34,7 @@
     }
 
     /// Drops the cells of endpoints that neither a snapshot nor a request uses.
-    pub(crate) fn forget_unused(&mut self) {
+    pub(crate) fn drop_unused(&mut self) {
         self.endpoints.retain(|_, cell| Arc::strong_count(cell) > 1);
     }
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -7,9 +7,9 @@
 
 mod admin;
 mod caller;
-mod cells;
 pub mod cli;
 mod control;
+mod counters;
 mod crashes;
 mod direct;
 mod inner;
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -85,7 +85,7 @@
     /// Requests under which endpoints have ended.
     pub(crate) crashes: Arc<CrashWatch>,
     /// Cells of endpoints by the hashes of their agents; read without a lock.
-    pub(crate) load_cells: ArcSwap<HashMap<u64, Arc<EndpointCell>>>,
+    pub(crate) counters_by_agent: ArcSwap<HashMap<u64, Arc<EndpointCell>>>,
     budgets: ArcSwap<HashMap<ServiceName, Arc<RetryBudget>>>,
     /// Longest patience of a caller by the name of its route, in milliseconds.
     patience: ArcSwap<HashMap<String, Arc<AtomicU64>>>,
@@ -132,7 +132,7 @@
             overlay,
             limits,
             crashes: Arc::default(),
-            load_cells: ArcSwap::default(),
+            counters_by_agent: ArcSwap::default(),
             budgets: ArcSwap::default(),
             patience: ArcSwap::default(),
         }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -25,8 +25,8 @@
 use crate::{
     admin::progress::ProgressMarks,
     caller::EntryAdmission,
-    cells::EndpointCells,
     control::{ahead::AheadRow, spread, store::BudgetedTable},
+    counters::CounterRegistry,
     link::AgentLink,
     metrics::EntryMetrics,
     routed::{RoutedInterface, direct_candidates, reports_by_endpoint},
@@ -83,7 +83,7 @@
     settled: AtomicBool,
     start_hold: Mutex<StartHold>,
     roster: Mutex<EndpointRoster>,
-    cells: Mutex<EndpointCells>,
+    counters: Mutex<CounterRegistry>,
     peers: Mutex<EntryRoster>,
     peer_links: Mutex<Vec<PeerLink>>,
     requests: AtomicU64,
@@ -130,7 +130,7 @@
             settled: AtomicBool::new(false),
             start_hold: Mutex::new(StartHold::new(sources, now.deadline_after(START_TIME))),
             roster: Mutex::default(),
-            cells: Mutex::default(),
+            counters: Mutex::default(),
             peers: Mutex::default(),
             peer_links: Mutex::default(),
             requests: AtomicU64::new(0),
@@ -364,7 +364,7 @@
         // The clocks of two machines differ; only the own one tells an age.
         let load = LoadReport { measured_at: Timestamp::now(), ..*load };
         let Some(routed) = &self.routed else {
-            self.cells().of(agent).hear(&load, limit);
+            self.counters().endpoint(agent).hear(&load, limit);
             return;
         };
         let roster = self.roster();
@@ -377,7 +377,7 @@
             return;
         };
         drop((listing, roster));
-        let cell = self.cells().of(&instance);
+        let cell = self.counters().endpoint(&instance);
         cell.hear(&load, cell.hard_limit());
     }
 
@@ -396,14 +396,14 @@
     /// Publishes which endpoints requests may be routed to.
     pub(crate) fn rebuild_routes(&self) {
         let roster = self.roster();
-        let mut cells = self.cells();
+        let mut counters = self.counters();
         let services = match &self.routed {
-            Some(routed) => self.listed_candidates(routed, &roster, &mut cells),
-            None => self.reported_candidates(&roster, &mut cells),
+            Some(routed) => self.listed_candidates(routed, &roster, &mut counters),
+            None => self.reported_candidates(&roster, &mut counters),
         };
-        cells.forget_unused();
+        counters.drop_unused();
         let routed = services.into_iter().map(|(service, candidates)| {
-            let in_flight = cells.service(&service);
+            let in_flight = counters.service(&service);
             (service, ServiceRoutes::new(candidates, in_flight))
         });
         let snapshot = RouteSnapshot::new(routed.collect());
@@ -416,7 +416,7 @@
     fn reported_candidates(
         &self,
         roster: &EndpointRoster,
-        cells: &mut EndpointCells,
+        counters: &mut CounterRegistry,
     ) -> ServiceCandidates {
         let own_domain = &self.settings.place.failure_domain;
         let mut services = ServiceCandidates::new();
@@ -425,7 +425,7 @@
             let EndpointState::Serving { version, .. } = &report.state else {
                 continue;
             };
-            let cell = cells.of(&report.instance);
+            let cell = counters.endpoint(&report.instance);
             if cell.limit() == 0 {
                 cell.hear(&report.load, report.limit);
             }
@@ -445,25 +445,25 @@
         &self,
         routed: &RoutedInterface,
         roster: &EndpointRoster,
-        cells: &mut EndpointCells,
+        counters: &mut CounterRegistry,
     ) -> ServiceCandidates {
         let mut services = ServiceCandidates::new();
         let Some(preset) = self.force.load_full() else {
             return services;
         };
-        let mut load_cells = HashMap::new();
+        let mut counters_by_agent = HashMap::new();
         let reports = reports_by_endpoint(roster.members().map(|member| &member.report));
         let listing = routed.listing();
         for candidate in direct_candidates(&listing, &preset, &reports) {
             let listed = candidate.listed;
-            if cells.lives.begin(&listed.instance, listed.born_at) {
-                cells.reset(&listed.instance);
+            if counters.processes.begin(&listed.instance, listed.born_at) {
+                counters.reset(&listed.instance);
                 routed.direct.keep_only(|instance| *instance != listed.instance);
             }
-            let cell = cells.of(&listed.instance);
+            let cell = counters.endpoint(&listed.instance);
             cell.set_limit(candidate.limit);
             if let Some(report) = reports.get(&listed.addr) {
-                load_cells.insert(subject_of(report.instance.as_str()), cell.clone());
+                counters_by_agent.insert(subject_of(report.instance.as_str()), cell.clone());
             }
             services.entry(listed.service.clone()).or_default().push(RouteCandidate {
                 instance: listed.instance.clone(),
@@ -475,13 +475,13 @@
         }
         let listed: HashSet<_> = listing.endpoints().map(|listed| &listed.instance).collect();
         routed.direct.keep_only(|instance| listed.contains(instance));
-        cells.lives.keep_only(|instance| listed.contains(instance));
-        routed.load_cells.store(Arc::new(load_cells));
+        counters.processes.keep_only(|instance| listed.contains(instance));
+        routed.counters_by_agent.store(Arc::new(counters_by_agent));
         services
     }
 
-    fn cells(&self) -> MutexGuard<'_, EndpointCells> {
-        self.cells.lock().unwrap_or_else(|poison| poison.into_inner())
+    fn counters(&self) -> MutexGuard<'_, CounterRegistry> {
+        self.counters.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 }
 
