--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -150,7 +150,7 @@
 }
 
 fn in_force(shared: &EntryShared) -> Response<ReplyBody> {
-    let preset: Option<Arc<ForcedPreset>> = shared.force.load_full();
+    let preset: Option<Arc<ForcedPreset>> = shared.active_preset.load_full();
     json_reply(StatusCode::OK, &preset)
 }
 
--- a/crates/entry/src/admin/status.rs
+++ b/crates/entry/src/admin/status.rs
@@ -72,7 +72,7 @@
 
 /// Builds the status as this entry knows it.
 pub(crate) fn build_status(shared: &EntryShared) -> StatusReply {
-    let force = shared.force.load_full();
+    let force = shared.active_preset.load_full();
     let revision = force.as_ref().map(|preset| preset.revision).unwrap_or_default();
     let endpoints = endpoint_statuses(shared);
     let mut services = BTreeMap::new();
--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -55,7 +55,7 @@
         if now.0 < measured_at + CAPACITY_MS {
             return self.capacity.load(Ordering::Relaxed);
         }
-        let preset = shared.force.load();
+        let preset = shared.active_preset.load();
         let target = preset.as_ref().and_then(|preset| preset.content.services.get(service));
         let most = target.map_or(0, |target| target.max_in_flight);
         let routes = shared.routes.load();
@@ -102,7 +102,7 @@
     let (head, admit_by) = (&request.head, request.admit_by);
     // Names that no preset has get no queue, or callers could fill the memory.
     let is_known = |preset: &Arc<ForcedPreset>| preset.content.services.contains_key(&head.service);
-    if !shared.force.load().as_ref().is_some_and(is_known) {
+    if !shared.active_preset.load().as_ref().is_some_and(is_known) {
         return Ok(None);
     }
     let admission = shared.admission(&head.service);
--- a/crates/entry/src/caller/attempts.rs
+++ b/crates/entry/src/caller/attempts.rs
@@ -71,7 +71,7 @@
 impl FailedRequest {
     /// A request that was refused before any attempt.
     pub(crate) fn before_attempts(shared: &EntryShared, reason: NotRunReason) -> Self {
-        let revision = shared.force.load().as_ref().map(|preset| preset.revision);
+        let revision = shared.active_preset.load().as_ref().map(|preset| preset.revision);
         let outcome = final_outcome(AttemptEnd::NotRun(reason));
         Self { outcome, revision: revision.unwrap_or_default(), attempts: 0 }
     }
@@ -262,8 +262,8 @@
             request: &self.request,
             last_event: self.last_event,
         };
-        let begin_by = shared.begin_by(&head.service, candidate_version.as_ref());
-        let begun: AnswerHead = match dispatch(shared, path, sent, &load.cell, begin_by).await {
+        let start_by = shared.start_by(&head.service, candidate_version.as_ref());
+        let begun: AnswerHead = match dispatch(shared, path, sent, &load.cell, start_by).await {
             Ok(begun) => begun,
             Err(end) => {
                 note_end(shared, &routed, self.excluded.last(), &load.cell, &end);
@@ -297,7 +297,7 @@
     if head.deadline.is_past(Timestamp::now()) {
         return Err(NotRunReason::DeadlineTooClose);
     }
-    let preset = shared.force.load_full().ok_or(NotRunReason::NotReady)?;
+    let preset = shared.active_preset.load_full().ok_or(NotRunReason::NotReady)?;
     if !preset.content.services.contains_key(&head.service) {
         return Err(NotRunReason::UnknownService);
     }
@@ -332,7 +332,7 @@
         // draw request after request until its row lapses.
         AttemptEnd::NotRun(NotRunReason::VersionMismatch) if head.version.is_none() => {
             if let Some(instance) = instance {
-                shared.forget_listed(instance);
+                shared.drop_listed(instance);
             }
         }
         AttemptEnd::NotRun(NotRunReason::ConnectFailed)
--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -156,17 +156,17 @@
     path: EndpointPath,
     sent: DispatchedRequest<'_>,
     cell: &EndpointCell,
-    begin_by: Option<Deadline>,
+    start_by: Option<Deadline>,
 ) -> Result<AnswerHead, AttemptEnd> {
     let mut watch = DelayWatch::start(cell);
     let beginning = begin(shared, path, &sent, cell);
-    let begun = match begin_by.filter(|_| sent.head.repeat == Repeatability::Idempotent) {
+    let begun = match start_by.filter(|_| sent.head.repeat == Repeatability::Idempotent) {
         // A request may wait in the engine's queue until the engine's version may
         // not answer any more. It is taken back before, while others can answer.
-        Some(begin_by) => {
+        Some(start_by) => {
             let late =
                 || Err(AttemptEnd::Unknown("its version may not answer any more".to_owned()));
-            let left = begin_by.remaining(Timestamp::now());
+            let left = start_by.remaining(Timestamp::now());
             timeout(left, beginning).await.unwrap_or_else(late)?
         }
         None => beginning.await?,
--- a/crates/entry/src/caller/identify.rs
+++ b/crates/entry/src/caller/identify.rs
@@ -113,7 +113,7 @@
             .map_err(|error| BadRequest::new(WORKSPACE_HEADER, error))?,
     };
     let mut head = RequestHead {
-        id: shared.next_request().map_err(|error| BadRequest::new("request", error))?,
+        id: shared.next_request_id().map_err(|error| BadRequest::new("request", error))?,
         workspace,
         service,
         priority: priority(&parts.headers)?,
--- a/crates/entry/src/control/ahead.rs
+++ b/crates/entry/src/control/ahead.rs
@@ -44,8 +44,8 @@
 
 /// The preset that is staged ahead now, if there is one.
 pub(crate) fn staged_now(shared: &EntryShared) -> Option<Arc<AheadRow>> {
-    let revision = shared.force.load().as_ref().map(|preset| preset.revision);
-    shared.ahead.load_full().filter(|row| Some(row.staged.base) == revision)
+    let revision = shared.active_preset.load().as_ref().map(|preset| preset.revision);
+    shared.staging.load_full().filter(|row| Some(row.staged.base) == revision)
 }
 
 /// Has the stored preset `name` staged by all endpoints of its services.
@@ -98,7 +98,7 @@
 /// Keeps the newest; a stale read must not bring an earlier one back.
 fn take(shared: &EntryShared, row: AheadRow) {
     let row = Arc::new(row);
-    shared.ahead.rcu(|known| match known {
+    shared.staging.rcu(|known| match known {
         Some(known) if known.row_revision >= row.row_revision => Some(known.clone()),
         _ => Some(row.clone()),
     });
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -82,7 +82,7 @@
 
 /// Sends each neighbour what it lacks; the most records and reports that one of them got.
 fn send_news(shared: &EntryShared, routed: &RoutedInterface, now: Timestamp) -> usize {
-    let revision = shared.force.load().as_ref().map(|p| p.revision).unwrap_or_default();
+    let revision = shared.active_preset.load().as_ref().map(|p| p.revision).unwrap_or_default();
     let load = shared.in_flight.load(Ordering::Relaxed);
     let mut state = routed.overlay.lock();
     if load >= MIN_PUBLISHED_LOAD {
--- a/crates/entry/src/control/orders.rs
+++ b/crates/entry/src/control/orders.rs
@@ -37,7 +37,7 @@
         // No request passes the agent, so it needs orders only.
         return;
     }
-    let force = shared.force.load_full();
+    let force = shared.active_preset.load_full();
     if let Some(preset) = force.filter(|preset| preset.revision > revision) {
         let _ = link.sender.try_send(ControlMessage::Force(preset));
     }
@@ -66,7 +66,7 @@
 }
 
 fn due_orders(shared: &EntryShared) -> Vec<PlannedOrder> {
-    let Some(preset) = shared.force.load_full() else {
+    let Some(preset) = shared.active_preset.load_full() else {
         return Vec::new();
     };
     let ahead = staged_now(shared);
--- a/crates/entry/src/control/poll.rs
+++ b/crates/entry/src/control/poll.rs
@@ -61,7 +61,8 @@
             }
             Err(error) => {
                 failures += 1;
-                let revision = shared.force.load().as_ref().map(|p| p.revision).unwrap_or_default();
+                let revision =
+                    shared.active_preset.load().as_ref().map(|p| p.revision).unwrap_or_default();
                 let PresetRevision(revision) = revision;
                 log::warn!(target: "preset", revision = revision, cause:% = error; "The table service cannot be read.");
             }
--- a/crates/entry/src/control/spread.rs
+++ b/crates/entry/src/control/spread.rs
@@ -60,7 +60,7 @@
     while !shared.start_hold().is_over(Timestamp::now()) {
         Timer::after(SETTLE_STEP).await;
     }
-    if let Some(preset) = shared.publish_held() {
+    if let Some(preset) = shared.end_start_hold() {
         push_everywhere(&shared, &preset);
     }
 }
@@ -120,7 +120,7 @@
         }
         ControlMessage::Drain { instance } => drains::drain_here(shared, &instance),
         ControlMessage::PresetWanted => {
-            if let Some(preset) = shared.force.load_full() {
+            if let Some(preset) = shared.active_preset.load_full() {
                 let _ = sender.try_send(ControlMessage::Force(preset));
             }
         }
@@ -197,7 +197,9 @@
 /// Sends the preset in force to an entry whose heartbeat shows an older one, or
 /// asks for a newer one.
 fn heal(shared: &EntryShared, sender: &WireSender, revision: PresetRevision) {
-    if let Some(preset) = shared.force.load_full().filter(|preset| preset.revision > revision) {
+    if let Some(preset) =
+        shared.active_preset.load_full().filter(|preset| preset.revision > revision)
+    {
         let _ = sender.try_send(ControlMessage::Force(preset));
     }
 }
@@ -280,7 +282,7 @@
 
 /// Tells an entry at the other end of a new connection what it may lack.
 fn greet(shared: &EntryShared, sender: &WireSender) {
-    if let Some(preset) = shared.force.load_full() {
+    if let Some(preset) = shared.active_preset.load_full() {
         let _ = sender.try_send(ControlMessage::Force(preset));
     }
 }
@@ -359,7 +361,7 @@
         incarnation: shared.incarnation,
         caller_addr: settings.listen.caller,
         failure_domain: settings.place.failure_domain.clone(),
-        revision: shared.force.load().as_ref().map(|p| p.revision).unwrap_or_default(),
+        revision: shared.active_preset.load().as_ref().map(|p| p.revision).unwrap_or_default(),
         in_flight: shared.in_flight.load(Ordering::Relaxed),
         leaving: shared.leaving.load(Ordering::Acquire),
         advised: shared.is_advised(),
--- a/crates/entry/src/inner.rs
+++ b/crates/entry/src/inner.rs
@@ -196,7 +196,7 @@
     if let Some(routed) = &shared.routed {
         gossip::publish_load(routed, &link.instance, &load);
     }
-    shared.hear_load(&link.instance, &load, limit);
+    shared.update_load(&link.instance, &load, limit);
 }
 
 /// Takes a heartbeat with the whole state.
@@ -221,7 +221,7 @@
         gossip::refresh_own(shared, routed);
     }
     shared.plan_stale.store(true, Ordering::Release);
-    shared.hear_load(&instance, &load, limit);
+    shared.update_load(&instance, &load, limit);
     if changed {
         shared.rebuild_routes();
     }
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -79,7 +79,8 @@
     let (trigger, shutdown) = ShutdownTrigger::new();
     let (caller_trigger, caller_shutdown) = ShutdownTrigger::new();
     let ready = shared.clone();
-    let is_ready = move || ready.force.load().is_some() && !ready.leaving.load(Ordering::Acquire);
+    let is_ready =
+        move || ready.active_preset.load().is_some() && !ready.leaving.load(Ordering::Acquire);
     spawn(serve_probes(listeners.metrics, registry, is_ready, shutdown.clone())).detach();
     spawn(serve_inner(shared.clone(), listeners.inner, shutdown.clone())).detach();
     start_control(&shared);
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -62,9 +62,9 @@
     /// Connections to agents; read without a lock.
     pub(crate) links: ArcSwap<HashMap<InstanceId, Arc<AgentLink>>>,
     /// The preset in force; read without a lock.
-    pub(crate) force: ArcSwapOption<ForcedPreset>,
+    pub(crate) active_preset: ArcSwapOption<ForcedPreset>,
     /// The preset to stage ahead.
-    pub(crate) ahead: ArcSwapOption<AheadRow>,
+    pub(crate) staging: ArcSwapOption<AheadRow>,
     /// Whether the plan lags behind the reports or the preset.
     pub(crate) plan_stale: AtomicBool,
     /// The table service with its health; the same as `table`.
@@ -116,8 +116,8 @@
             routes: ArcSwap::default(),
             admissions: ArcSwap::default(),
             links: ArcSwap::default(),
-            force: ArcSwapOption::empty(),
-            ahead: ArcSwapOption::empty(),
+            active_preset: ArcSwapOption::empty(),
+            staging: ArcSwapOption::empty(),
             plan_stale: AtomicBool::new(false),
             store,
             progress: Mutex::default(),
@@ -173,8 +173,8 @@
 
     /// The origin of weights, where it comes with the preset.
     pub(crate) fn origin_place(&self) -> Option<OriginPlace> {
-        let force = self.force.load();
-        let mut services = force.as_ref()?.content.services.values();
+        let active_preset = self.active_preset.load();
+        let mut services = active_preset.as_ref()?.content.services.values();
         services.find_map(|target| target.engine.as_ref()?.origin.clone())
     }
 
@@ -200,26 +200,26 @@
         now: Timestamp,
     ) -> Option<Vec<ModelVersion>> {
         let routed = self.routed.as_ref()?;
-        let force = self.force.load();
-        let target = force.as_ref()?.content.services.get(service)?;
+        let active_preset = self.active_preset.load();
+        let target = active_preset.as_ref()?.content.services.get(service)?;
         routed.allowed_versions(target, now)
     }
 
     /// Until when an answer to a request for `service` may begin from `version`.
-    pub(crate) fn begin_by(
+    pub(crate) fn start_by(
         &self,
         service: &ServiceName,
         version: Option<&ModelVersion>,
     ) -> Option<Deadline> {
         let routed = self.routed.as_ref()?;
-        let force = self.force.load();
-        let engine = force.as_ref()?.content.services.get(service)?.engine.as_ref()?;
+        let active_preset = self.active_preset.load();
+        let engine = active_preset.as_ref()?.content.services.get(service)?.engine.as_ref()?;
         let barred_from = routed.versions.load().barred_from(&engine.model, version?)?;
         Some(Timestamp(barred_from.0).deadline_after(BEGIN_TIME))
     }
 
     /// An id that no other request has.
-    pub(crate) fn next_request(&self) -> anyhow::Result<RequestId> {
+    pub(crate) fn next_request_id(&self) -> anyhow::Result<RequestId> {
         let number = self.requests.fetch_add(1, Ordering::Relaxed);
         let instance = &self.settings.place.instance;
         Ok(RequestId::new(&format!("{instance}-{:x}-{number:x}", self.incarnation))?)
@@ -243,7 +243,7 @@
     }
 
     /// Ends the hold of the start; the preset that is in force from now on, if one is known.
-    pub(crate) fn publish_held(&self) -> Option<Arc<ForcedPreset>> {
+    pub(crate) fn end_start_hold(&self) -> Option<Arc<ForcedPreset>> {
         let holder = self.holder();
         self.settled.store(true, Ordering::Release);
         let preset = holder.current()?.clone();
@@ -269,8 +269,8 @@
     /// Whether a preset is in force and each of its services has an endpoint here,
     /// or the time for them to come has passed.
     fn has_endpoints(&self) -> bool {
-        let force = self.force.load();
-        let Some(preset) = force.as_ref() else {
+        let active_preset = self.active_preset.load();
+        let Some(preset) = active_preset.as_ref() else {
             return false;
         };
         let started_at = Timestamp(self.incarnation);
@@ -305,7 +305,7 @@
         if let Some(routed) = &self.routed {
             routed.take_preset(preset);
         }
-        self.force.store(Some(preset.clone()));
+        self.active_preset.store(Some(preset.clone()));
         if self.routed.is_some() {
             // The list may be known already; without this look its endpoints
             // would get nothing until it changes.
@@ -360,7 +360,7 @@
     }
 
     /// Takes an agent's word of its endpoint's load.
-    pub(crate) fn hear_load(&self, agent: &InstanceId, load: &LoadReport, limit: u32) {
+    pub(crate) fn update_load(&self, agent: &InstanceId, load: &LoadReport, limit: u32) {
         // The clocks of two machines differ; only the own one tells an age.
         let load = LoadReport { measured_at: Timestamp::now(), ..*load };
         let Some(routed) = &self.routed else {
@@ -382,7 +382,7 @@
     }
 
     /// Takes an endpoint out at whose address another process answers.
-    pub(crate) fn forget_listed(&self, instance: &InstanceId) {
+    pub(crate) fn drop_listed(&self, instance: &InstanceId) {
         let Some(routed) = &self.routed else {
             return;
         };
@@ -448,7 +448,7 @@
         counters: &mut CounterRegistry,
     ) -> ServiceCandidates {
         let mut services = ServiceCandidates::new();
-        let Some(preset) = self.force.load_full() else {
+        let Some(preset) = self.active_preset.load_full() else {
             return services;
         };
         let mut counters_by_agent = HashMap::new();
