--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -24,7 +24,7 @@
 use crate::{
     direct::{DirectPart, DirectStream, DirectTarget},
     link::{AgentLink, LinkStream},
-    routed::RoutedInterface,
+    routed::RoutedState,
     shared::EntryShared,
 };
 
@@ -203,7 +203,7 @@
 }
 
 async fn straight(
-    routed: &RoutedInterface,
+    routed: &RoutedState,
     target: DirectTarget<'_>,
     sent: &DispatchedRequest<'_>,
     cell: &EndpointCell,
--- a/crates/entry/src/caller/lost.rs
+++ b/crates/entry/src/caller/lost.rs
@@ -16,7 +16,7 @@
 use super::identify::IdentifiedRequest;
 use crate::{
     crashes::{SuspectRun, suspect_rank},
-    routed::RoutedInterface,
+    routed::RoutedState,
     shared::EntryShared,
 };
 
@@ -82,7 +82,7 @@
     }
 }
 
-fn note(routed: &RoutedInterface, digest: RequestDigest, event: CrashEvent, at: Timestamp) {
+fn note(routed: &RoutedState, digest: RequestDigest, event: CrashEvent, at: Timestamp) {
     let now = Timestamp::now();
     let row = CrashRow { digest, event, age_ms: now.since(at).as_millis() as u32 };
     let mut state = routed.overlay.lock();
@@ -94,7 +94,7 @@
 }
 
 /// Whether an endpoint leaves as planned, or has left.
-fn leaves(routed: &RoutedInterface, instance: &InstanceId) -> bool {
+fn leaves(routed: &RoutedState, instance: &InstanceId) -> bool {
     let listing = routed.listing();
     !listing.endpoints().any(|listed| listed.instance == *instance && !listed.is_leaving)
 }
--- a/crates/entry/src/caller/routed.rs
+++ b/crates/entry/src/caller/routed.rs
@@ -30,7 +30,7 @@
     identify::{AnswerForm, IdentifiedRequest},
     lost, outcome, unchanged,
 };
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Workspace of requests that carry no key.
 const NO_WORKSPACE: &str = "public";
@@ -67,7 +67,7 @@
 /// Answers one request of a caller.
 pub(crate) async fn accept(
     shared: Arc<EntryShared>,
-    routed: Arc<RoutedInterface>,
+    routed: Arc<RoutedState>,
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
     let mut reply = match identify(&shared, &routed, request).await {
@@ -123,7 +123,7 @@
 /// Answers a caller that asks which entries to use.
 pub(crate) async fn answer_advice(
     shared: Arc<EntryShared>,
-    routed: Arc<RoutedInterface>,
+    routed: Arc<RoutedState>,
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
     let (parts, _) = request.into_parts();
@@ -150,7 +150,7 @@
 /// Answers the platform's question whether this entry is ready.
 pub(crate) async fn answer_ready(
     shared: Arc<EntryShared>,
-    routed: Arc<RoutedInterface>,
+    routed: Arc<RoutedState>,
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
     let (parts, _) = request.into_parts();
@@ -166,7 +166,7 @@
 
 async fn identify(
     shared: &EntryShared,
-    routed: &RoutedInterface,
+    routed: &RoutedState,
     request: Request<Incoming>,
 ) -> Result<IdentifiedRequest, CallerRefusal> {
     let now = Timestamp::now();
--- a/crates/entry/src/cli.rs
+++ b/crates/entry/src/cli.rs
@@ -24,7 +24,7 @@
     RowClient, ServerTable,
 };
 
-use crate::RoutedEdges;
+use crate::RoutedAdapters;
 use exit::{CommandError, EXIT_CODES};
 
 /// What a newcomer does first; `argh` would run its lines together in a doc comment.
@@ -132,7 +132,7 @@
     let (settings, routed) = boot.entry_settings().map_err(findings)?;
     let client = HttpClient::default();
     let rows = RowClient::new(client, boot.store_addr(), boot.store_timeout());
-    let edges = RoutedEdges {
+    let adapters = RoutedAdapters {
         settings: routed,
         callers: Arc::new(PlatformCallers),
         endpoints: Arc::new(PlatformEndpoints),
@@ -141,7 +141,7 @@
         table: Arc::new(OwnRows::new(rows)),
         origin: Arc::new(PlatformOrigin::default()),
     };
-    Ok(crate::run_routed(settings, edges)?)
+    Ok(crate::run_routed(settings, adapters)?)
 }
 
 fn check(file: &Path) -> Result<(), CommandError> {
--- a/crates/entry/src/control/entries.rs
+++ b/crates/entry/src/control/entries.rs
@@ -11,13 +11,13 @@
 use smol::Timer;
 
 use super::dependency::DependencyWatch;
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Waits after a failed call, in milliseconds; drawn anew each time.
 const AGAIN_MS: std::ops::Range<u64> = 300..900;
 
 /// Leaves this entry's address in the store and notes those that did so before.
-pub(crate) async fn register(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
+pub(crate) async fn register(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     let mut watch = DependencyWatch::new("registry");
     loop {
         match write_and_scan(&shared).await {
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -18,7 +18,7 @@
 use crate::{
     limits::renew_paces,
     overlay::{OverlayState, is_far},
-    routed::RoutedInterface,
+    routed::RoutedState,
     shared::EntryShared,
 };
 
@@ -69,7 +69,7 @@
 const PROGRESS_PARTS: u32 = 4;
 
 /// Sends the neighbours what has changed, for ever.
-pub(crate) async fn pass_on_changes(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
+pub(crate) async fn pass_on_changes(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     loop {
         timeout(LOOK_TIME, routed.overlay.changed()).await;
         refresh_own(&shared, &routed);
@@ -81,7 +81,7 @@
 }
 
 /// Sends each neighbour what it lacks; the most records and reports that one of them got.
-fn send_news(shared: &EntryShared, routed: &RoutedInterface, now: Timestamp) -> usize {
+fn send_news(shared: &EntryShared, routed: &RoutedState, now: Timestamp) -> usize {
     let revision = shared.active_preset.load().as_ref().map(|p| p.revision).unwrap_or_default();
     let load = shared.in_flight.load(Ordering::Relaxed);
     let mut state = routed.overlay.lock();
@@ -131,7 +131,7 @@
 }
 
 /// Makes the present revision due to every neighbour at once.
-pub(crate) fn announce_revision(routed: &RoutedInterface) {
+pub(crate) fn announce_revision(routed: &RoutedState) {
     for link in &mut routed.overlay.lock().links {
         link.loads_at = Deadline(0);
     }
@@ -139,7 +139,7 @@
 }
 
 /// Renews the own record if something in it has changed.
-pub(crate) fn refresh_own(shared: &EntryShared, routed: &RoutedInterface) {
+pub(crate) fn refresh_own(shared: &EntryShared, routed: &RoutedState) {
     let settings = &shared.settings;
     let links = shared.links.load();
     let mut agents: Vec<InstanceId> = links.keys().cloned().collect();
@@ -189,7 +189,7 @@
 /// Takes in what the entry at the other end of the link `source` has sent.
 pub(crate) fn merge_news(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
+    routed: &Arc<RoutedState>,
     source: LinkNumber,
     news: GossipNews,
 ) {
@@ -250,7 +250,7 @@
 }
 
 /// Takes loads into the cells of the endpoints that they are of.
-fn apply_loads(routed: &RoutedInterface, rows: &[LoadRow], now: Timestamp) {
+fn apply_loads(routed: &RoutedState, rows: &[LoadRow], now: Timestamp) {
     let counters = routed.counters_by_agent.load();
     for row in rows {
         if let Some(cell) = counters.get(&row.subject) {
@@ -262,7 +262,7 @@
 }
 
 /// Keeps the load of an endpoint whose agent is connected here, for the other entries.
-pub(crate) fn publish_load(routed: &RoutedInterface, instance: &InstanceId, load: &LoadReport) {
+pub(crate) fn publish_load(routed: &RoutedState, instance: &InstanceId, load: &LoadReport) {
     let row = LoadRow {
         subject: subject_of(instance.as_str()),
         load: load.in_flight + load.queued,
@@ -272,7 +272,7 @@
 }
 
 /// Keeps the report of an agent that is connected here, if other entries need it.
-pub(crate) fn publish_report(routed: &RoutedInterface, report: &EndpointReport) {
+pub(crate) fn publish_report(routed: &RoutedState, report: &EndpointReport) {
     let mut state = routed.overlay.lock();
     if !state.store.report(&report.instance).is_none_or(|known| is_significant(known, report)) {
         return;
@@ -300,7 +300,7 @@
 }
 
 /// Works out from the records who is present.
-fn refresh_membership(shared: &EntryShared, routed: &RoutedInterface) {
+fn refresh_membership(shared: &EntryShared, routed: &RoutedState) {
     let own = &shared.settings.place.instance;
     let now = Timestamp::now();
     let state = routed.overlay.lock();
--- a/crates/entry/src/control/links.rs
+++ b/crates/entry/src/control/links.rs
@@ -17,7 +17,7 @@
 use smol::{Task, Timer};
 
 use super::{gossip, listing, spread};
-use crate::{limits, overlay::entries_for, routed::RoutedInterface, shared::EntryShared};
+use crate::{limits, overlay::entries_for, routed::RoutedState, shared::EntryShared};
 
 /// Time between looks whether links are to be made or ended.
 const LOOK_TIME: Duration = Duration::from_millis(150);
@@ -47,7 +47,7 @@
 }
 
 /// Keeps the chosen links up, for ever.
-pub(crate) async fn keep_links(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
+pub(crate) async fn keep_links(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     let seeds = shared.settings.peers.iter().map(|seed| (*seed, None));
     routed.overlay.lock().note_entries(seeds);
     let mut kept = KeptLinks::default();
@@ -70,7 +70,7 @@
 }
 
 /// Drops the state of processes that are gone.
-fn expire(shared: &EntryShared, routed: &RoutedInterface, now: Timestamp) {
+fn expire(shared: &EntryShared, routed: &RoutedState, now: Timestamp) {
     let mut state = routed.overlay.lock();
     state.expire(&shared.settings.place.instance, now);
     if state.crashes.expire(now) {
@@ -84,7 +84,7 @@
 }
 
 impl KeptLinks {
-    fn renew(&mut self, shared: &Arc<EntryShared>, routed: &Arc<RoutedInterface>, now: Timestamp) {
+    fn renew(&mut self, shared: &Arc<EntryShared>, routed: &Arc<RoutedState>, now: Timestamp) {
         self.dialling.retain(|_, task| !task.is_finished());
         let chosen = chosen_now(shared, routed, now);
         for addr in &chosen {
@@ -98,12 +98,7 @@
     }
 
     /// Ends links that this end made and that have not been chosen for a while.
-    fn end_surplus(
-        &mut self,
-        routed: &RoutedInterface,
-        chosen: &BTreeSet<SocketAddr>,
-        now: Timestamp,
-    ) {
+    fn end_surplus(&mut self, routed: &RoutedState, chosen: &BTreeSet<SocketAddr>, now: Timestamp) {
         let state = routed.overlay.lock();
         let dialled: BTreeSet<_> = state.links.iter().filter_map(|link| link.dialled).collect();
         self.surplus.retain(|addr, _| dialled.contains(addr) && !chosen.contains(addr));
@@ -117,7 +112,7 @@
     }
 
     /// Sends the connected agents the entries that they may connect to, where these have changed.
-    fn send_entry_lists(&mut self, shared: &EntryShared, routed: &RoutedInterface) {
+    fn send_entry_lists(&mut self, shared: &EntryShared, routed: &RoutedState) {
         let links = shared.links.load();
         let roster = shared.roster();
         let region_of = |instance| roster.member(instance).map(|m| m.report.region.clone());
@@ -143,11 +138,7 @@
 }
 
 /// The entries that links are wanted to; any that is known while there is none.
-fn chosen_now(
-    shared: &EntryShared,
-    routed: &RoutedInterface,
-    now: Timestamp,
-) -> BTreeSet<SocketAddr> {
+fn chosen_now(shared: &EntryShared, routed: &RoutedState, now: Timestamp) -> BTreeSet<SocketAddr> {
     let settings = &shared.settings;
     let own =
         EntryPlace { inner_addr: settings.listen.inner, region: settings.place.region.clone() };
@@ -162,7 +153,7 @@
 }
 
 /// Makes a link to the entry at `addr` and keeps it until it ends.
-async fn dial(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>, addr: SocketAddr) {
+async fn dial(shared: Arc<EntryShared>, routed: Arc<RoutedState>, addr: SocketAddr) {
     let local = Some(shared.settings.listen.inner.ip());
     let connected = timeout(CONNECT_TIME, connect(addr, &shared.settings.inner_key, local)).await;
     let Some(Ok((sender, mut receiver))) = connected else {
@@ -186,7 +177,7 @@
 /// Answers the hello of an entry that dialled.
 pub(crate) async fn accept(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
+    routed: &Arc<RoutedState>,
     sender: WireSender,
     receiver: WireReceiver,
     hello: HelloMessage,
@@ -198,7 +189,7 @@
 /// Takes in what comes over a link until it ends or falls silent.
 async fn converse(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
+    routed: &Arc<RoutedState>,
     sender: WireSender,
     mut receiver: WireReceiver,
     other: HelloMessage,
@@ -222,7 +213,7 @@
 
 fn handle(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
+    routed: &Arc<RoutedState>,
     sender: &WireSender,
     (number, other): (LinkNumber, &HelloMessage),
     message: ControlMessage,
@@ -243,7 +234,7 @@
 }
 
 /// Sends the entry at the other end of a new link what gossip does not carry.
-fn greet(routed: &Arc<RoutedInterface>, sender: &WireSender) {
+fn greet(routed: &Arc<RoutedState>, sender: &WireSender) {
     for named in routed.versions.load().named(Timestamp::now()) {
         let _ = sender.try_send(ControlMessage::Named(named));
     }
@@ -254,7 +245,7 @@
 }
 
 /// Repeats the named versions to the neighbours, in case a full queue dropped one.
-fn repeat_versions(routed: &RoutedInterface) {
+fn repeat_versions(routed: &RoutedState) {
     let named = routed.versions.load().named(Timestamp::now());
     let state = routed.overlay.lock();
     for link in &state.links {
--- a/crates/entry/src/control/listing.rs
+++ b/crates/entry/src/control/listing.rs
@@ -10,7 +10,7 @@
 use smol::Timer;
 
 use super::{dependency::DependencyWatch, spread};
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest sleep between looks whether it is this entry's turn.
 const LOOK_TIME: Duration = Duration::from_millis(250);
@@ -25,7 +25,7 @@
 const AGAIN_MS: std::ops::Range<u64> = 200..500;
 
 /// Follows the list for ever.
-pub(crate) async fn follow_listing(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
+pub(crate) async fn follow_listing(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     let mut watch = DependencyWatch::new("list");
     let mut again_at = Timestamp::now().deadline_after(Duration::ZERO);
     let mut history_lost = false;
@@ -72,7 +72,7 @@
 
 fn take_page(
     shared: &EntryShared,
-    routed: &RoutedInterface,
+    routed: &RoutedState,
     page: FeedPage<ListedRow>,
     base: u64,
     asked_at: Timestamp,
@@ -112,7 +112,7 @@
     spread::send_to_peers(shared, &message);
 }
 
-fn settle(shared: &EntryShared, routed: &RoutedInterface, now: Timestamp) {
+fn settle(shared: &EntryShared, routed: &RoutedState, now: Timestamp) {
     let mut listing = routed.listing();
     let rows = listing.settle(now);
     let (position, asked_at) = (listing.position(), listing.asked_at());
@@ -127,7 +127,7 @@
 /// Takes in what another entry tells of the list.
 pub(crate) fn hear_listing(
     shared: &EntryShared,
-    routed: &RoutedInterface,
+    routed: &RoutedState,
     sender: &WireSender,
     news: ListingNews,
 ) {
@@ -145,7 +145,7 @@
 }
 
 /// Asks an entry for the whole list, unless another one is about to send it.
-pub(crate) fn ask_whole(routed: &RoutedInterface, sender: &WireSender) {
+pub(crate) fn ask_whole(routed: &RoutedState, sender: &WireSender) {
     if routed.listing().begin_asking(Timestamp::now()) {
         let _ = sender.try_send(ControlMessage::ListingWanted);
     }
@@ -155,7 +155,7 @@
 ///
 /// While the table service is away nobody reads, so that no word of a change would
 /// make this entry ask; it would refuse every request though the others serve.
-pub(crate) async fn ask_until_known(routed: Arc<RoutedInterface>, sender: WireSender) {
+pub(crate) async fn ask_until_known(routed: Arc<RoutedState>, sender: WireSender) {
     while routed.listing().position() == 0 && !sender.is_closed() {
         ask_whole(&routed, &sender);
         Timer::after(ASK_TIME).await;
@@ -163,7 +163,7 @@
 }
 
 /// Sends the whole list to an entry that knows too little of it.
-pub(crate) fn send_whole(routed: &RoutedInterface, sender: &WireSender) {
+pub(crate) fn send_whole(routed: &RoutedState, sender: &WireSender) {
     let Some(whole) = routed.listing().whole() else {
         return;
     };
@@ -172,7 +172,7 @@
     let _ = sender.try_send(ControlMessage::Listing { rows, base: 0, position, age_ms });
 }
 
-fn log_change(shared: &EntryShared, routed: &RoutedInterface, source: &str) {
+fn log_change(shared: &EntryShared, routed: &RoutedState, source: &str) {
     let listing = routed.listing();
     let (position, count) = (listing.position(), listing.endpoints().count());
     let leaving = listing.endpoints().filter(|listed| listed.is_leaving).count();
--- a/crates/entry/src/control/manifests.rs
+++ b/crates/entry/src/control/manifests.rs
@@ -14,7 +14,7 @@
 use smol::Timer;
 
 use super::{operators::take_version, spread};
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest wait for a manifest of a few kilobytes.
 ///
@@ -29,7 +29,7 @@
 const PLACE_STEP: Duration = Duration::from_millis(10);
 
 /// Pins every named version for ever.
-pub(crate) async fn pin_versions(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
+pub(crate) async fn pin_versions(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     loop {
         match first_unpinned(&routed) {
             Some(named) => pin(&shared, &routed, &named.version).await,
@@ -41,7 +41,7 @@
 }
 
 /// Pins `version`, or waits until another entry has done so or a newer one is named.
-async fn pin(shared: &EntryShared, routed: &RoutedInterface, version: &ModelVersion) {
+async fn pin(shared: &EntryShared, routed: &RoutedState, version: &ModelVersion) {
     let own = shared.settings.place.instance.clone();
     let mut search = ManifestSearch::new(own, version.as_str(), Timestamp::now());
     while is_unpinned(routed, version) {
@@ -72,7 +72,7 @@
 /// Tells everybody which bytes `version` consists of.
 fn tell_pinned(
     shared: &EntryShared,
-    routed: &RoutedInterface,
+    routed: &RoutedState,
     version: &ModelVersion,
     manifest: WeightManifest,
 ) {
@@ -91,7 +91,7 @@
 }
 
 /// Asks whoever told of a pinned version for its manifest, if it is missing here.
-pub(crate) fn ask_teller(routed: &RoutedInterface, teller: &WireSender, named: &NamedVersion) {
+pub(crate) fn ask_teller(routed: &RoutedState, teller: &WireSender, named: &NamedVersion) {
     let Some(manifest) = named.manifest else {
         return;
     };
@@ -101,11 +101,7 @@
 }
 
 /// Tells the process at the other end of `sender` the manifest with this digest.
-pub(crate) fn answer(
-    routed: Option<&RoutedInterface>,
-    sender: &WireSender,
-    manifest: ManifestDigest,
-) {
+pub(crate) fn answer(routed: Option<&RoutedState>, sender: &WireSender, manifest: ManifestDigest) {
     let message = match routed.and_then(|routed| routed.manifests.find(manifest)) {
         Some(found) => ControlMessage::Manifest(found),
         None => ControlMessage::ManifestUnknown { manifest },
@@ -113,12 +109,12 @@
     let _ = sender.try_send(message);
 }
 
-fn is_unpinned(routed: &RoutedInterface, version: &ModelVersion) -> bool {
+fn is_unpinned(routed: &RoutedState, version: &ModelVersion) -> bool {
     first_unpinned(routed).is_some_and(|left| left.version == *version)
 }
 
 /// The newest named version whose bytes are not known, as old as it is now.
-fn first_unpinned(routed: &RoutedInterface) -> Option<NamedVersion> {
+fn first_unpinned(routed: &RoutedState) -> Option<NamedVersion> {
     let versions = routed.versions.load();
     let named = versions.named(Timestamp::now());
     // The newest one is what endpoints have to serve; the origin may have
--- a/crates/entry/src/control/operators.rs
+++ b/crates/entry/src/control/operators.rs
@@ -16,7 +16,7 @@
 use smol::Timer;
 
 use super::{dependency::DependencyWatch, spread};
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest wait for a change before the table is asked again.
 ///
@@ -34,7 +34,7 @@
 const AGAIN_MS: std::ops::Range<u64> = 150..400;
 
 /// Follows the operators' rows for ever.
-pub(crate) async fn follow_operators(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
+pub(crate) async fn follow_operators(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     let mut watch = DependencyWatch::new("operators");
     let mut followed = FollowedRows::default();
     let mut probe_at = Deadline(0);
@@ -85,7 +85,7 @@
 
 fn take_page(
     shared: &EntryShared,
-    routed: &RoutedInterface,
+    routed: &RoutedState,
     page: FeedPage<OperatorRow>,
     (age, age_source): (Duration, AgeSource),
 ) {
@@ -104,8 +104,8 @@
 }
 
 /// Takes in a named version and tells the other entries, if it is new here.
-pub(crate) fn take_version(shared: &EntryShared, routed: &RoutedInterface, named: &NamedVersion) {
-    if !routed.offer_version(named) {
+pub(crate) fn take_version(shared: &EntryShared, routed: &RoutedState, named: &NamedVersion) {
+    if !routed.add_version(named) {
         return;
     }
     log::info!(target: "preset", version:% = named.version, manifest:? = named.manifest, age_ms = named.age_ms, age_source:? = named.age_source; "A version is named.");
--- a/crates/entry/src/control/pull.rs
+++ b/crates/entry/src/control/pull.rs
@@ -11,7 +11,7 @@
 use cassiawheel_wire::{ControlMessage, WireSender};
 use smol::Timer;
 
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest sleep between looks whether the preset has come, or somebody near has it.
 const LOOK_TIME: Duration = Duration::from_millis(50);
@@ -19,7 +19,7 @@
 /// Takes in the revision that another entry tells.
 pub(super) fn hear_revision(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
+    routed: &Arc<RoutedState>,
     sender: &WireSender,
     instance: &InstanceId,
     failure_domain: &FailureDomain,
@@ -38,7 +38,7 @@
 }
 
 /// Asks until nobody tells of a preset that is newer than the known one.
-async fn pull_preset(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
+async fn pull_preset(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     loop {
         let now = Timestamp::now();
         let view = PullView {
@@ -64,7 +64,7 @@
 }
 
 /// Entries of the own region that go before this one.
-fn near_rank(shared: &EntryShared, routed: &RoutedInterface) -> u32 {
+fn near_rank(shared: &EntryShared, routed: &RoutedState) -> u32 {
     let own = &shared.settings.place.instance;
     let near = &routed.settings.near_domains;
     let peers = shared.peers();
--- a/crates/entry/src/control/quarantine.rs
+++ b/crates/entry/src/control/quarantine.rs
@@ -10,7 +10,7 @@
 use cassiawheel_model::{BarredRequest, CrashEvent, CrashRow, Timestamp};
 use cassiawheel_runtime::timeout;
 
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use crate::{routed::RoutedState, shared::EntryShared};
 
 /// The row with all bars.
 const BARS_ROW: &str = "quarantine";
@@ -24,7 +24,7 @@
 const TRY_TIME: Duration = Duration::from_millis(500);
 
 /// Reads the bars once after the start, and adds those that own runs have shown.
-pub(crate) async fn keep_bars(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
+pub(crate) async fn keep_bars(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     let read_at = Timestamp::now().deadline_after(LINK_TIME);
     let (mut is_read, mut is_due) = (false, false);
     loop {
@@ -44,7 +44,7 @@
 }
 
 /// Takes in the bars of the row; false if it cannot be read.
-async fn read_bars(shared: &EntryShared, routed: &RoutedInterface) -> bool {
+async fn read_bars(shared: &EntryShared, routed: &RoutedState) -> bool {
     let kept = match kept_bars(shared.table.as_ref()).await {
         Ok((_, kept)) => kept,
         Err(error) => {
@@ -68,7 +68,7 @@
 }
 
 /// Adds bars that the row lacks; false if that has to be tried again.
-async fn add_bars(shared: &EntryShared, routed: &RoutedInterface) -> bool {
+async fn add_bars(shared: &EntryShared, routed: &RoutedState) -> bool {
     match try_add(shared, routed).await {
         Ok(is_done) => is_done,
         Err(error) => {
@@ -78,7 +78,7 @@
     }
 }
 
-async fn try_add(shared: &EntryShared, routed: &RoutedInterface) -> Result<bool, StoreError> {
+async fn try_add(shared: &EntryShared, routed: &RoutedState) -> Result<bool, StoreError> {
     let table = shared.table.as_ref();
     let (guard, kept) = kept_bars(table).await?;
     let bars = routed.overlay.lock().crashes.bars_to_keep(&kept, Timestamp::now());
--- a/crates/entry/src/control/spread.rs
+++ b/crates/entry/src/control/spread.rs
@@ -22,7 +22,7 @@
 
 use super::{drains, gossip, listing, manifests, operators, orders, pull};
 use crate::{
-    routed::RoutedInterface,
+    routed::RoutedState,
     shared::{EntryShared, PeerLink},
 };
 
@@ -207,7 +207,7 @@
 /// Pulls the preset in force from a neighbour that has a newer one.
 pub(crate) fn pull_from(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
+    routed: &Arc<RoutedState>,
     sender: &WireSender,
     instance: &InstanceId,
     revision: PresetRevision,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -21,7 +21,7 @@
 mod serve;
 mod shared;
 
-pub use routed::RoutedEdges;
+pub use routed::RoutedAdapters;
 
 use cassiawheel_model::settings::EntrySettings;
 
@@ -35,8 +35,8 @@
 }
 
 /// Runs an entry whose callers are routed by a table until it is asked to stop.
-pub fn run_routed(settings: EntrySettings, edges: RoutedEdges) -> anyhow::Result<()> {
+pub fn run_routed(settings: EntrySettings, adapters: RoutedAdapters) -> anyhow::Result<()> {
     let _log = cassiawheel_runtime::logging::start(&settings.log)?;
-    let threads = edges.settings.threads;
-    cassiawheel_runtime::run(threads, serve::serve(settings, Some(edges)))?
+    let threads = adapters.settings.threads;
+    cassiawheel_runtime::run(threads, serve::serve(settings, Some(adapters)))?
 }
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -18,7 +18,7 @@
 use cassiawheel_model::{EntryRecord, FailureDomain, InstanceId, LimitRow, NamedLimit, Timestamp};
 use smol::channel::Sender;
 
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Shortest time between two looks at the paces of all endpoints.
 const RENEW_TIME: Duration = Duration::from_millis(100);
@@ -92,7 +92,7 @@
 }
 
 /// Sets the pace of each endpoint that names a limit, or did so a moment ago.
-pub(crate) fn renew_paces(shared: &EntryShared, routed: &RoutedInterface, now: Timestamp) {
+pub(crate) fn renew_paces(shared: &EntryShared, routed: &RoutedState, now: Timestamp) {
     let limits = &routed.limits;
     let renew_at = Timestamp(limits.renewed_at.load(Ordering::Relaxed)).deadline_after(RENEW_TIME);
     if !limits.is_known.load(Ordering::Relaxed) || !renew_at.is_past(now) {
@@ -129,7 +129,7 @@
 }
 
 /// Forgets limits of endpoints that are gone.
-pub(crate) fn expire(routed: &RoutedInterface, now: Timestamp) {
+pub(crate) fn expire(routed: &RoutedState, now: Timestamp) {
     if !routed.limits.is_known.load(Ordering::Relaxed) {
         return;
     }
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -37,7 +37,7 @@
 const FEWEST_ENTRIES: usize = 9;
 
 /// The edges of such an entry.
-pub struct RoutedEdges {
+pub struct RoutedAdapters {
     /// Settings beside those of every entry.
     pub settings: RoutedSettings,
     /// The callers' protocol.
@@ -55,7 +55,7 @@
 }
 
 /// State of such an entry.
-pub(crate) struct RoutedInterface {
+pub(crate) struct RoutedState {
     /// Settings.
     pub(crate) settings: RoutedSettings,
     /// The callers' protocol.
@@ -107,21 +107,21 @@
     pub(crate) limit: u32,
 }
 
-impl RoutedInterface {
+impl RoutedState {
     /// The state of a process that has just started.
-    pub(crate) fn new(edges: RoutedEdges) -> Self {
+    pub(crate) fn new(adapters: RoutedAdapters) -> Self {
         let overlay = Overlay::default();
         let limits = Arc::new(LimitWatch::new(overlay.waker()));
-        let mut listing = EndpointListing::new(edges.settings.list_heartbeat_ms);
+        let mut listing = EndpointListing::new(adapters.settings.list_heartbeat_ms);
         // The first read of the table is under way as soon as the process runs.
         listing.begin_asking(Timestamp::now());
         Self {
             listing: Mutex::new(listing),
-            settings: edges.settings,
-            callers: edges.callers,
-            direct: Arc::new(DirectClient::new(edges.endpoints, limits.clone())),
-            operators: edges.operators,
-            list: edges.list,
+            settings: adapters.settings,
+            callers: adapters.callers,
+            direct: Arc::new(DirectClient::new(adapters.endpoints, limits.clone())),
+            operators: adapters.operators,
+            list: adapters.list,
             index: ArcSwapOption::empty(),
             versions: ArcSwap::default(),
             manifests: ManifestCache::default(),
@@ -159,7 +159,7 @@
     }
 
     /// Takes up the routes and keys of the preset that is in force from now on.
-    pub(crate) fn take_preset(&self, preset: &ForcedPreset) {
+    pub(crate) fn apply_preset(&self, preset: &ForcedPreset) {
         let table = preset.content.callers.clone();
         self.index.store(table.map(|table| Arc::new(CallerIndex::new(table))));
     }
@@ -180,7 +180,7 @@
     }
 
     /// Takes in a named version; true if it or its manifest was not known.
-    pub(crate) fn offer_version(&self, named: &NamedVersion) -> bool {
+    pub(crate) fn add_version(&self, named: &NamedVersion) -> bool {
         let span = Duration::from_millis(self.settings.version_ms);
         let now = Timestamp::now();
         let mut is_new = false;
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -30,7 +30,7 @@
     },
     inner::serve_inner,
     metrics::EntryMetrics,
-    routed::{RoutedEdges, RoutedInterface},
+    routed::{RoutedAdapters, RoutedState},
     shared::EntryShared,
 };
 
@@ -64,18 +64,18 @@
 /// Runs until the process is asked to stop; then drains.
 pub(crate) async fn serve(
     settings: EntrySettings,
-    edges: Option<RoutedEdges>,
+    adapters: Option<RoutedAdapters>,
 ) -> anyhow::Result<()> {
     let mut signals = TerminationSignals::listen()?;
     // Every address is taken before anything else begins: an entry that finds
     // one in use ends without having told anyone that it is there.
-    let listeners = EntryListeners::bind(&settings.listen, edges.as_ref()).await?;
+    let listeners = EntryListeners::bind(&settings.listen, adapters.as_ref()).await?;
     let registry = Registry::new();
     let metrics = EntryMetrics::register(&registry)?;
     TRAFFIC.register(&registry)?;
     ORIGIN_METRICS.register(&registry)?;
 
-    let shared = build_shared(settings, edges, metrics);
+    let shared = build_shared(settings, adapters, metrics);
     let (trigger, shutdown) = ShutdownTrigger::new();
     let (caller_trigger, caller_shutdown) = ShutdownTrigger::new();
     let ready = shared.clone();
@@ -112,11 +112,11 @@
 }
 
 impl EntryListeners {
-    async fn bind(listen: &EntryListen, edges: Option<&RoutedEdges>) -> anyhow::Result<Self> {
-        let routed = match edges {
-            Some(edges) => Some(RoutedListeners {
-                ready: bind(edges.settings.listen_ready, "listen.ready").await?,
-                advice: bind(edges.settings.listen_advice, "listen.directory").await?,
+    async fn bind(listen: &EntryListen, adapters: Option<&RoutedAdapters>) -> anyhow::Result<Self> {
+        let routed = match adapters {
+            Some(adapters) => Some(RoutedListeners {
+                ready: bind(adapters.settings.listen_ready, "listen.ready").await?,
+                advice: bind(adapters.settings.listen_advice, "listen.directory").await?,
             }),
             None => None,
         };
@@ -132,12 +132,12 @@
 
 fn build_shared(
     settings: EntrySettings,
-    edges: Option<RoutedEdges>,
+    adapters: Option<RoutedAdapters>,
     metrics: EntryMetrics,
 ) -> Arc<EntryShared> {
-    if let Some(edges) = edges {
-        let (table, origin) = (edges.table.clone(), edges.origin.clone());
-        let routed = Arc::new(RoutedInterface::new(edges));
+    if let Some(adapters) = adapters {
+        let (table, origin) = (adapters.table.clone(), adapters.origin.clone());
+        let routed = Arc::new(RoutedState::new(adapters));
         return Arc::new(EntryShared::new(settings, table, origin, metrics, Some(routed)));
     }
     let client = HttpClient::default();
@@ -160,7 +160,7 @@
 }
 
 /// Follows the platform's tables, where they can be followed.
-fn follow_feeds(shared: &Arc<EntryShared>, routed: &Arc<RoutedInterface>) {
+fn follow_feeds(shared: &Arc<EntryShared>, routed: &Arc<RoutedState>) {
     spawn(operators::follow_operators(shared.clone(), routed.clone())).detach();
     spawn(listing::follow_listing(shared.clone(), routed.clone())).detach();
     spawn(manifests::pin_versions(shared.clone(), routed.clone())).detach();
@@ -187,16 +187,18 @@
 /// Answers the platform, and callers that ask which entries to use.
 fn start_routed(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
+    routed: &Arc<RoutedState>,
     listeners: RoutedListeners,
     shutdown: &ShutdownSignal,
 ) {
     let limits = ListenerLimits::default();
-    let (state, interface) = (shared.clone(), routed.clone());
-    let ready = move |request, _| caller::answer_ready(state.clone(), interface.clone(), request);
+    let (state, routed_state) = (shared.clone(), routed.clone());
+    let ready =
+        move |request, _| caller::answer_ready(state.clone(), routed_state.clone(), request);
     spawn(serve_http(listeners.ready, limits, shutdown.clone(), ready)).detach();
-    let (state, interface) = (shared.clone(), routed.clone());
-    let advice = move |request, _| caller::answer_advice(state.clone(), interface.clone(), request);
+    let (state, routed_state) = (shared.clone(), routed.clone());
+    let advice =
+        move |request, _| caller::answer_advice(state.clone(), routed_state.clone(), request);
     spawn(serve_http(listeners.advice, limits, shutdown.clone(), advice)).detach();
 }
 
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -29,7 +29,7 @@
     counters::CounterRegistry,
     link::AgentLink,
     metrics::EntryMetrics,
-    routed::{RoutedInterface, direct_candidates, reports_by_endpoint},
+    routed::{RoutedState, direct_candidates, reports_by_endpoint},
 };
 
 /// Longest time for which an entry that starts waits for every source of presets.
@@ -72,7 +72,7 @@
     /// Progress of services towards their versions, for forecasts.
     pub(crate) progress: Mutex<ProgressMarks>,
     /// What the entry has where callers are routed by a table.
-    pub(crate) routed: Option<Arc<RoutedInterface>>,
+    pub(crate) routed: Option<Arc<RoutedState>>,
     retries: Arc<RetryBudget>,
     /// Requests of callers in progress.
     pub(crate) in_flight: AtomicU32,
@@ -96,7 +96,7 @@
         table: Arc<dyn TableStore>,
         origin: Arc<dyn WeightSource>,
         metrics: EntryMetrics,
-        routed: Option<Arc<RoutedInterface>>,
+        routed: Option<Arc<RoutedState>>,
     ) -> Self {
         let now = Timestamp::now();
         // Where the operators' rows can be followed, the first read of them is
@@ -303,7 +303,7 @@
     fn publish(&self, preset: &Arc<ForcedPreset>) {
         let revision = preset.revision.0;
         if let Some(routed) = &self.routed {
-            routed.take_preset(preset);
+            routed.apply_preset(preset);
         }
         self.active_preset.store(Some(preset.clone()));
         if self.routed.is_some() {
@@ -443,7 +443,7 @@
     /// Endpoints that the platform lists, as far as they serve.
     fn listed_candidates(
         &self,
-        routed: &RoutedInterface,
+        routed: &RoutedState,
         roster: &EndpointRoster,
         counters: &mut CounterRegistry,
     ) -> ServiceCandidates {
