--- a/crates/entry/src/caller/lost.rs
+++ b/crates/entry/src/caller/lost.rs
@@ -87,9 +87,9 @@
     let row = CrashRow { digest, event, age_ms: now.since(at).as_millis() as u32 };
     let mut state = routed.overlay.lock();
     if state.crashes.note(row, None, now) {
-        routed.crashes.learn(&state.crashes, &[row], None);
+        routed.crashes.apply_rows(&state.crashes, &[row], None);
         drop(state);
-        routed.overlay.note_change();
+        routed.overlay.notify_change();
     }
 }
 
@@ -154,7 +154,7 @@
                 return Ok(None);
             }
             Some(verdict) if verdict.turn_at(rank, entries).is_past(now) => {
-                if let Some(run) = routed.crashes.begin_suspect(digest) {
+                if let Some(run) = routed.crashes.begin_suspect_run(digest) {
                     note(routed, digest, CrashEvent::Begun, now);
                     return Ok(Some(run));
                 }
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -16,7 +16,7 @@
 use smol::Timer;
 
 use crate::{
-    limits::renew_paces,
+    limits::update_paces,
     overlay::{OverlayState, is_far},
     routed::RoutedState,
     shared::EntryShared,
@@ -73,7 +73,7 @@
     loop {
         timeout(LOOK_TIME, routed.overlay.changed()).await;
         refresh_own(&shared, &routed);
-        renew_paces(&shared, &routed, Timestamp::now());
+        update_paces(&shared, &routed, Timestamp::now());
         let sent = send_news(&shared, &routed, Timestamp::now());
         let span = if sent > MANY_ITEMS { LONG_BATCH_TIME } else { BATCH_TIME };
         Timer::after(span).await;
@@ -135,7 +135,7 @@
     for link in &mut routed.overlay.lock().links {
         link.loads_at = Deadline(0);
     }
-    routed.overlay.note_change();
+    routed.overlay.notify_change();
 }
 
 /// Renews the own record if something in it has changed.
@@ -170,7 +170,7 @@
         let record = EntryRecord { sequence: record.sequence + 1, ..record };
         state.store.merge_record(record, None, now);
         state.renewed_at = Some(now);
-        routed.overlay.note_change();
+        routed.overlay.notify_change();
     }
     drop(state);
     refresh_membership(shared, routed);
@@ -216,13 +216,13 @@
     loads.retain(|row| state.store.merge_load(*row, step_ms, Some(source), now));
     let mut crashes = news.crashes;
     crashes.retain(|row| state.crashes.note(*row, Some(source), now));
-    routed.crashes.learn(&state.crashes, &crashes, Some(source));
+    routed.crashes.apply_rows(&state.crashes, &crashes, Some(source));
     drop(state);
     let mut limits = news.limits;
-    limits.retain(|row| routed.limits.note(*row, source, now));
+    limits.retain(|row| routed.limits.merge_row(*row, source, now));
     let is_news = !reports.is_empty() || !crashes.is_empty() || !limits.is_empty();
     if membership_changed || is_news {
-        routed.overlay.note_change();
+        routed.overlay.notify_change();
     }
     apply_reports(shared, reports, now);
     if membership_changed {
@@ -279,7 +279,7 @@
     }
     if state.store.merge_report(report.clone(), None, Timestamp::now()) {
         drop(state);
-        routed.overlay.note_change();
+        routed.overlay.notify_change();
     }
 }
 
--- a/crates/entry/src/control/links.rs
+++ b/crates/entry/src/control/links.rs
@@ -74,7 +74,7 @@
     let mut state = routed.overlay.lock();
     state.expire(&shared.settings.place.instance, now);
     if state.crashes.expire(now) {
-        routed.crashes.renew(&state.crashes);
+        routed.crashes.refresh(&state.crashes);
     }
     let reported: BTreeSet<_> =
         state.store.reports().map(|report| report.instance.clone()).collect();
@@ -199,7 +199,7 @@
     let number = routed.overlay.lock().add_link(sender.clone(), other.instance.clone(), dialled);
     greet(routed, &sender);
     gossip::refresh_own(shared, routed);
-    routed.overlay.note_change();
+    routed.overlay.notify_change();
     while let Some(Ok(message)) = timeout(silence, receiver.recv()).await {
         if let WireMessage::Control(message) = message {
             handle(shared, routed, &sender, (number, &other), message);
--- a/crates/entry/src/control/quarantine.rs
+++ b/crates/entry/src/control/quarantine.rs
@@ -29,10 +29,10 @@
     let (mut is_read, mut is_due) = (false, false);
     loop {
         if is_read && !is_due {
-            routed.crashes.barred().await;
+            routed.crashes.await_own_barred().await;
             is_due = true;
         } else {
-            is_due |= timeout(TRY_TIME, routed.crashes.barred()).await.is_some();
+            is_due |= timeout(TRY_TIME, routed.crashes.await_own_barred()).await.is_some();
         }
         if !is_read && read_at.is_past(Timestamp::now()) {
             is_read = routed.row_duty() != RowDuty::Follow || read_bars(&shared, &routed).await;
@@ -61,9 +61,9 @@
     let mut rows: Vec<_> = rows.collect();
     let mut state = routed.overlay.lock();
     rows.retain(|row| state.crashes.note(*row, None, now));
-    routed.crashes.learn(&state.crashes, &rows, None);
+    routed.crashes.apply_rows(&state.crashes, &rows, None);
     drop(state);
-    routed.overlay.note_change();
+    routed.overlay.notify_change();
     true
 }
 
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -15,34 +15,34 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 /// Verdicts on requests, and runs of suspects that this entry has under way.
-pub(crate) struct CrashWatch {
+pub(crate) struct CrashTracker {
     verdicts: ArcSwap<HashMap<RequestDigest, CrashVerdict>>,
     running: Mutex<HashSet<RequestDigest>>,
-    barred: (Sender<()>, Receiver<()>),
+    own_barred: (Sender<()>, Receiver<()>),
 }
 
 /// The only run of a suspect at this entry, until it is dropped.
 pub(crate) struct SuspectRun {
-    watch: Arc<CrashWatch>,
+    tracker: Arc<CrashTracker>,
     digest: RequestDigest,
 }
 
 impl Drop for SuspectRun {
     fn drop(&mut self) {
-        self.watch.running().remove(&self.digest);
+        self.tracker.running().remove(&self.digest);
     }
 }
 
-impl Default for CrashWatch {
+impl Default for CrashTracker {
     fn default() -> Self {
-        Self { verdicts: ArcSwap::default(), running: Mutex::default(), barred: bounded(1) }
+        Self { verdicts: ArcSwap::default(), running: Mutex::default(), own_barred: bounded(1) }
     }
 }
 
-impl CrashWatch {
+impl CrashTracker {
     /// Completes when an own run has had a request barred.
-    pub(crate) async fn barred(&self) {
-        let _ = self.barred.1.recv().await;
+    pub(crate) async fn await_own_barred(&self) {
+        let _ = self.own_barred.1.recv().await;
     }
 
     /// Whether nothing speaks against any request.
@@ -57,29 +57,34 @@
 
     /// Takes up the verdicts of `book` after it has learned `rows`, from a neighbour over
     /// the link `source` or from an own run.
-    pub(crate) fn learn(&self, book: &CrashBook, rows: &[CrashRow], source: Option<LinkNumber>) {
+    pub(crate) fn apply_rows(
+        &self,
+        book: &CrashBook,
+        rows: &[CrashRow],
+        source: Option<LinkNumber>,
+    ) {
         if rows.is_empty() {
             return;
         }
-        self.renew(book);
+        self.refresh(book);
         for row in rows {
             let verdict = book.verdict(row.digest);
             log_row(row, verdict, source);
             if source.is_none() && matches!(verdict, CrashVerdict::Barred { .. }) {
-                let _ = self.barred.0.try_send(());
+                let _ = self.own_barred.0.try_send(());
             }
         }
     }
 
     /// Takes up the verdicts of `book`.
-    pub(crate) fn renew(&self, book: &CrashBook) {
+    pub(crate) fn refresh(&self, book: &CrashBook) {
         self.verdicts.store(Arc::new(book.verdicts()));
     }
 
     /// Begins a run of a suspect; none while another one is under way here.
-    pub(crate) fn begin_suspect(self: &Arc<Self>, digest: RequestDigest) -> Option<SuspectRun> {
+    pub(crate) fn begin_suspect_run(self: &Arc<Self>, digest: RequestDigest) -> Option<SuspectRun> {
         let begins = self.running().insert(digest);
-        begins.then(|| SuspectRun { watch: self.clone(), digest })
+        begins.then(|| SuspectRun { tracker: self.clone(), digest })
     }
 
     fn running(&self) -> MutexGuard<'_, HashSet<RequestDigest>> {
--- a/crates/entry/src/direct.rs
+++ b/crates/entry/src/direct.rs
@@ -18,7 +18,7 @@
 use hyper::{HeaderMap, Request, Response, StatusCode, body::Incoming, http::response::Parts};
 
 use self::pool::{ConnectionPool, EndpointConnection};
-use crate::limits::LimitWatch;
+use crate::limits::LimitTracker;
 
 /// Largest body of a refusal that is read for the sake of its connection, in bytes.
 const REFUSAL_BYTES: usize = 16 << 10;
@@ -26,7 +26,7 @@
 /// The client of endpoints.
 pub(crate) struct DirectClient {
     protocol: Arc<dyn EndpointProtocol>,
-    limits: Arc<LimitWatch>,
+    limits: Arc<LimitTracker>,
     pool: ConnectionPool,
 }
 
@@ -69,7 +69,7 @@
 
 impl DirectClient {
     /// A client without connections.
-    pub(crate) fn new(protocol: Arc<dyn EndpointProtocol>, limits: Arc<LimitWatch>) -> Self {
+    pub(crate) fn new(protocol: Arc<dyn EndpointProtocol>, limits: Arc<LimitTracker>) -> Self {
         Self { protocol, limits, pool: ConnectionPool::default() }
     }
 
@@ -93,7 +93,7 @@
         let marks = self.protocol.read_marks(&parts);
         // A refusal may come from another process, or from one that has not looked at its limit.
         if marks.limit.is_some() || !marks.not_run {
-            self.limits.hear(target.instance, marks.limit);
+            self.limits.observe(target.instance, marks.limit);
         }
         let stream = DirectStream {
             body,
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -24,29 +24,29 @@
 const RENEW_TIME: Duration = Duration::from_millis(100);
 
 /// Limits that endpoints name.
-pub(crate) struct LimitWatch {
+pub(crate) struct LimitTracker {
     book: Mutex<LimitBook>,
     is_known: AtomicBool,
     /// When paces were set last, in milliseconds.
-    renewed_at: AtomicU64,
+    paced_at: AtomicU64,
     /// Wakes the task that sends news to neighbours and sets paces.
     waker: Sender<()>,
 }
 
-impl LimitWatch {
+impl LimitTracker {
     /// No limits; `waker` wakes the task that sends news to neighbours.
     pub(crate) fn new(waker: Sender<()>) -> Self {
         Self {
             book: Mutex::default(),
             is_known: AtomicBool::new(false),
-            renewed_at: AtomicU64::new(0),
+            paced_at: AtomicU64::new(0),
             waker,
         }
     }
 
-    fn note_change(&self) {
+    fn notify_change(&self) {
         self.is_known.store(true, Ordering::Relaxed);
-        self.renewed_at.store(0, Ordering::Relaxed);
+        self.paced_at.store(0, Ordering::Relaxed);
         let _ = self.waker.try_send(());
     }
 
@@ -56,13 +56,13 @@
     }
 
     /// Takes in the limit of an answer of `instance`.
-    pub(crate) fn hear(&self, instance: &InstanceId, limit: Option<NamedLimit>) {
+    pub(crate) fn observe(&self, instance: &InstanceId, limit: Option<NamedLimit>) {
         if limit.is_none() && !self.is_known.load(Ordering::Relaxed) {
             return;
         }
         let is_news = self.book().hear(subject_of(instance.as_str()), limit, Timestamp::now());
         if is_news {
-            self.note_change();
+            self.notify_change();
             match limit {
                 Some(limit) => {
                     log::info!(target: "limit", endpoint:% = instance, rate = limit.rate(); "An endpoint names a limit.");
@@ -75,14 +75,14 @@
     }
 
     /// Takes in a row of a neighbour; true if it is newer than what is known.
-    pub(crate) fn note(&self, row: LimitRow, source: u64, now: Timestamp) -> bool {
+    pub(crate) fn merge_row(&self, row: LimitRow, source: u64, now: Timestamp) -> bool {
         let mut book = self.book();
         let before = book.named();
         let is_news = book.note(row, source, now);
         let named = book.named();
         drop(book);
         if is_news {
-            self.note_change();
+            self.notify_change();
         }
         if named != before {
             log::info!(target: "limit", endpoint = row.endpoint, state:? = row.state, age_ms = row.age_ms, named = named; "Learned of a limit.");
@@ -92,13 +92,13 @@
 }
 
 /// Sets the pace of each endpoint that names a limit, or did so a moment ago.
-pub(crate) fn renew_paces(shared: &EntryShared, routed: &RoutedState, now: Timestamp) {
+pub(crate) fn update_paces(shared: &EntryShared, routed: &RoutedState, now: Timestamp) {
     let limits = &routed.limits;
-    let renew_at = Timestamp(limits.renewed_at.load(Ordering::Relaxed)).deadline_after(RENEW_TIME);
+    let renew_at = Timestamp(limits.paced_at.load(Ordering::Relaxed)).deadline_after(RENEW_TIME);
     if !limits.is_known.load(Ordering::Relaxed) || !renew_at.is_past(now) {
         return;
     }
-    limits.renewed_at.store(now.0, Ordering::Relaxed);
+    limits.paced_at.store(now.0, Ordering::Relaxed);
     let own = &shared.settings.place.instance;
     let state = routed.overlay.lock();
     let present = state.present(own);
--- a/crates/entry/src/overlay.rs
+++ b/crates/entry/src/overlay.rs
@@ -77,16 +77,16 @@
     }
 
     /// Has what changed sent to the neighbours.
-    pub(crate) fn note_change(&self) {
+    pub(crate) fn notify_change(&self) {
         let _ = self.changed.0.try_send(());
     }
 
-    /// What a message to has the same effect as [`Self::note_change`].
+    /// What a message to has the same effect as [`Self::notify_change`].
     pub(crate) fn waker(&self) -> Sender<()> {
         self.changed.0.clone()
     }
 
-    /// Completes after the next [`Self::note_change`].
+    /// Completes after the next [`Self::notify_change`].
     pub(crate) async fn changed(&self) {
         let _ = self.changed.1.recv().await;
     }
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -27,8 +27,8 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 use crate::{
-    control::manifest_cache::ManifestCache, crashes::CrashWatch, direct::DirectClient,
-    limits::LimitWatch, overlay::Overlay,
+    control::manifest_cache::ManifestCache, crashes::CrashTracker, direct::DirectClient,
+    limits::LimitTracker, overlay::Overlay,
 };
 
 /// Entries among which the retries of a service are shared at least.
@@ -81,9 +81,9 @@
     /// Links to other entries.
     pub(crate) overlay: Overlay,
     /// Limits that endpoints name.
-    pub(crate) limits: Arc<LimitWatch>,
+    pub(crate) limits: Arc<LimitTracker>,
     /// Requests under which endpoints have ended.
-    pub(crate) crashes: Arc<CrashWatch>,
+    pub(crate) crashes: Arc<CrashTracker>,
     /// Cells of endpoints by the hashes of their agents; read without a lock.
     pub(crate) counters_by_agent: ArcSwap<HashMap<u64, Arc<EndpointCell>>>,
     budgets: ArcSwap<HashMap<ServiceName, Arc<RetryBudget>>>,
@@ -111,7 +111,7 @@
     /// The state of a process that has just started.
     pub(crate) fn new(adapters: RoutedAdapters) -> Self {
         let overlay = Overlay::default();
-        let limits = Arc::new(LimitWatch::new(overlay.waker()));
+        let limits = Arc::new(LimitTracker::new(overlay.waker()));
         let mut listing = EndpointListing::new(adapters.settings.list_heartbeat_ms);
         // The first read of the table is under way as soon as the process runs.
         listing.begin_asking(Timestamp::now());
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -338,7 +338,7 @@
         // was noticed; without this look it would vanish until its next report.
         if let Some(routed) = &self.routed {
             // Another entry may still be connected to the agent.
-            routed.overlay.note_change();
+            routed.overlay.notify_change();
         } else if !self.links.load().contains_key(&link.instance) {
             self.roster().forget(&link.instance, link.incarnation);
             self.rebuild_routes();
