--- a/crates/entry/src/control/entries.rs
+++ b/crates/entry/src/control/entries.rs
@@ -23,7 +23,7 @@
         match write_and_scan(&shared).await {
             Ok(places) => {
                 watch.regained();
-                routed.overlay.lock().note_entries(places.into_iter());
+                routed.overlay.lock().add_known_entries(places.into_iter());
                 return;
             }
             Err(error) => watch.lost(&error),
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     limits::update_paces,
-    overlay::{OverlayState, is_far},
+    overlay::{OverlayState, is_in_other_region},
     routed::RoutedState,
     shared::EntryShared,
 };
@@ -115,8 +115,9 @@
         let mut loads_at = link.loads_at;
         if loads_are_due {
             (news.loads, mark) = store.loads_since(mark, link.number, now);
-            let is_far = is_far(store, &link.instance, &shared.settings.place.region);
-            let span = if is_far { FAR_LOAD_TIME } else { NEAR_LOAD_TIME };
+            let is_in_other_region =
+                is_in_other_region(store, &link.instance, &shared.settings.place.region);
+            let span = if is_in_other_region { FAR_LOAD_TIME } else { NEAR_LOAD_TIME };
             loads_at = now.deadline_after(span);
         }
         // What a full queue does not take is sent with the next message.
@@ -200,7 +201,7 @@
     for record in news.records.into_iter().filter(|record| record.instance != *own) {
         let place = (record.inner_addr, Some(record.region.clone()));
         if state.store.merge_record(record, Some(source), now) {
-            state.note_entries(std::iter::once(place));
+            state.add_known_entries(std::iter::once(place));
             membership_changed = true;
         }
     }
@@ -210,8 +211,8 @@
             reports.push(report);
         }
     }
-    let is_far = state.is_far(source, &shared.settings.place.region);
-    let step_ms = if is_far { FAR_STEP_MS } else { NEAR_STEP_MS };
+    let is_in_other_region = state.is_in_other_region(source, &shared.settings.place.region);
+    let step_ms = if is_in_other_region { FAR_STEP_MS } else { NEAR_STEP_MS };
     let mut loads = news.loads;
     loads.retain(|row| state.store.merge_load(*row, step_ms, Some(source), now));
     let mut crashes = news.crashes;
--- a/crates/entry/src/control/links.rs
+++ b/crates/entry/src/control/links.rs
@@ -17,7 +17,7 @@
 use smol::{Task, Timer};
 
 use super::{gossip, listing, spread};
-use crate::{limits, overlay::entries_for, routed::RoutedState, shared::EntryShared};
+use crate::{limits, overlay::entry_addrs_for, routed::RoutedState, shared::EntryShared};
 
 /// Time between looks whether links are to be made or ended.
 const LOOK_TIME: Duration = Duration::from_millis(150);
@@ -49,7 +49,7 @@
 /// Keeps the chosen links up, for ever.
 pub(crate) async fn keep_links(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     let seeds = shared.settings.peers.iter().map(|seed| (*seed, None));
-    routed.overlay.lock().note_entries(seeds);
+    routed.overlay.lock().add_known_entries(seeds);
     let mut kept = KeptLinks::default();
     let mut repeat_at = Timestamp::now().deadline_after(REPEAT_TIME);
     let mut expire_at = Timestamp::now().deadline_after(EXPIRE_TIME);
@@ -124,7 +124,7 @@
         let regions: BTreeSet<_> = agents.iter().map(|(region, _)| region.clone()).collect();
         let lists: BTreeMap<_, _> = regions
             .into_iter()
-            .map(|region| (region.clone(), entries_for(&present, &region)))
+            .map(|region| (region.clone(), entry_addrs_for(&present, &region)))
             .collect();
         drop(state);
         for (region, link) in agents {
@@ -147,7 +147,7 @@
     let mut chosen = chosen_links(&own, &candidates);
     if state.links.is_empty() {
         // The regions of entries from the settings are not known before they are linked.
-        chosen.extend(state.unplaced().into_iter().filter(|addr| *addr != own.inner_addr));
+        chosen.extend(state.without_region().into_iter().filter(|addr| *addr != own.inner_addr));
     }
     chosen
 }
@@ -225,7 +225,7 @@
             spread::pull_from(shared, routed, sender, &other.instance, revision);
         }
         ControlMessage::Flood(message) => {
-            if routed.overlay.relay(&message, number) {
+            if routed.overlay.forward_flood(&message, number) {
                 spread::handle_peer(shared, sender, message.content);
             }
         }
--- a/crates/entry/src/inner.rs
+++ b/crates/entry/src/inner.rs
@@ -15,7 +15,7 @@
 use crate::{
     control::{gossip, links, manifests, orders, spread},
     link::AgentLink,
-    overlay::entries_for,
+    overlay::entry_addrs_for,
     shared::EntryShared,
 };
 
@@ -126,7 +126,7 @@
     };
     let state = routed.overlay.lock();
     let present = state.present(&shared.settings.place.instance);
-    let _ = link.sender.try_send(ControlMessage::Entries(entries_for(&present, region)));
+    let _ = link.sender.try_send(ControlMessage::Entries(entry_addrs_for(&present, region)));
 }
 
 /// Asks an agent of another region for fewer loads.
--- a/crates/entry/src/overlay.rs
+++ b/crates/entry/src/overlay.rs
@@ -39,7 +39,7 @@
     avoided: HashMap<SocketAddr, Deadline>,
     /// When the own record was renewed last.
     pub(crate) renewed_at: Option<Timestamp>,
-    flooded: FloodFilter,
+    seen_floods: FloodFilter,
     flood_number: u64,
     link_number: LinkNumber,
 }
@@ -96,9 +96,9 @@
         let mut state = self.lock();
         state.flood_number += 1;
         let number = state.flood_number;
-        state.flooded.note(origin, incarnation, number);
+        state.seen_floods.note(origin, incarnation, number);
         let message = FloodMessage { origin: origin.clone(), incarnation, number, content };
-        state.pass_on(&message, None);
+        state.send_flood(&message, None);
     }
 
     /// Sends `message` to every neighbour.
@@ -111,18 +111,18 @@
     }
 
     /// Passes a message on; false if that was done already.
-    pub(crate) fn relay(&self, message: &FloodMessage, source: LinkNumber) -> bool {
+    pub(crate) fn forward_flood(&self, message: &FloodMessage, source: LinkNumber) -> bool {
         let mut state = self.lock();
-        let is_news = state.flooded.note(&message.origin, message.incarnation, message.number);
+        let is_news = state.seen_floods.note(&message.origin, message.incarnation, message.number);
         if is_news {
-            state.pass_on(message, Some(source));
+            state.send_flood(message, Some(source));
         }
         is_news
     }
 }
 
 impl OverlayState {
-    fn pass_on(&self, message: &FloodMessage, source: Option<LinkNumber>) {
+    fn send_flood(&self, message: &FloodMessage, source: Option<LinkNumber>) {
         for link in self.links.iter().filter(|link| Some(link.number) != source) {
             let message = ControlMessage::Flood(Box::new(message.clone()));
             if let Ok(false) = link.sender.try_send(message) {
@@ -132,9 +132,9 @@
     }
 
     /// Whether the entry at the other end of a link stands in another region than `own`.
-    pub(crate) fn is_far(&self, number: LinkNumber, own: &RegionName) -> bool {
+    pub(crate) fn is_in_other_region(&self, number: LinkNumber, own: &RegionName) -> bool {
         let link = self.links.iter().find(|link| link.number == number);
-        link.is_some_and(|link| is_far(&self.store, &link.instance, own))
+        link.is_some_and(|link| is_in_other_region(&self.store, &link.instance, own))
     }
 
     /// Adds a link; its number.
@@ -182,7 +182,7 @@
     }
 
     /// Notes the addresses of entries, and their regions where these are known.
-    pub(crate) fn note_entries(
+    pub(crate) fn add_known_entries(
         &mut self,
         places: impl Iterator<Item = (SocketAddr, Option<RegionName>)>,
     ) {
@@ -198,9 +198,9 @@
     }
 
     /// Addresses without a known region, such as those of the settings.
-    pub(crate) fn unplaced(&self) -> Vec<SocketAddr> {
-        let unplaced = self.known.iter().filter(|(_, region)| region.is_none());
-        unplaced.map(|(addr, _)| *addr).collect()
+    pub(crate) fn without_region(&self) -> Vec<SocketAddr> {
+        let without_region = self.known.iter().filter(|(_, region)| region.is_none());
+        without_region.map(|(addr, _)| *addr).collect()
     }
 
     /// Entries that links may be made to.
@@ -234,20 +234,24 @@
             .collect();
         self.store.expire(now, |instance| names.contains(instance));
         let store = &self.store;
-        self.flooded.keep_only(|origin| store.record(origin).is_some());
+        self.seen_floods.keep_only(|origin| store.record(origin).is_some());
         self.avoided.retain(|_, until| !until.is_past(now));
     }
 }
 
 /// Whether the entry at `instance` is known to stand in another region than `own`.
-pub(crate) fn is_far(store: &GossipStore, instance: &InstanceId, own: &RegionName) -> bool {
+pub(crate) fn is_in_other_region(
+    store: &GossipStore,
+    instance: &InstanceId,
+    own: &RegionName,
+) -> bool {
     store.record(instance).is_some_and(|record| record.region != *own)
 }
 
 /// The inner addresses that an agent of `region` may connect to.
 ///
 /// Those of its region; all of them where it has none.
-pub(crate) fn entries_for(present: &[&EntryRecord], region: &RegionName) -> Vec<SocketAddr> {
+pub(crate) fn entry_addrs_for(present: &[&EntryRecord], region: &RegionName) -> Vec<SocketAddr> {
     let staying = present.iter().filter(|record| !record.leaving);
     near_or_all(region, staying.map(|record| (record.inner_addr, Some(&record.region))))
 }
