--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -21,9 +21,8 @@
 
 use crate::{
     control::{
-        ahead,
         change::{self, ChangeReply},
-        drains,
+        drains, staging,
     },
     shared::EntryShared,
 };
@@ -213,7 +212,7 @@
 
 async fn stage(shared: &EntryShared, operator: &OperatorName, name: &str) -> AdminReply {
     let name = text_id("the preset name", name)?;
-    let staged = ahead::stage_preset(shared, &name, operator).await.map_err(failed)?;
+    let staged = staging::stage_preset(shared, &name, operator).await.map_err(failed)?;
     Ok(json_reply(StatusCode::OK, &staged))
 }
 
--- a/crates/entry/src/admin/status.rs
+++ b/crates/entry/src/admin/status.rs
@@ -10,7 +10,7 @@
 
 use super::progress::{StageProgress, stage_progress};
 use crate::{
-    control::{ahead::staged_now, store::StoreHealth},
+    control::{staging::current_staging, store::StoreHealth},
     shared::EntryShared,
 };
 
@@ -30,7 +30,7 @@
     /// Entries and endpoints that have not adopted the revision yet.
     pub(crate) behind: Vec<InstanceId>,
     /// The preset that is staged ahead, if there is one.
-    pub(crate) ahead: Option<AheadStatus>,
+    pub(crate) ahead: Option<StagingStatus>,
     /// Milliseconds since the table service last answered; none if it never did.
     pub(crate) store_age_ms: Option<u64>,
     /// How the table service has answered lately.
@@ -39,7 +39,7 @@
 
 /// A preset that is staged ahead.
 #[apply(record!)]
-pub(crate) struct AheadStatus {
+pub(crate) struct StagingStatus {
     /// The preset.
     pub(crate) preset: PresetName,
     /// When it was staged.
@@ -100,7 +100,7 @@
         preset: force.map(|preset| preset.preset.clone()),
         revision,
         behind: behind(revision, &entries, &endpoints),
-        ahead: ahead_status(shared, &endpoints),
+        ahead: staging_status(shared, &endpoints),
         entries,
         services,
         endpoints,
@@ -121,13 +121,13 @@
     older.map(|(instance, _)| instance.clone()).collect()
 }
 
-fn ahead_status(shared: &EntryShared, endpoints: &[EndpointStatus]) -> Option<AheadStatus> {
-    let ahead = &staged_now(shared)?.staged;
+fn staging_status(shared: &EntryShared, endpoints: &[EndpointStatus]) -> Option<StagingStatus> {
+    let ahead = &current_staging(shared)?.staged;
     let services = ahead.content.services.iter().filter_map(|(name, target)| {
         Some((name.clone(), progress_of(shared, name, target, endpoints)?))
     });
     let (preset, staged_at) = (ahead.preset.clone(), ahead.staged_at);
-    Some(AheadStatus { preset, staged_at, services: services.collect() })
+    Some(StagingStatus { preset, staged_at, services: services.collect() })
 }
 
 fn progress_of(
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -1,12 +1,11 @@
 //! Presets, heartbeats and membership at an entry.
 
-pub(crate) mod ahead;
 pub(crate) mod change;
+pub(crate) mod chunk_peers;
 pub(crate) mod dependency;
 pub(crate) mod drains;
 pub(crate) mod entries;
 pub(crate) mod gossip;
-pub(crate) mod introduce;
 pub(crate) mod links;
 pub(crate) mod listing;
 pub(crate) mod manifest_cache;
@@ -14,8 +13,9 @@
 pub(crate) mod membership;
 pub(crate) mod operators;
 pub(crate) mod orders;
+pub(crate) mod peers;
 pub(crate) mod poll;
 mod pull;
 pub(crate) mod quarantine;
-pub(crate) mod spread;
+pub(crate) mod staging;
 pub(crate) mod store;
--- a/crates/entry/src/control/change.rs
+++ b/crates/entry/src/control/change.rs
@@ -21,8 +21,8 @@
 use macro_rules_attribute::apply;
 
 use super::{
+    peers,
     poll::{FORCE_ROW, read_force},
-    spread,
 };
 use crate::shared::EntryShared;
 
@@ -228,7 +228,7 @@
 fn reply_of(shared: &EntryShared, change: ChangeId, verdict: ChangeVerdict) -> ChangeReply {
     match verdict {
         ChangeVerdict::Accepted(preset) => {
-            spread::adopt(shared, &preset);
+            peers::adopt(shared, &preset);
             ChangeReply::Accepted { preset }
         }
         ChangeVerdict::Conflict(winner) => ChangeReply::Conflict { winner },
--- a/crates/entry/src/control/introduce.rs
+++ b/crates/entry/src/control/chunk_peers.rs
@@ -26,15 +26,15 @@
 type ServiceAgents = HashMap<ServiceName, Vec<EndpointAddress>>;
 
 /// What an agent was told last, and over which connection.
-struct ToldPeers {
+struct SentPeers {
     link: Arc<AgentLink>,
     peers: Vec<EndpointAddress>,
 }
 
 /// What all agents have been told.
 #[derive(Default)]
-struct FleetWords {
-    told: HashMap<InstanceId, ToldPeers>,
+struct ChunkPeerSender {
+    told: HashMap<InstanceId, SentPeers>,
     known: ServiceAgents,
     /// The state of the roster that the last look was made at.
     looked_at: Option<(u64, usize)>,
@@ -47,15 +47,15 @@
 /// Each agent has the same peers for as long as they live: a new random choice
 /// at every look would cost control traffic and make agents dial each other
 /// again and again in the middle of a transfer.
-pub(crate) async fn introduce_agents(shared: Arc<EntryShared>) {
-    let mut words = FleetWords::default();
+pub(crate) async fn send_chunk_peers(shared: Arc<EntryShared>) {
+    let mut words = ChunkPeerSender::default();
     loop {
         Timer::after(LOOK_TIME).await;
         words.renew(&shared, Timestamp::now());
     }
 }
 
-impl FleetWords {
+impl ChunkPeerSender {
     /// Tells new agents at once, and the others if it is time and something changed.
     fn renew(&mut self, shared: &EntryShared, now: Timestamp) {
         let links = shared.links.load_full();
@@ -97,7 +97,7 @@
         let is_news = last.map_or(!peers.is_empty(), |last| last.peers != peers);
         let message = ControlMessage::Peers(peers.clone());
         if !is_news || matches!(link.sender.try_send(message), Ok(true)) {
-            let last = ToldPeers { link: link.clone(), peers };
+            let last = SentPeers { link: link.clone(), peers };
             self.told.insert(agent.instance.clone(), last);
         }
     }
--- a/crates/entry/src/control/drains.rs
+++ b/crates/entry/src/control/drains.rs
@@ -6,21 +6,21 @@
 use cassiawheel_model::InstanceId;
 use cassiawheel_wire::ControlMessage;
 
-use super::spread;
+use super::peers;
 use crate::shared::EntryShared;
 
 /// Asks the process at `instance` to leave, through the other entries if it is not connected here.
 pub(crate) fn drain_anywhere(shared: &EntryShared, instance: &InstanceId) {
     drain_here(shared, instance);
     let message = ControlMessage::Drain { instance: instance.clone() };
-    spread::send_to_peers(shared, &message);
+    peers::send_to_peers(shared, &message);
 }
 
 /// Asks the process at `instance` to leave if it is this one or connected here.
 pub(crate) fn drain_here(shared: &EntryShared, instance: &InstanceId) {
     if *instance == shared.settings.place.instance {
         log::info!(target: "drain", instance:% = instance; "An operator drains this entry.");
-        spread::announce_leaving(shared);
+        peers::announce_leaving(shared);
         return;
     }
     if let Some(link) = shared.links.load().get(instance) {
--- a/crates/entry/src/control/links.rs
+++ b/crates/entry/src/control/links.rs
@@ -16,7 +16,7 @@
 use rand::Rng;
 use smol::{Task, Timer};
 
-use super::{gossip, listing, spread};
+use super::{gossip, listing, peers};
 use crate::{limits, overlay::entry_addrs_for, routed::RoutedState, shared::EntryShared};
 
 /// Time between looks whether links are to be made or ended.
@@ -165,7 +165,7 @@
     let _ = sender.try_send(shared.hello());
     match timeout(CONNECT_TIME, receiver.recv()).await {
         Some(Ok(WireMessage::Hello(hello))) if hello.kind == ProcessKind::Entry => {
-            converse(&shared, &routed, sender, receiver, hello, Some(addr)).await;
+            serve_link(&shared, &routed, sender, receiver, hello, Some(addr)).await;
         }
         Some(Ok(_) | Err(_)) | None => {
             sender.close();
@@ -183,11 +183,11 @@
     hello: HelloMessage,
 ) {
     let _ = sender.try_send(shared.hello());
-    converse(shared, routed, sender, receiver, hello, None).await;
+    serve_link(shared, routed, sender, receiver, hello, None).await;
 }
 
 /// Takes in what comes over a link until it ends or falls silent.
-async fn converse(
+async fn serve_link(
     shared: &Arc<EntryShared>,
     routed: &Arc<RoutedState>,
     sender: WireSender,
@@ -222,14 +222,14 @@
         ControlMessage::Gossip(news) => {
             let revision = news.revision;
             gossip::merge_news(shared, routed, number, *news);
-            spread::pull_from(shared, routed, sender, &other.instance, revision);
+            peers::pull_if_newer(shared, routed, sender, &other.instance, revision);
         }
         ControlMessage::Flood(message) => {
             if routed.overlay.forward_flood(&message, number) {
-                spread::handle_peer(shared, sender, message.content);
+                peers::handle_peer_message(shared, sender, message.content);
             }
         }
-        message => spread::handle_peer(shared, sender, message),
+        message => peers::handle_peer_message(shared, sender, message),
     }
 }
 
--- a/crates/entry/src/control/listing.rs
+++ b/crates/entry/src/control/listing.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 use smol::Timer;
 
-use super::{dependency::DependencyWatch, spread};
+use super::{dependency::DependencyWatch, peers};
 use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest sleep between looks whether it is this entry's turn.
@@ -109,7 +109,7 @@
         position: news.position,
         age_ms: Timestamp::now().since(news.asked_at).as_millis() as u64,
     };
-    spread::send_to_peers(shared, &message);
+    peers::send_to_peers(shared, &message);
 }
 
 fn settle(shared: &EntryShared, routed: &RoutedState, now: Timestamp) {
--- a/crates/entry/src/control/manifests.rs
+++ b/crates/entry/src/control/manifests.rs
@@ -13,7 +13,7 @@
 use cassiawheel_wire::{ControlMessage, WireSender};
 use smol::Timer;
 
-use super::{operators::take_version, spread};
+use super::{operators::take_version, peers};
 use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest wait for a manifest of a few kilobytes.
@@ -86,7 +86,7 @@
     let manifest = Arc::new(manifest);
     routed.manifests.keep(manifest.clone());
     // Goes before the version, so that whoever orders it has it.
-    spread::send_to_peers(shared, &ControlMessage::Manifest(manifest));
+    peers::send_to_peers(shared, &ControlMessage::Manifest(manifest));
     take_version(shared, routed, &pinned);
 }
 
--- a/crates/entry/src/control/operators.rs
+++ b/crates/entry/src/control/operators.rs
@@ -15,7 +15,7 @@
 use rand::Rng;
 use smol::Timer;
 
-use super::{dependency::DependencyWatch, spread};
+use super::{dependency::DependencyWatch, peers};
 use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest wait for a change before the table is asked again.
@@ -91,7 +91,7 @@
 ) {
     for row in page.rows {
         match row {
-            OperatorRow::Preset(preset) => spread::adopt(shared, &Arc::new(*preset)),
+            OperatorRow::Preset(preset) => peers::adopt(shared, &Arc::new(*preset)),
             OperatorRow::Version(named) => {
                 let named = NamedVersion { age_ms: age.as_millis() as u64, age_source, ..named };
                 take_version(shared, routed, &named);
--- a/crates/entry/src/control/orders.rs
+++ b/crates/entry/src/control/orders.rs
@@ -21,7 +21,7 @@
 };
 use smol::Timer;
 
-use super::{ahead::staged_now, spread};
+use super::{peers, staging::current_staging};
 use crate::{link::AgentLink, shared::EntryShared};
 
 /// Time after which orders are planned again though nothing has changed, so that
@@ -69,7 +69,7 @@
     let Some(preset) = shared.active_preset.load_full() else {
         return Vec::new();
     };
-    let ahead = staged_now(shared);
+    let ahead = current_staging(shared);
     let roster = shared.roster();
     let reports: Vec<_> = roster
         .members()
@@ -122,7 +122,7 @@
         send_order(shared, planned);
     }
     if !turns.is_empty() {
-        spread::send_to_peers(shared, &ControlMessage::Orders(turns));
+        peers::send_to_peers(shared, &ControlMessage::Orders(turns));
     }
 }
 
--- a/crates/entry/src/control/spread.rs
+++ b/crates/entry/src/control/peers.rs
@@ -56,7 +56,7 @@
 }
 
 /// Waits until every source was heard at the start, then uses the highest preset.
-pub(crate) async fn settle(shared: Arc<EntryShared>) {
+pub(crate) async fn await_start_hold(shared: Arc<EntryShared>) {
     while !shared.start_hold().is_over(Timestamp::now()) {
         Timer::after(SETTLE_STEP).await;
     }
@@ -91,7 +91,11 @@
 }
 
 /// Handles what another entry tells over the connection of `sender`.
-pub(crate) fn handle_peer(shared: &Arc<EntryShared>, sender: &WireSender, message: ControlMessage) {
+pub(crate) fn handle_peer_message(
+    shared: &Arc<EntryShared>,
+    sender: &WireSender,
+    message: ControlMessage,
+) {
     match message {
         ControlMessage::Force(preset) => adopt(shared, &preset),
         ControlMessage::EntryBeat {
@@ -205,7 +209,7 @@
 }
 
 /// Pulls the preset in force from a neighbour that has a newer one.
-pub(crate) fn pull_from(
+pub(crate) fn pull_if_newer(
     shared: &Arc<EntryShared>,
     routed: &Arc<RoutedState>,
     sender: &WireSender,
@@ -221,7 +225,7 @@
 }
 
 /// The entries that this one dials: the same choice after every restart.
-pub(crate) fn chosen_peers(settings: &EntrySettings) -> Vec<SocketAddr> {
+pub(crate) fn dialled_peers(settings: &EntrySettings) -> Vec<SocketAddr> {
     let names: Vec<_> = settings.peers.iter().map(ToString::to_string).collect();
     let subject = subject_of(settings.place.instance.as_str());
     first_ranked(subject, names.iter().map(String::as_str), MAX_DIALLED)
@@ -231,7 +235,7 @@
 }
 
 /// Keeps a connection to the entry at `addr`.
-pub(crate) async fn keep_peer(shared: Arc<EntryShared>, addr: SocketAddr) {
+pub(crate) async fn maintain_peer(shared: Arc<EntryShared>, addr: SocketAddr) {
     let local = Some(shared.settings.listen.inner.ip());
     loop {
         if is_linked(&shared, addr) {
@@ -241,7 +245,7 @@
         match connect(addr, &shared.settings.inner_key, local).await {
             Ok((sender, receiver)) => {
                 let _ = sender.try_send(shared.hello());
-                converse(&shared, sender, receiver, Some(addr)).await;
+                serve_peer(&shared, sender, receiver, Some(addr)).await;
             }
             Err(_) => shared.start_hold().heard(addr),
         }
@@ -250,7 +254,7 @@
 }
 
 /// Talks with another entry until the connection ends; `dialled` if this end made it.
-pub(crate) async fn converse(
+pub(crate) async fn serve_peer(
     shared: &Arc<EntryShared>,
     sender: WireSender,
     mut receiver: WireReceiver,
@@ -272,7 +276,7 @@
         }
         let is_beat = matches!(message, ControlMessage::EntryBeat { .. });
         other = told_process(&message).or(other);
-        handle_peer(shared, &sender, message);
+        handle_peer_message(shared, &sender, message);
         if let Some(addr) = dialled.filter(|_| is_beat) {
             shared.start_hold().heard(addr);
         }
@@ -323,7 +327,7 @@
 
 /// Sends heartbeats to the other entries: a whole one on change and now and
 /// then, in case one was lost, and short ones between.
-pub(crate) async fn beat(shared: Arc<EntryShared>) {
+pub(crate) async fn send_heartbeats(shared: Arc<EntryShared>) {
     let mut last = None;
     let mut whole_at = Timestamp::now();
     loop {
--- a/crates/entry/src/control/poll.rs
+++ b/crates/entry/src/control/poll.rs
@@ -9,8 +9,8 @@
 use smol::Timer;
 
 use super::{
-    ahead::{self, AHEAD_ROW},
-    spread,
+    peers,
+    staging::{self, STAGING_ROW},
 };
 use crate::shared::EntryShared;
 
@@ -39,7 +39,7 @@
     for row in table.scan(FORCE_ROW).await? {
         match row.key.as_str() {
             FORCE_ROW => rows.force = Some(parse_force(row)?),
-            AHEAD_ROW => rows.ahead = Some(row),
+            STAGING_ROW => rows.ahead = Some(row),
             _ => {}
         }
     }
@@ -53,10 +53,10 @@
         match read_rows(shared.table.as_ref()).await {
             Ok(found) => {
                 failures = 0;
-                ahead::take_row(&shared, found.ahead);
+                staging::apply_row(&shared, found.ahead);
                 if let Some(row) = found.force {
                     warn_of_older(&shared, row.preset.revision);
-                    spread::adopt(&shared, &row.preset);
+                    peers::adopt(&shared, &row.preset);
                 }
             }
             Err(error) => {
--- a/crates/entry/src/control/ahead.rs
+++ b/crates/entry/src/control/staging.rs
@@ -15,7 +15,7 @@
 use crate::shared::EntryShared;
 
 /// The row of the preset to stage; it shares the prefix of the preset in force.
-pub(crate) const AHEAD_ROW: &str = "force/ahead";
+pub(crate) const STAGING_ROW: &str = "force/ahead";
 
 /// A preset to stage ahead.
 #[apply(record!)]
@@ -35,7 +35,7 @@
 }
 
 /// The row that names the preset to stage.
-pub(crate) struct AheadRow {
+pub(crate) struct StagingRow {
     /// The row's revision; a stale read has a lower one.
     row_revision: u64,
     /// The preset.
@@ -43,7 +43,7 @@
 }
 
 /// The preset that is staged ahead now, if there is one.
-pub(crate) fn staged_now(shared: &EntryShared) -> Option<Arc<AheadRow>> {
+pub(crate) fn current_staging(shared: &EntryShared) -> Option<Arc<StagingRow>> {
     let revision = shared.active_preset.load().as_ref().map(|preset| preset.revision);
     shared.staging.load_full().filter(|row| Some(row.staged.base) == revision)
 }
@@ -65,16 +65,16 @@
     };
     let row_revision = write_row(table, &staged).await?;
     log::info!(target: "preset", preset:% = name, operator:% = operator; "A preset is to be staged.");
-    take(shared, AheadRow { row_revision, staged: staged.clone() });
+    keep_newest(shared, StagingRow { row_revision, staged: staged.clone() });
     Ok(staged)
 }
 
 async fn write_row(table: &dyn TableStore, staged: &StagedPreset) -> Result<u64, PresetError> {
-    let guard = match table.read(AHEAD_ROW).await? {
+    let guard = match table.read(STAGING_ROW).await? {
         Some(row) => TableGuard::Revision(row.revision),
         None => TableGuard::Absent,
     };
-    let write = TableWrite { key: AHEAD_ROW.to_owned(), guard, value: to_value(staged)? };
+    let write = TableWrite { key: STAGING_ROW.to_owned(), guard, value: to_value(staged)? };
     match table.write(&[write], true).await?.pop() {
         Some(WriteVerdict::Written(revision)) => Ok(revision),
         _ => Err(PresetError::Conflict),
@@ -82,13 +82,13 @@
 }
 
 /// Takes the row that a poll found.
-pub(crate) fn take_row(shared: &EntryShared, row: Option<TableRow>) {
+pub(crate) fn apply_row(shared: &EntryShared, row: Option<TableRow>) {
     let Some(row) = row else {
         return;
     };
     let row_revision = row.revision;
     match serde_json::from_value(row.value) {
-        Ok(staged) => take(shared, AheadRow { row_revision, staged }),
+        Ok(staged) => keep_newest(shared, StagingRow { row_revision, staged }),
         Err(error) => {
             log::error!(target: "preset", cause:% = error; "The preset to stage is damaged.");
         }
@@ -96,7 +96,7 @@
 }
 
 /// Keeps the newest; a stale read must not bring an earlier one back.
-fn take(shared: &EntryShared, row: AheadRow) {
+fn keep_newest(shared: &EntryShared, row: StagingRow) {
     let row = Arc::new(row);
     shared.staging.rcu(|known| match known {
         Some(known) if known.row_revision >= row.row_revision => Some(known.clone()),
--- a/crates/entry/src/inner.rs
+++ b/crates/entry/src/inner.rs
@@ -13,7 +13,7 @@
 use smol::net::{TcpListener, TcpStream};
 
 use crate::{
-    control::{gossip, links, manifests, orders, spread},
+    control::{gossip, links, manifests, orders, peers},
     link::AgentLink,
     overlay::entry_addrs_for,
     shared::EntryShared,
@@ -55,7 +55,7 @@
         ProcessKind::Agent => serve_agent(&shared, hello, sender, receiver).await,
         ProcessKind::Entry => match &shared.routed {
             Some(routed) => links::accept(&shared, routed, sender, receiver, hello).await,
-            None => spread::converse(&shared, sender, receiver, None).await,
+            None => peers::serve_peer(&shared, sender, receiver, None).await,
         },
     }
 }
@@ -147,14 +147,14 @@
             shared.roster().leave(&instance, incarnation, Timestamp::now());
             shared.rebuild_routes();
             if shared.routed.is_some() {
-                spread::send_to_peers(
+                peers::send_to_peers(
                     shared,
                     &ControlMessage::Leaving { instance: instance.clone(), incarnation },
                 );
             }
             log::info!(target: "roster", instance:% = instance; "An endpoint leaves.");
         }
-        ControlMessage::Force(preset) => spread::adopt(shared, &preset),
+        ControlMessage::Force(preset) => peers::adopt(shared, &preset),
         ControlMessage::ManifestWanted { manifest } => {
             manifests::answer(shared.routed.as_deref(), &link.sender, manifest);
         }
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -25,8 +25,8 @@
 use crate::{
     admin, caller,
     control::{
-        entries, gossip, introduce, links, listing, manifests, membership, operators, orders, poll,
-        quarantine, spread,
+        chunk_peers, entries, gossip, links, listing, manifests, membership, operators, orders,
+        peers, poll, quarantine,
     },
     inner::serve_inner,
     metrics::EntryMetrics,
@@ -150,9 +150,9 @@
 
 /// Starts whatever keeps the preset in force and the membership up to date.
 fn start_control(shared: &Arc<EntryShared>) {
-    spawn(introduce::introduce_agents(shared.clone())).detach();
+    spawn(chunk_peers::send_chunk_peers(shared.clone())).detach();
     spawn(orders::plan_regularly(shared.clone())).detach();
-    spawn(spread::settle(shared.clone())).detach();
+    spawn(peers::await_start_hold(shared.clone())).detach();
     match &shared.routed {
         Some(routed) => follow_feeds(shared, routed),
         None => poll_services(shared),
@@ -175,12 +175,12 @@
     let platform = &shared.settings.platform;
     let span = Duration::from_millis(platform.timeout_ms);
     let list = Arc::new(HttpInstances::new(HttpClient::default(), platform.instances, span));
-    spawn(spread::beat(shared.clone())).detach();
+    spawn(peers::send_heartbeats(shared.clone())).detach();
     spawn(membership::expire_silent(shared.clone())).detach();
     spawn(poll::poll_force(shared.clone())).detach();
     spawn(membership::follow_list(shared.clone(), list)).detach();
-    for peer in spread::chosen_peers(&shared.settings) {
-        spawn(spread::keep_peer(shared.clone(), peer)).detach();
+    for peer in peers::dialled_peers(&shared.settings) {
+        spawn(peers::maintain_peer(shared.clone(), peer)).detach();
     }
 }
 
@@ -246,7 +246,7 @@
 /// Leaves the advice at once, and serves until the last answer that named this
 /// entry has run out.
 async fn leave(shared: &EntryShared) {
-    spread::announce_leaving(shared);
+    peers::announce_leaving(shared);
     log::info!(target: "drain", in_flight = shared.in_flight.load(Ordering::Relaxed); "The entry leaves.");
     let advised = Duration::from_millis(shared.settings.caller.advice_ms);
     let span = if shared.routed.is_some() { LEAVE_TIME.max(advised) } else { advised };
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -25,7 +25,7 @@
 use crate::{
     admin::progress::ProgressMarks,
     caller::EntryAdmission,
-    control::{ahead::AheadRow, spread, store::BudgetedTable},
+    control::{peers, staging::StagingRow, store::BudgetedTable},
     counters::CounterRegistry,
     link::AgentLink,
     metrics::EntryMetrics,
@@ -64,7 +64,7 @@
     /// The preset in force; read without a lock.
     pub(crate) active_preset: ArcSwapOption<ForcedPreset>,
     /// The preset to stage ahead.
-    pub(crate) staging: ArcSwapOption<AheadRow>,
+    pub(crate) staging: ArcSwapOption<StagingRow>,
     /// Whether the plan lags behind the reports or the preset.
     pub(crate) plan_stale: AtomicBool,
     /// The table service with its health; the same as `table`.
@@ -103,7 +103,7 @@
         // the newest state; other entries only know it later.
         let mut sources = match &routed {
             Some(_) => Vec::new(),
-            None => spread::chosen_peers(&settings),
+            None => peers::dialled_peers(&settings),
         };
         sources.push(settings.platform.table);
         let store = Arc::new(BudgetedTable::new(table, &settings.control, &metrics));
