--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -219,7 +219,7 @@
 fn drain(shared: &EntryShared, operator: &OperatorName, instance: &str) -> AdminReply {
     let instance: InstanceId = text_id("the instance", instance)?;
     log::info!(target: "admin", operator:% = operator, instance:% = instance; "Asked an instance to leave.");
-    drains::drain_anywhere(shared, &instance);
+    drains::request_drain(shared, &instance);
     Ok(json_reply(StatusCode::ACCEPTED, &DrainReply { instance }))
 }
 
--- a/crates/entry/src/control/change.rs
+++ b/crates/entry/src/control/change.rs
@@ -120,7 +120,7 @@
             Some(manifest) => manifest,
             None => origin_manifest(shared, service, version).await?,
         };
-        if !is_bound(shared.table.as_ref(), version, manifest).await? {
+        if !bind_version(shared.table.as_ref(), version, manifest).await? {
             let (service, version) = (service.to_string(), version.to_string());
             return Err(PresetError::VersionBound { service, version });
         }
@@ -146,7 +146,7 @@
 /// Answers, requests and reports name a version, not its bytes. Were one name
 /// used for two sets of bytes, an endpoint with the old ones would count as
 /// ready, and nobody could tell from an answer which of them gave it.
-async fn is_bound(
+async fn bind_version(
     table: &dyn TableStore,
     version: &ModelVersion,
     manifest: ManifestDigest,
--- a/crates/entry/src/control/drains.rs
+++ b/crates/entry/src/control/drains.rs
@@ -10,14 +10,14 @@
 use crate::shared::EntryShared;
 
 /// Asks the process at `instance` to leave, through the other entries if it is not connected here.
-pub(crate) fn drain_anywhere(shared: &EntryShared, instance: &InstanceId) {
-    drain_here(shared, instance);
+pub(crate) fn request_drain(shared: &EntryShared, instance: &InstanceId) {
+    drain_local(shared, instance);
     let message = ControlMessage::Drain { instance: instance.clone() };
     peers::send_to_peers(shared, &message);
 }
 
 /// Asks the process at `instance` to leave if it is this one or connected here.
-pub(crate) fn drain_here(shared: &EntryShared, instance: &InstanceId) {
+pub(crate) fn drain_local(shared: &EntryShared, instance: &InstanceId) {
     if *instance == shared.settings.place.instance {
         log::info!(target: "drain", instance:% = instance; "An operator drains this entry.");
         peers::announce_leaving(shared);
--- a/crates/entry/src/control/entries.rs
+++ b/crates/entry/src/control/entries.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 use smol::Timer;
 
-use super::dependency::DependencyWatch;
+use super::dependency::DependencyMonitor;
 use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Waits after a failed call, in milliseconds; drawn anew each time.
@@ -18,15 +18,15 @@
 
 /// Leaves this entry's address in the store and notes those that did so before.
 pub(crate) async fn register(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
-    let mut watch = DependencyWatch::new("registry");
+    let mut monitor = DependencyMonitor::new("registry");
     loop {
         match write_and_scan(&shared).await {
             Ok(places) => {
-                watch.regained();
+                monitor.record_success();
                 routed.overlay.lock().add_known_entries(places.into_iter());
                 return;
             }
-            Err(error) => watch.lost(&error),
+            Err(error) => monitor.record_failure(&error),
         }
         let wait = rand::rng().random_range(AGAIN_MS);
         Timer::after(Duration::from_millis(wait)).await;
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -69,10 +69,10 @@
 const PROGRESS_PARTS: u32 = 4;
 
 /// Sends the neighbours what has changed, for ever.
-pub(crate) async fn pass_on_changes(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
+pub(crate) async fn send_changes(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     loop {
         timeout(LOOK_TIME, routed.overlay.changed()).await;
-        refresh_own(&shared, &routed);
+        refresh_own_record(&shared, &routed);
         update_paces(&shared, &routed, Timestamp::now());
         let sent = send_news(&shared, &routed, Timestamp::now());
         let span = if sent > MANY_ITEMS { LONG_BATCH_TIME } else { BATCH_TIME };
@@ -140,7 +140,7 @@
 }
 
 /// Renews the own record if something in it has changed.
-pub(crate) fn refresh_own(shared: &EntryShared, routed: &RoutedState) {
+pub(crate) fn refresh_own_record(shared: &EntryShared, routed: &RoutedState) {
     let settings = &shared.settings;
     let links = shared.links.load();
     let mut agents: Vec<InstanceId> = links.keys().cloned().collect();
@@ -188,7 +188,7 @@
 }
 
 /// Takes in what the entry at the other end of the link `source` has sent.
-pub(crate) fn merge_news(
+pub(crate) fn merge_gossip(
     shared: &Arc<EntryShared>,
     routed: &Arc<RoutedState>,
     source: LinkNumber,
--- a/crates/entry/src/control/links.rs
+++ b/crates/entry/src/control/links.rs
@@ -39,7 +39,7 @@
 
 /// The links that this entry keeps.
 #[derive(Default)]
-struct KeptLinks {
+struct LinkManager {
     dialling: BTreeMap<SocketAddr, Task<()>>,
     /// Links that are no longer chosen, and until when they are kept.
     surplus: BTreeMap<SocketAddr, Deadline>,
@@ -47,10 +47,10 @@
 }
 
 /// Keeps the chosen links up, for ever.
-pub(crate) async fn keep_links(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
+pub(crate) async fn maintain_links(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     let seeds = shared.settings.peers.iter().map(|seed| (*seed, None));
     routed.overlay.lock().add_known_entries(seeds);
-    let mut kept = KeptLinks::default();
+    let mut kept = LinkManager::default();
     let mut repeat_at = Timestamp::now().deadline_after(REPEAT_TIME);
     let mut expire_at = Timestamp::now().deadline_after(EXPIRE_TIME);
     loop {
@@ -83,7 +83,7 @@
     shared.roster().keep_only(|instance| reported.contains(instance), now);
 }
 
-impl KeptLinks {
+impl LinkManager {
     fn renew(&mut self, shared: &Arc<EntryShared>, routed: &Arc<RoutedState>, now: Timestamp) {
         self.dialling.retain(|_, task| !task.is_finished());
         let chosen = chosen_now(shared, routed, now);
@@ -198,7 +198,7 @@
     let silence = Duration::from_millis(shared.settings.control.heartbeat_timeout_ms);
     let number = routed.overlay.lock().add_link(sender.clone(), other.instance.clone(), dialled);
     greet(routed, &sender);
-    gossip::refresh_own(shared, routed);
+    gossip::refresh_own_record(shared, routed);
     routed.overlay.notify_change();
     while let Some(Ok(message)) = timeout(silence, receiver.recv()).await {
         if let WireMessage::Control(message) = message {
@@ -208,7 +208,7 @@
     sender.close();
     routed.overlay.lock().remove_link(number);
     log::info!(target: "overlay", entry:% = other.instance; "A link to an entry ended.");
-    gossip::refresh_own(shared, routed);
+    gossip::refresh_own_record(shared, routed);
 }
 
 fn handle(
@@ -221,7 +221,7 @@
     match message {
         ControlMessage::Gossip(news) => {
             let revision = news.revision;
-            gossip::merge_news(shared, routed, number, *news);
+            gossip::merge_gossip(shared, routed, number, *news);
             peers::pull_if_newer(shared, routed, sender, &other.instance, revision);
         }
         ControlMessage::Flood(message) => {
@@ -240,7 +240,7 @@
     }
     let has_listing = routed.listing().position() > 0;
     if !has_listing {
-        spawn(listing::ask_until_known(routed.clone(), sender.clone())).detach();
+        spawn(listing::request_until_known(routed.clone(), sender.clone())).detach();
     }
 }
 
--- a/crates/entry/src/control/listing.rs
+++ b/crates/entry/src/control/listing.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 use smol::Timer;
 
-use super::{dependency::DependencyWatch, peers};
+use super::{dependency::DependencyMonitor, peers};
 use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest sleep between looks whether it is this entry's turn.
@@ -26,7 +26,7 @@
 
 /// Follows the list for ever.
 pub(crate) async fn follow_listing(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
-    let mut watch = DependencyWatch::new("list");
+    let mut monitor = DependencyMonitor::new("list");
     let mut again_at = Timestamp::now().deadline_after(Duration::ZERO);
     let mut history_lost = false;
     loop {
@@ -44,13 +44,13 @@
         };
         match read {
             Ok(page) => {
-                watch.regained();
+                monitor.record_success();
                 history_lost = false;
                 take_page(&shared, &routed, page, base, now);
             }
             Err(FeedError::HistoryLost) => history_lost = true,
             Err(FeedError::Store(error)) => {
-                watch.lost(&error);
+                monitor.record_failure(&error);
                 let wait = rand::rng().random_range(AGAIN_MS);
                 again_at = Timestamp::now().deadline_after(Duration::from_millis(wait));
             }
@@ -125,7 +125,7 @@
 }
 
 /// Takes in what another entry tells of the list.
-pub(crate) fn hear_listing(
+pub(crate) fn handle_listing(
     shared: &EntryShared,
     routed: &RoutedState,
     sender: &WireSender,
@@ -137,7 +137,7 @@
     let changed = !listing.endpoints().eq(before.iter());
     drop(listing);
     if !is_known {
-        ask_whole(routed, sender);
+        request_listing(routed, sender);
     }
     if changed {
         log_change(shared, routed, "told");
@@ -145,7 +145,7 @@
 }
 
 /// Asks an entry for the whole list, unless another one is about to send it.
-pub(crate) fn ask_whole(routed: &RoutedState, sender: &WireSender) {
+pub(crate) fn request_listing(routed: &RoutedState, sender: &WireSender) {
     if routed.listing().begin_asking(Timestamp::now()) {
         let _ = sender.try_send(ControlMessage::ListingWanted);
     }
@@ -155,15 +155,15 @@
 ///
 /// While the table service is away nobody reads, so that no word of a change would
 /// make this entry ask; it would refuse every request though the others serve.
-pub(crate) async fn ask_until_known(routed: Arc<RoutedState>, sender: WireSender) {
+pub(crate) async fn request_until_known(routed: Arc<RoutedState>, sender: WireSender) {
     while routed.listing().position() == 0 && !sender.is_closed() {
-        ask_whole(&routed, &sender);
+        request_listing(&routed, &sender);
         Timer::after(ASK_TIME).await;
     }
 }
 
 /// Sends the whole list to an entry that knows too little of it.
-pub(crate) fn send_whole(routed: &RoutedState, sender: &WireSender) {
+pub(crate) fn send_listing(routed: &RoutedState, sender: &WireSender) {
     let Some(whole) = routed.listing().whole() else {
         return;
     };
--- a/crates/entry/src/control/manifest_cache.rs
+++ b/crates/entry/src/control/manifest_cache.rs
@@ -9,7 +9,7 @@
 use cassiawheel_model::{Deadline, ManifestDigest, Timestamp, WeightManifest};
 
 /// Manifests that are kept; versions that are named within seconds of each other.
-const MOST_HELD: usize = 4;
+const MAX_CACHED: usize = 4;
 
 /// Time in which another entry is expected to send a manifest.
 const ANSWER_TIME: Duration = Duration::from_millis(200);
@@ -30,7 +30,7 @@
 
 impl ManifestCache {
     /// Keeps a manifest, if it is consistent.
-    pub(crate) fn keep(&self, manifest: Arc<WeightManifest>) {
+    pub(crate) fn insert(&self, manifest: Arc<WeightManifest>) {
         if let Err(error) = manifest.verify() {
             log::warn!(target: "preset", version:% = manifest.version, cause:% = error; "A manifest that was told is dropped.");
             return;
@@ -40,7 +40,7 @@
             return;
         }
         inner.held.push_back(manifest);
-        if inner.held.len() > MOST_HELD {
+        if inner.held.len() > MAX_CACHED {
             inner.held.pop_front();
         }
     }
@@ -54,7 +54,7 @@
     ///
     /// All entries tell of a version within milliseconds; asked of each of them,
     /// the manifest would come as many times.
-    pub(crate) fn begin_asking(&self, digest: ManifestDigest, now: Timestamp) -> bool {
+    pub(crate) fn begin_request(&self, digest: ManifestDigest, now: Timestamp) -> bool {
         let mut inner = self.lock();
         let is_expected =
             inner.asked.is_some_and(|(asked, until)| asked == digest && !until.is_past(now));
--- a/crates/entry/src/control/manifests.rs
+++ b/crates/entry/src/control/manifests.rs
@@ -13,7 +13,7 @@
 use cassiawheel_wire::{ControlMessage, WireSender};
 use smol::Timer;
 
-use super::{operators::take_version, peers};
+use super::{operators::apply_version, peers};
 use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest wait for a manifest of a few kilobytes.
@@ -84,24 +84,28 @@
     };
     let pinned = NamedVersion { manifest: Some(manifest.digest), ..named };
     let manifest = Arc::new(manifest);
-    routed.manifests.keep(manifest.clone());
+    routed.manifests.insert(manifest.clone());
     // Goes before the version, so that whoever orders it has it.
     peers::send_to_peers(shared, &ControlMessage::Manifest(manifest));
-    take_version(shared, routed, &pinned);
+    apply_version(shared, routed, &pinned);
 }
 
 /// Asks whoever told of a pinned version for its manifest, if it is missing here.
-pub(crate) fn ask_teller(routed: &RoutedState, teller: &WireSender, named: &NamedVersion) {
+pub(crate) fn request_manifest(routed: &RoutedState, teller: &WireSender, named: &NamedVersion) {
     let Some(manifest) = named.manifest else {
         return;
     };
-    if routed.manifests.begin_asking(manifest, Timestamp::now()) {
+    if routed.manifests.begin_request(manifest, Timestamp::now()) {
         let _ = teller.try_send(ControlMessage::ManifestWanted { manifest });
     }
 }
 
 /// Tells the process at the other end of `sender` the manifest with this digest.
-pub(crate) fn answer(routed: Option<&RoutedState>, sender: &WireSender, manifest: ManifestDigest) {
+pub(crate) fn send_manifest(
+    routed: Option<&RoutedState>,
+    sender: &WireSender,
+    manifest: ManifestDigest,
+) {
     let message = match routed.and_then(|routed| routed.manifests.find(manifest)) {
         Some(found) => ControlMessage::Manifest(found),
         None => ControlMessage::ManifestUnknown { manifest },
--- a/crates/entry/src/control/operators.rs
+++ b/crates/entry/src/control/operators.rs
@@ -15,7 +15,7 @@
 use rand::Rng;
 use smol::Timer;
 
-use super::{dependency::DependencyWatch, peers};
+use super::{dependency::DependencyMonitor, peers};
 use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest wait for a change before the table is asked again.
@@ -35,7 +35,7 @@
 
 /// Follows the operators' rows for ever.
 pub(crate) async fn follow_operators(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
-    let mut watch = DependencyWatch::new("operators");
+    let mut monitor = DependencyMonitor::new("operators");
     let mut followed = FollowedRows::default();
     let mut probe_at = Deadline(0);
     loop {
@@ -59,7 +59,7 @@
         };
         match read {
             Ok(page) => {
-                watch.regained();
+                monitor.record_success();
                 routed.follows_rows.store(true, Ordering::Relaxed);
                 let now = Timestamp::now();
                 let age = followed.version_age(now);
@@ -73,7 +73,7 @@
                 followed.position = None;
             }
             Err(FeedError::Store(error)) => {
-                watch.lost(&error);
+                monitor.record_failure(&error);
                 routed.follows_rows.store(false, Ordering::Relaxed);
                 probe_at = Timestamp::now().deadline_after(PROBE_TIME);
                 let wait = rand::rng().random_range(AGAIN_MS);
@@ -94,7 +94,7 @@
             OperatorRow::Preset(preset) => peers::adopt(shared, &Arc::new(*preset)),
             OperatorRow::Version(named) => {
                 let named = NamedVersion { age_ms: age.as_millis() as u64, age_source, ..named };
-                take_version(shared, routed, &named);
+                apply_version(shared, routed, &named);
             }
             OperatorRow::Damaged(detail) => {
                 log::error!(target: "preset", cause:% = detail; "An operator's row cannot be read.");
@@ -104,7 +104,7 @@
 }
 
 /// Takes in a named version and tells the other entries, if it is new here.
-pub(crate) fn take_version(shared: &EntryShared, routed: &RoutedState, named: &NamedVersion) {
+pub(crate) fn apply_version(shared: &EntryShared, routed: &RoutedState, named: &NamedVersion) {
     if !routed.add_version(named) {
         return;
     }
--- a/crates/entry/src/control/orders.rs
+++ b/crates/entry/src/control/orders.rs
@@ -44,7 +44,7 @@
 }
 
 /// Plans again whenever a report or the preset changed, and now and then without a change.
-pub(crate) async fn plan_regularly(shared: Arc<EntryShared>) {
+pub(crate) async fn run_planner(shared: Arc<EntryShared>) {
     let mut repeat_at = Timestamp::now().deadline_after(REPEAT_TIME);
     let mut turns = TurnLedger::default();
     let mut sent = SentOrders::default();
@@ -127,7 +127,7 @@
 }
 
 /// Gives the orders of another entry to the agents that are connected here.
-pub(crate) fn deliver(shared: &EntryShared, orders: Vec<EndpointOrder>) {
+pub(crate) fn forward_orders(shared: &EntryShared, orders: Vec<EndpointOrder>) {
     let links = shared.links.load();
     for EndpointOrder { instance, order } in orders {
         if let Some(link) = links.get(&instance) {
--- a/crates/entry/src/control/peers.rs
+++ b/crates/entry/src/control/peers.rs
@@ -122,7 +122,7 @@
         ControlMessage::Leaving { instance, incarnation } => {
             take_leaving(shared, &instance, incarnation);
         }
-        ControlMessage::Drain { instance } => drains::drain_here(shared, &instance),
+        ControlMessage::Drain { instance } => drains::drain_local(shared, &instance),
         ControlMessage::PresetWanted => {
             if let Some(preset) = shared.active_preset.load_full() {
                 let _ = sender.try_send(ControlMessage::Force(preset));
@@ -166,20 +166,20 @@
     };
     match message {
         ControlMessage::Named(named) => {
-            operators::take_version(shared, routed, &named);
-            manifests::ask_teller(routed, sender, &named);
+            operators::apply_version(shared, routed, &named);
+            manifests::request_manifest(routed, sender, &named);
         }
         ControlMessage::ManifestWanted { manifest } => {
-            manifests::answer(Some(routed), sender, manifest);
+            manifests::send_manifest(Some(routed), sender, manifest);
         }
-        ControlMessage::Manifest(manifest) => routed.manifests.keep(manifest),
+        ControlMessage::Manifest(manifest) => routed.manifests.insert(manifest),
         ControlMessage::Listing { rows, base, position, age_ms } => {
             let asked_at = Timestamp(Timestamp::now().0.saturating_sub(age_ms));
             let news = ListingNews { rows, base, position, asked_at };
-            listing::hear_listing(shared, routed, sender, news);
+            listing::handle_listing(shared, routed, sender, news);
         }
-        ControlMessage::ListingWanted => listing::send_whole(routed, sender),
-        ControlMessage::Orders(orders) => orders::deliver(shared, orders),
+        ControlMessage::ListingWanted => listing::send_listing(routed, sender),
+        ControlMessage::Orders(orders) => orders::forward_orders(shared, orders),
         _ => {}
     }
 }
@@ -220,7 +220,7 @@
     let domain = state.store.record(instance).map(|record| record.failure_domain.clone());
     drop(state);
     if let Some(domain) = domain {
-        pull::hear_revision(shared, routed, sender, instance, &domain, revision);
+        pull::handle_revision(shared, routed, sender, instance, &domain, revision);
     }
 }
 
@@ -380,6 +380,6 @@
     let incarnation = shared.incarnation;
     send_to_peers(shared, &ControlMessage::Leaving { instance, incarnation });
     if let Some(routed) = &shared.routed {
-        gossip::refresh_own(shared, routed);
+        gossip::refresh_own_record(shared, routed);
     }
 }
--- a/crates/entry/src/control/pull.rs
+++ b/crates/entry/src/control/pull.rs
@@ -17,7 +17,7 @@
 const LOOK_TIME: Duration = Duration::from_millis(50);
 
 /// Takes in the revision that another entry tells.
-pub(super) fn hear_revision(
+pub(super) fn handle_revision(
     shared: &Arc<EntryShared>,
     routed: &Arc<RoutedState>,
     sender: &WireSender,
--- a/crates/entry/src/control/quarantine.rs
+++ b/crates/entry/src/control/quarantine.rs
@@ -24,7 +24,7 @@
 const TRY_TIME: Duration = Duration::from_millis(500);
 
 /// Reads the bars once after the start, and adds those that own runs have shown.
-pub(crate) async fn keep_bars(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
+pub(crate) async fn sync_barred(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     let read_at = Timestamp::now().deadline_after(LINK_TIME);
     let (mut is_read, mut is_due) = (false, false);
     loop {
--- a/crates/entry/src/control/store.rs
+++ b/crates/entry/src/control/store.rs
@@ -24,7 +24,7 @@
 }
 
 /// The table service within the process' budget.
-pub(crate) struct BudgetedTable {
+pub(crate) struct MeteredTable {
     inner: Arc<dyn TableStore>,
     reads: Mutex<CallBudget>,
     writes: Mutex<CallBudget>,
@@ -34,7 +34,7 @@
     failure_count: IntCounter,
 }
 
-impl BudgetedTable {
+impl MeteredTable {
     /// A budget as in `settings`, counted in `metrics`.
     pub(crate) fn new(
         inner: Arc<dyn TableStore>,
@@ -85,7 +85,7 @@
     }
 }
 
-impl TableStore for BudgetedTable {
+impl TableStore for MeteredTable {
     fn read<'a>(&'a self, key: &'a str) -> EdgeFuture<'a, Result<Option<TableRow>, StoreError>> {
         Box::pin(self.call(&self.reads, &self.read_count, self.inner.read(key)))
     }
--- a/crates/entry/src/inner.rs
+++ b/crates/entry/src/inner.rs
@@ -156,7 +156,7 @@
         }
         ControlMessage::Force(preset) => peers::adopt(shared, &preset),
         ControlMessage::ManifestWanted { manifest } => {
-            manifests::answer(shared.routed.as_deref(), &link.sender, manifest);
+            manifests::send_manifest(shared.routed.as_deref(), &link.sender, manifest);
         }
         ControlMessage::Report(_)
         | ControlMessage::ReportWanted
@@ -218,7 +218,7 @@
     if let (Some(routed), Some(report)) = (&shared.routed, told) {
         gossip::publish_report(routed, &report);
         // Requests may go to the endpoint as soon as it counts as connected.
-        gossip::refresh_own(shared, routed);
+        gossip::refresh_own_record(shared, routed);
     }
     shared.plan_stale.store(true, Ordering::Release);
     shared.update_load(&instance, &load, limit);
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -151,7 +151,7 @@
 /// Starts whatever keeps the preset in force and the membership up to date.
 fn start_control(shared: &Arc<EntryShared>) {
     spawn(chunk_peers::send_chunk_peers(shared.clone())).detach();
-    spawn(orders::plan_regularly(shared.clone())).detach();
+    spawn(orders::run_planner(shared.clone())).detach();
     spawn(peers::await_start_hold(shared.clone())).detach();
     match &shared.routed {
         Some(routed) => follow_feeds(shared, routed),
@@ -165,9 +165,9 @@
     spawn(listing::follow_listing(shared.clone(), routed.clone())).detach();
     spawn(manifests::pin_versions(shared.clone(), routed.clone())).detach();
     spawn(entries::register(shared.clone(), routed.clone())).detach();
-    spawn(links::keep_links(shared.clone(), routed.clone())).detach();
-    spawn(gossip::pass_on_changes(shared.clone(), routed.clone())).detach();
-    spawn(quarantine::keep_bars(shared.clone(), routed.clone())).detach();
+    spawn(links::maintain_links(shared.clone(), routed.clone())).detach();
+    spawn(gossip::send_changes(shared.clone(), routed.clone())).detach();
+    spawn(quarantine::sync_barred(shared.clone(), routed.clone())).detach();
 }
 
 /// Reads the platform's services again and again.
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -25,7 +25,7 @@
 use crate::{
     admin::progress::ProgressMarks,
     caller::EntryAdmission,
-    control::{peers, staging::StagingRow, store::BudgetedTable},
+    control::{peers, staging::StagingRow, store::MeteredTable},
     counters::CounterRegistry,
     link::AgentLink,
     metrics::EntryMetrics,
@@ -68,7 +68,7 @@
     /// Whether the plan lags behind the reports or the preset.
     pub(crate) plan_stale: AtomicBool,
     /// The table service with its health; the same as `table`.
-    pub(crate) store: Arc<BudgetedTable>,
+    pub(crate) store: Arc<MeteredTable>,
     /// Progress of services towards their versions, for forecasts.
     pub(crate) progress: Mutex<ProgressMarks>,
     /// What the entry has where callers are routed by a table.
@@ -106,7 +106,7 @@
             None => peers::dialled_peers(&settings),
         };
         sources.push(settings.platform.table);
-        let store = Arc::new(BudgetedTable::new(table, &settings.control, &metrics));
+        let store = Arc::new(MeteredTable::new(table, &settings.control, &metrics));
         Self {
             settings,
             incarnation: now.0,
