--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -9,14 +9,14 @@
 
 mod admit;
 mod attempts;
+mod crash_detection;
 mod dispatch;
 mod events;
 mod identify;
-mod lost;
 mod outcome;
+mod passthrough;
 mod relay;
 mod routed;
-mod unchanged;
 
 use std::{
     net::SocketAddr,
@@ -62,20 +62,20 @@
         Ok(identified) => identified,
         Err(error) => return error.reply(),
     };
-    let mut guard = InFlight::begin(shared.clone());
+    let mut guard = RequestGuard::begin(shared.clone());
     match admit::admit(&shared, &identified).await {
         Ok(permit) => guard.permit = permit,
         Err(reason) => {
-            guard.count(OutcomeKind::NotRun);
+            guard.count_outcome(OutcomeKind::NotRun);
             let failed = FailedRequest::before_attempts(&shared, reason);
             return outcome::failure_reply(&identified.head, &failed);
         }
     }
     let mut attempts = RequestAttempts::new(shared, identified);
     match attempts.begin().await {
-        Ok(begun) => relay::answer_reply(guard, attempts, begun).await,
+        Ok(response) => relay::relay_reply(guard, attempts, response).await,
         Err(failed) => {
-            guard.count(failed.outcome.kind());
+            guard.count_outcome(failed.outcome.kind());
             outcome::failure_reply(attempts.head(), &failed)
         }
     }
@@ -83,7 +83,7 @@
 
 fn advice_reply(shared: &EntryShared) -> Response<ReplyBody> {
     let settings = &shared.settings;
-    let entries = advisable(shared);
+    let entries = advice_candidates(shared);
     let span = Duration::from_millis(settings.caller.advice_ms);
     let valid_until = Timestamp::now().deadline_after(span);
     let count = settings.caller.advice_addresses;
@@ -92,7 +92,7 @@
 }
 
 /// This entry and those that it knows.
-fn advisable(shared: &EntryShared) -> Vec<AdviceInput> {
+fn advice_candidates(shared: &EntryShared) -> Vec<AdviceInput> {
     let settings = &shared.settings;
     let own = AdviceInput {
         caller_addr: settings.listen.caller,
@@ -121,12 +121,12 @@
 }
 
 /// Counts a request as in progress until its answer is whole or given up.
-pub(crate) struct InFlight {
+pub(crate) struct RequestGuard {
     shared: Arc<EntryShared>,
     permit: Option<AdmitPermit>,
 }
 
-impl InFlight {
+impl RequestGuard {
     fn begin(shared: Arc<EntryShared>) -> Self {
         shared.in_flight.fetch_add(1, Ordering::Relaxed);
         shared.metrics.in_flight.inc();
@@ -134,12 +134,12 @@
     }
 
     /// Counts the request's outcome.
-    pub(crate) fn count(&self, kind: OutcomeKind) {
-        self.shared.metrics.count(kind);
+    pub(crate) fn count_outcome(&self, kind: OutcomeKind) {
+        self.shared.metrics.count_outcome(kind);
     }
 }
 
-impl Drop for InFlight {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         drop(self.permit.take());
         self.shared.in_flight.fetch_sub(1, Ordering::Relaxed);
--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -33,7 +33,7 @@
 }
 
 /// A place in the queue.
-struct WaitingPlace {
+struct QueueSlot {
     admission: Arc<EntryAdmission>,
     verdict: Receiver<AdmitVerdict>,
 }
@@ -77,7 +77,7 @@
     }
 }
 
-impl Drop for WaitingPlace {
+impl Drop for QueueSlot {
     fn drop(&mut self) {
         // The verdict may have come in the moment in which its caller hung up.
         // Without this look the place would stay taken for ever.
@@ -120,7 +120,7 @@
         turn: request.turn,
     };
     let (sender, verdict) = bounded(1);
-    let place = WaitingPlace { admission: admission.clone(), verdict };
+    let place = QueueSlot { admission: admission.clone(), verdict };
     admission.places.wait(&ticket, sender, capacity, now, tell);
     let half: Duration = admit_by.remaining(now) / 2;
     let verdict = timeout(half, place.verdict.recv()).await;
--- a/crates/entry/src/caller/attempts.rs
+++ b/crates/entry/src/caller/attempts.rs
@@ -17,9 +17,9 @@
 use smol::Timer;
 
 use super::{
-    dispatch::{AnswerHead, AttemptStream, DispatchedRequest, dispatch},
+    crash_detection::{LostRun, RunTarget, await_turn, record_answered, record_lost_run},
+    dispatch::{AttemptStream, DispatchedRequest, ResponseHead, dispatch},
     identify::IdentifiedRequest,
-    lost::{LostRun, RunPlace, await_turn, note_answered, note_lost},
 };
 use crate::{crashes::SuspectRun, shared::EntryShared};
 
@@ -37,7 +37,7 @@
 const SERVER_ERROR: u16 = 500;
 
 /// An answer that has begun.
-pub(crate) struct BegunAnswer {
+pub(crate) struct StartedResponse {
     /// The rest of the answer.
     pub(crate) stream: AttemptStream,
     /// HTTP status of the endpoint.
@@ -53,9 +53,9 @@
     /// Attempts that it took.
     pub(crate) attempts: u32,
     /// Where it runs.
-    run: RunPlace,
+    run: RunTarget,
     /// Counts the request at its endpoint until the answer ends.
-    _load: EndpointLoad,
+    _load: LoadGuard,
 }
 
 /// A request that got no answer.
@@ -78,12 +78,12 @@
 }
 
 /// One request's count at its endpoint and its service.
-pub(crate) struct EndpointLoad {
+pub(crate) struct LoadGuard {
     cell: Arc<EndpointCell>,
     service: Arc<AtomicU32>,
 }
 
-impl EndpointLoad {
+impl LoadGuard {
     /// Takes over a request that is counted at the endpoint already.
     fn taken(cell: Arc<EndpointCell>, service: Arc<AtomicU32>) -> Self {
         service.fetch_add(1, Ordering::Relaxed);
@@ -91,7 +91,7 @@
     }
 }
 
-impl Drop for EndpointLoad {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
         self.cell.end();
         self.service.fetch_sub(1, Ordering::Relaxed);
@@ -141,48 +141,48 @@
     }
 
     /// Tries until an answer begins or the request is given up.
-    pub(crate) async fn begin(&mut self) -> Result<BegunAnswer, FailedRequest> {
+    pub(crate) async fn begin(&mut self) -> Result<StartedResponse, FailedRequest> {
         loop {
             match self.try_preset().await {
-                Ok(begun) if self.may_ask_another(&begun) => {
-                    let end = AttemptEnd::Unknown(format!("answered {}", begun.status));
+                Ok(response) if self.may_ask_another(&response) => {
+                    let end = AttemptEnd::Unknown(format!("answered {}", response.status));
                     if self.after(end).await.is_err() {
                         // The failure is the endpoint's own answer, and the
                         // last one that there will be.
-                        return Ok(begun);
+                        return Ok(response);
                     }
                 }
-                Ok(begun) => return Ok(begun),
+                Ok(response) => return Ok(response),
                 Err(end) => self.after(end).await?,
             }
         }
     }
 
     /// Whether an endpoint failed at a request that another one may answer.
-    fn may_ask_another(&self, begun: &BegunAnswer) -> bool {
+    fn may_ask_another(&self, response: &StartedResponse) -> bool {
         self.request.is_direct()
-            && begun.status >= SERVER_ERROR
+            && response.status >= SERVER_ERROR
             && self.head().repeat == Repeatability::Idempotent
     }
 
     /// Tries again after an answer was cut of which a part has been sent.
     ///
     /// The answer begins anew; only `version` may give it.
-    pub(crate) async fn begin_again(
+    pub(crate) async fn retry_cut(
         &mut self,
-        cut: &BegunAnswer,
+        cut: &StartedResponse,
         version: Option<ModelVersion>,
         end: AttemptEnd,
-    ) -> Result<BegunAnswer, FailedRequest> {
+    ) -> Result<StartedResponse, FailedRequest> {
         self.version = version;
-        let lost = LostRun { place: &cut.run, answering: cut.stream.has_data(), end: &end };
-        note_lost(&self.shared, &self.request, lost).await;
+        let lost_run = LostRun { place: &cut.run, answering: cut.stream.has_data(), end: &end };
+        record_lost_run(&self.shared, &self.request, lost_run).await;
         self.suspect_run = None;
         self.after(end).await?;
         self.begin().await
     }
 
-    async fn try_preset(&mut self) -> Result<BegunAnswer, AttemptEnd> {
+    async fn try_preset(&mut self) -> Result<StartedResponse, AttemptEnd> {
         let preset =
             preset_in_force(&self.shared, &self.request.head).map_err(AttemptEnd::NotRun)?;
         self.revision = preset.revision;
@@ -193,8 +193,8 @@
     }
 
     /// Notes that the answer was whole.
-    pub(crate) fn note_answered(&self) {
-        note_answered(&self.shared, &self.request);
+    pub(crate) fn record_answered(&self) {
+        record_answered(&self.shared, &self.request);
     }
 
     /// Waits until the next attempt, if one is allowed.
@@ -215,7 +215,7 @@
         Ok(())
     }
 
-    async fn try_once(&mut self, preset: &ForcedPreset) -> Result<BegunAnswer, AttemptEnd> {
+    async fn try_once(&mut self, preset: &ForcedPreset) -> Result<StartedResponse, AttemptEnd> {
         let (shared, head) = (&self.shared, &self.request.head);
         let now = Timestamp::now();
         let allowed = shared.allowed_versions(&head.service, now);
@@ -243,7 +243,7 @@
         };
         let candidate = choice.candidate;
         log::info!(target: "route", request:% = head.id, workspace:% = head.workspace, endpoint:% = candidate.instance, reason = choice.reason.as_str(), cost = choice.cost, near = candidate.is_near, candidates = choice.candidates, revision = preset.revision.0, attempt = self.tracker.attempts() + 1; "Chose an endpoint.");
-        let load = EndpointLoad::taken(candidate.cell.clone(), service.in_flight().clone());
+        let load = LoadGuard::taken(candidate.cell.clone(), service.in_flight().clone());
         let (instance, path) = (candidate.instance.clone(), candidate.path);
         let candidate_version = candidate.version.clone();
         let version = match path {
@@ -263,28 +263,29 @@
             last_event: self.last_event,
         };
         let start_by = shared.start_by(&head.service, candidate_version.as_ref());
-        let begun: AnswerHead = match dispatch(shared, path, sent, &load.cell, start_by).await {
-            Ok(begun) => begun,
+        let response: ResponseHead = match dispatch(shared, path, sent, &load.cell, start_by).await
+        {
+            Ok(response) => response,
             Err(end) => {
                 note_end(shared, &routed, self.excluded.last(), &load.cell, &end);
-                let place = RunPlace { instance, path };
-                let lost = LostRun { place: &place, answering: false, end: &end };
-                note_lost(shared, &self.request, lost).await;
+                let place = RunTarget { instance, path };
+                let lost_run = LostRun { place: &place, answering: false, end: &end };
+                record_lost_run(shared, &self.request, lost_run).await;
                 return Err(end);
             }
         };
         load.cell.succeed();
         let delay_ms = Timestamp::now().since(now).as_millis() as u64;
-        log::info!(target: "answer", request:% = self.request.head.id, endpoint:% = instance, status = begun.status, delay_ms = delay_ms; "An answer begins.");
-        Ok(BegunAnswer {
-            stream: begun.stream,
-            status: begun.status,
-            headers: begun.headers,
-            version: begun.version,
-            revision: begun.revision,
-            replayed: begun.replayed,
+        log::info!(target: "answer", request:% = self.request.head.id, endpoint:% = instance, status = response.status, delay_ms = delay_ms; "An answer begins.");
+        Ok(StartedResponse {
+            stream: response.stream,
+            status: response.status,
+            headers: response.headers,
+            version: response.version,
+            revision: response.revision,
+            replayed: response.replayed,
             attempts: self.tracker.attempts(),
-            run: RunPlace { instance, path },
+            run: RunTarget { instance, path },
             _load: load,
         })
     }
--- a/crates/entry/src/caller/lost.rs
+++ b/crates/entry/src/caller/crash_detection.rs
@@ -27,7 +27,7 @@
 const TURN_TIME: Duration = Duration::from_millis(20);
 
 /// Where a request runs.
-pub(super) struct RunPlace {
+pub(super) struct RunTarget {
     /// The endpoint.
     pub(super) instance: InstanceId,
     /// How it is reached.
@@ -37,7 +37,7 @@
 /// A run that ended without a whole answer.
 pub(super) struct LostRun<'a> {
     /// Where it ran.
-    pub(super) place: &'a RunPlace,
+    pub(super) place: &'a RunTarget,
     /// Whether some bytes of the answer had come.
     pub(super) answering: bool,
     /// How it ended.
@@ -45,7 +45,7 @@
 }
 
 /// Notes that an endpoint ended under a request, if that is how the run ended.
-pub(super) async fn note_lost(
+pub(super) async fn record_lost_run(
     shared: &EntryShared,
     request: &IdentifiedRequest,
     lost: LostRun<'_>,
@@ -72,7 +72,7 @@
 }
 
 /// Notes that a request was answered whole, if endpoints have ended under it.
-pub(super) fn note_answered(shared: &EntryShared, request: &IdentifiedRequest) {
+pub(super) fn record_answered(shared: &EntryShared, request: &IdentifiedRequest) {
     let Some(routed) = shared.routed.as_ref().filter(|routed| !routed.crashes.is_empty()) else {
         return;
     };
--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -41,7 +41,7 @@
 }
 
 /// The head of an answer and the stream of its rest.
-pub(super) struct AnswerHead {
+pub(super) struct ResponseHead {
     pub(super) stream: AttemptStream,
     pub(super) status: u16,
     pub(super) headers: HeaderMap,
@@ -51,7 +51,7 @@
 }
 
 /// One step of an answer.
-pub(crate) enum AnswerPart {
+pub(crate) enum ResponsePart {
     /// Some bytes.
     Data(Bytes),
     /// The end, and the length of all parts where the sender tells it.
@@ -69,7 +69,7 @@
 /// The rest of an answer; dropping it tells the endpoint that nobody waits.
 pub(crate) struct AttemptStream {
     kind: StreamKind,
-    peeked: Option<AnswerPart>,
+    peeked: Option<ResponsePart>,
     has_data: bool,
 }
 
@@ -84,28 +84,28 @@
     }
 
     /// The next part.
-    pub(crate) async fn next(&mut self) -> AnswerPart {
+    pub(crate) async fn next(&mut self) -> ResponsePart {
         if let Some(part) = self.peeked.take() {
             return part;
         }
         let part = self.read().await;
-        self.has_data |= matches!(part, AnswerPart::Data(_));
+        self.has_data |= matches!(part, ResponsePart::Data(_));
         part
     }
 
-    async fn read(&mut self) -> AnswerPart {
+    async fn read(&mut self) -> ResponsePart {
         match &mut self.kind {
             StreamKind::Link(stream) => next_of_link(stream).await,
             StreamKind::Direct(stream) => match stream.next().await {
-                DirectPart::Data(bytes) => AnswerPart::Data(bytes),
-                DirectPart::End => AnswerPart::End(None),
-                DirectPart::Cut(detail) => AnswerPart::Cut(detail),
+                DirectPart::Data(bytes) => ResponsePart::Data(bytes),
+                DirectPart::End => ResponsePart::End(None),
+                DirectPart::Cut(detail) => ResponsePart::Cut(detail),
             },
         }
     }
 
     /// Looks at the next part without taking it.
-    async fn peek(&mut self) -> &AnswerPart {
+    async fn peek(&mut self) -> &ResponsePart {
         let part = match self.peeked.take() {
             Some(part) => part,
             None => self.next().await,
@@ -114,27 +114,27 @@
     }
 }
 
-async fn next_of_link(stream: &mut LinkStream) -> AnswerPart {
+async fn next_of_link(stream: &mut LinkStream) -> ResponsePart {
     match stream.next().await {
         Some(RequestMessage::Data { bytes, .. }) => {
             stream.grant(bytes.len()).await;
-            AnswerPart::Data(Bytes::from(bytes))
+            ResponsePart::Data(Bytes::from(bytes))
         }
-        Some(RequestMessage::End { bytes, .. }) => AnswerPart::End(Some(bytes)),
-        Some(RequestMessage::Failed { detail, .. }) => AnswerPart::Cut(detail),
-        Some(_) => AnswerPart::Cut("an unexpected message arrived".to_owned()),
-        None => AnswerPart::Cut("the connection to the endpoint was lost".to_owned()),
+        Some(RequestMessage::End { bytes, .. }) => ResponsePart::End(Some(bytes)),
+        Some(RequestMessage::Failed { detail, .. }) => ResponsePart::Cut(detail),
+        Some(_) => ResponsePart::Cut("an unexpected message arrived".to_owned()),
+        None => ResponsePart::Cut("the connection to the endpoint was lost".to_owned()),
     }
 }
 
 /// Measures how long an answer takes to begin, also if nobody waits for it any more.
-struct DelayWatch<'a> {
+struct LatencyTimer<'a> {
     cell: &'a EndpointCell,
     started_at: Timestamp,
     answered: bool,
 }
 
-impl<'a> DelayWatch<'a> {
+impl<'a> LatencyTimer<'a> {
     fn start(cell: &'a EndpointCell) -> Self {
         let started_at = Timestamp::now();
         cell.await_answer(started_at);
@@ -142,7 +142,7 @@
     }
 }
 
-impl Drop for DelayWatch<'_> {
+impl Drop for LatencyTimer<'_> {
     fn drop(&mut self) {
         let now = Timestamp::now();
         let delay_ms = now.since(self.started_at).as_millis() as u64;
@@ -157,10 +157,10 @@
     sent: DispatchedRequest<'_>,
     cell: &EndpointCell,
     start_by: Option<Deadline>,
-) -> Result<AnswerHead, AttemptEnd> {
-    let mut watch = DelayWatch::start(cell);
+) -> Result<ResponseHead, AttemptEnd> {
+    let mut watch = LatencyTimer::start(cell);
     let beginning = begin(shared, path, &sent, cell);
-    let begun = match start_by.filter(|_| sent.head.repeat == Repeatability::Idempotent) {
+    let response = match start_by.filter(|_| sent.head.repeat == Repeatability::Idempotent) {
         // A request may wait in the engine's queue until the engine's version may
         // not answer any more. It is taken back before, while others can answer.
         Some(start_by) => {
@@ -172,7 +172,7 @@
         None => beginning.await?,
     };
     watch.answered = true;
-    Ok(begun)
+    Ok(response)
 }
 
 /// Sends an attempt; done once its answer has begun as far as it has to be known.
@@ -181,8 +181,8 @@
     path: EndpointPath,
     sent: &DispatchedRequest<'_>,
     cell: &EndpointCell,
-) -> Result<AnswerHead, AttemptEnd> {
-    let mut begun = match (path, &shared.routed) {
+) -> Result<ResponseHead, AttemptEnd> {
+    let mut response = match (path, &shared.routed) {
         (EndpointPath::Agent, _) => {
             let link = shared.links.load().get(sent.instance).cloned();
             through_agent(link, sent.head, &sent.request.body).await?
@@ -197,9 +197,9 @@
         }
     };
     if sent.head.repeat == Repeatability::Idempotent {
-        await_first_part(&mut begun.stream, sent.head).await?;
+        await_first_part(&mut response.stream, sent.head).await?;
     }
-    Ok(begun)
+    Ok(response)
 }
 
 async fn straight(
@@ -207,7 +207,7 @@
     target: DirectTarget<'_>,
     sent: &DispatchedRequest<'_>,
     cell: &EndpointCell,
-) -> Result<AnswerHead, AttemptEnd> {
+) -> Result<ResponseHead, AttemptEnd> {
     let head = sent.head;
     let leg = EndpointLeg {
         request: &head.id,
@@ -223,7 +223,7 @@
     if let Some(load) = answer.marks.load {
         cell.hear(&load_report(load), cell.hard_limit());
     }
-    Ok(AnswerHead {
+    Ok(ResponseHead {
         status: answer.parts.status.as_u16(),
         headers: routed.callers.end_to_end(&answer.parts.headers),
         stream: AttemptStream::new(StreamKind::Direct(Box::new(answer.stream))),
@@ -241,7 +241,7 @@
     link: Option<Arc<AgentLink>>,
     routed: &RequestHead,
     body: &Bytes,
-) -> Result<AnswerHead, AttemptEnd> {
+) -> Result<ResponseHead, AttemptEnd> {
     let link = link.ok_or(AttemptEnd::NotRun(NotRunReason::ConnectFailed))?;
     let sent = link.dispatch(routed.clone(), body).await;
     let stream = sent.map_err(AttemptEnd::NotRun)?;
@@ -259,8 +259,8 @@
 ) -> Result<(), AttemptEnd> {
     let span = routed.deadline.remaining(Timestamp::now());
     match timeout(span, stream.peek()).await {
-        Some(AnswerPart::Cut(detail)) => Err(AttemptEnd::Lost(detail.clone())),
-        Some(AnswerPart::Data(_) | AnswerPart::End(_)) => Ok(()),
+        Some(ResponsePart::Cut(detail)) => Err(AttemptEnd::Lost(detail.clone())),
+        Some(ResponsePart::Data(_) | ResponsePart::End(_)) => Ok(()),
         None => Err(AttemptEnd::Unknown("no answer before the deadline".to_owned())),
     }
 }
@@ -268,7 +268,7 @@
 async fn await_head(
     mut stream: LinkStream,
     routed: &RequestHead,
-) -> Result<AnswerHead, AttemptEnd> {
+) -> Result<ResponseHead, AttemptEnd> {
     let span = routed.deadline.remaining(Timestamp::now());
     let Some(message) = timeout(span, stream.next()).await else {
         return Err(AttemptEnd::Unknown("no answer before the deadline".to_owned()));
@@ -292,7 +292,7 @@
             }
             let headers = header_map(&headers, content_type.as_deref());
             let stream = AttemptStream::new(StreamKind::Link(stream));
-            Ok(AnswerHead { stream, status, headers, version, revision, replayed })
+            Ok(ResponseHead { stream, status, headers, version, revision, replayed })
         }
         Some(RequestMessage::Refused { reason, .. }) => Err(AttemptEnd::NotRun(reason)),
         Some(RequestMessage::Failed { detail, .. }) => Err(match RepeatGuard::of(routed) {
--- a/crates/entry/src/caller/events.rs
+++ b/crates/entry/src/caller/events.rs
@@ -18,10 +18,10 @@
 use hyper::{Response, body::Frame};
 
 use super::{
-    InFlight,
-    attempts::{BegunAnswer, RequestAttempts},
-    dispatch::AnswerPart,
-    unchanged::reply_with,
+    RequestGuard,
+    attempts::{RequestAttempts, StartedResponse},
+    dispatch::ResponsePart,
+    passthrough::reply_with,
 };
 
 /// Longest pause between events before another endpoint is asked to go on.
@@ -41,31 +41,31 @@
 /// Reads the events of one answer, over as many endpoints as it takes.
 struct EventReader {
     attempts: RequestAttempts,
-    begun: BegunAnswer,
+    response: StartedResponse,
     splicer: EventSplicer,
 }
 
 /// Passes a stream of events on.
 pub(super) fn stream_reply(
-    guard: InFlight,
+    guard: RequestGuard,
     attempts: RequestAttempts,
-    begun: BegunAnswer,
+    response: StartedResponse,
 ) -> Response<ReplyBody> {
-    let mut reply = reply_with(&begun, full_body(""));
+    let mut reply = reply_with(&response, full_body(""));
     let splicer = EventSplicer::new(attempts.last_event);
-    let reader = EventReader { attempts, begun, splicer };
+    let reader = EventReader { attempts, response, splicer };
     let frames = stream::unfold(Some((guard, reader)), |state| async move {
         let (guard, mut reader) = state?;
         match reader.next_or_resumed().await {
             Ok(Some(events)) => Some((Ok(Frame::data(events)), Some((guard, reader)))),
             Ok(None) => {
-                reader.attempts.note_answered();
-                guard.count(OutcomeKind::Complete);
+                reader.attempts.record_answered();
+                guard.count_outcome(OutcomeKind::Complete);
                 None
             }
             Err(detail) => {
-                guard.count(OutcomeKind::Unknown);
-                log::warn!(target: "outcome", request:% = reader.attempts.head().id, event:? = reader.splicer.last_id(), attempts = reader.begun.attempts, cause:% = detail; "A stream was cut.");
+                guard.count_outcome(OutcomeKind::Unknown);
+                log::warn!(target: "outcome", request:% = reader.attempts.head().id, event:? = reader.splicer.last_id(), attempts = reader.response.attempts, cause:% = detail; "A stream was cut.");
                 Some((Err(io::Error::other(detail)), None))
             }
         }
@@ -106,20 +106,20 @@
         if RepeatGuard::of(self.attempts.head()) == RepeatGuard::Idempotent {
             log::info!(target: "outcome", request:% = self.attempts.head().id, event:? = self.attempts.last_event, cause:? = end; "Resumes a stream.");
         }
-        let begun = self.attempts.begin_again(&self.begun, None, end).await;
-        let begun = begun.map_err(|failed| format!("{:?}", failed.outcome))?;
-        if begun.status != self.begun.status {
-            return Err(format!("another endpoint answered {}", begun.status));
+        let response = self.attempts.retry_cut(&self.response, None, end).await;
+        let response = response.map_err(|failed| format!("{:?}", failed.outcome))?;
+        if response.status != self.response.status {
+            return Err(format!("another endpoint answered {}", response.status));
         }
         self.splicer.break_off();
-        self.begun = begun;
+        self.response = response;
         Ok(())
     }
 
     async fn next(&mut self) -> EventStep {
         loop {
             let left = self.attempts.head().deadline.remaining(Timestamp::now());
-            let part = match timeout(left.min(PAUSE_TIME), self.begun.stream.next()).await {
+            let part = match timeout(left.min(PAUSE_TIME), self.response.stream.next()).await {
                 Some(part) => part,
                 None if left <= PAUSE_TIME => {
                     return cut("the deadline was reached");
@@ -127,18 +127,18 @@
                 None => return EventStep::Silent,
             };
             match part {
-                AnswerPart::Data(bytes) => match self.splicer.push(&bytes) {
+                ResponsePart::Data(bytes) => match self.splicer.push(&bytes) {
                     Ok(events) if events.is_empty() => {}
                     Ok(events) => return EventStep::Events(Bytes::from(events)),
                     Err(error) => return cut(error),
                 },
-                AnswerPart::End(_) => {
+                ResponsePart::End(_) => {
                     return match self.splicer.finish() {
                         Ok(()) => EventStep::End,
                         Err(error) => cut(error),
                     };
                 }
-                AnswerPart::Cut(detail) => return EventStep::Cut(AttemptEnd::Lost(detail)),
+                ResponsePart::Cut(detail) => return EventStep::Cut(AttemptEnd::Lost(detail)),
             }
         }
     }
--- a/crates/entry/src/caller/identify.rs
+++ b/crates/entry/src/caller/identify.rs
@@ -49,7 +49,7 @@
     /// Until when an answer should begin, which bounds the wait for admission.
     pub(crate) admit_by: Deadline,
     /// How its answer goes to the caller.
-    pub(crate) form: AnswerForm,
+    pub(crate) form: ResponseForm,
     /// The last event that the caller has.
     pub(crate) last_event: Option<u64>,
     /// Whether its caller asks for the first time, as far as that shows.
@@ -58,11 +58,11 @@
 
 /// How an answer goes to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum AnswerForm {
+pub(crate) enum ResponseForm {
     /// With its outcome in fields of ours.
     WithOutcome,
     /// As the endpoint gave it.
-    Unchanged,
+    Passthrough,
     /// As the endpoint gave it, event by event.
     Events,
 }
@@ -75,7 +75,7 @@
 
     /// Whether endpoints are reached without an agent between.
     pub(crate) fn is_direct(&self) -> bool {
-        self.form != AnswerForm::WithOutcome
+        self.form != ResponseForm::WithOutcome
     }
 }
 
@@ -153,7 +153,7 @@
         digest: OnceLock::new(),
         fields: HeaderMap::new(),
         max_attempts: settings.max_attempts,
-        form: AnswerForm::WithOutcome,
+        form: ResponseForm::WithOutcome,
         last_event: None,
         turn: CallerTurn::Fresh,
     })
--- a/crates/entry/src/caller/unchanged.rs
+++ b/crates/entry/src/caller/passthrough.rs
@@ -15,9 +15,9 @@
 use hyper::{Response, StatusCode};
 
 use super::{
-    InFlight,
-    attempts::{BegunAnswer, FailedRequest, RequestAttempts},
-    dispatch::AnswerPart,
+    RequestGuard,
+    attempts::{FailedRequest, RequestAttempts, StartedResponse},
+    dispatch::ResponsePart,
     routed::failure_reply,
 };
 
@@ -26,54 +26,54 @@
 
 /// Reads an answer and passes it on; asks another endpoint if it breaks off.
 pub(super) async fn whole_reply(
-    guard: InFlight,
+    guard: RequestGuard,
     mut attempts: RequestAttempts,
-    mut begun: BegunAnswer,
+    mut response: StartedResponse,
 ) -> Response<ReplyBody> {
     loop {
-        let end = match read_whole(&attempts, &mut begun).await {
+        let end = match read_whole(&attempts, &mut response).await {
             Ok(body) => {
-                attempts.note_answered();
-                guard.count(OutcomeKind::Complete);
-                return reply_with(&begun, full_body(body));
+                attempts.record_answered();
+                guard.count_outcome(OutcomeKind::Complete);
+                return reply_with(&response, full_body(body));
             }
             Err(end) => end,
         };
-        match attempts.begin_again(&begun, None, end).await {
-            Ok(next) => begun = next,
+        match attempts.retry_cut(&response, None, end).await {
+            Ok(next) => response = next,
             Err(failed) => return give_up(&guard, &attempts, &failed),
         }
     }
 }
 
 /// The head of an answer with its body.
-pub(super) fn reply_with(begun: &BegunAnswer, body: ReplyBody) -> Response<ReplyBody> {
+pub(super) fn reply_with(response: &StartedResponse, body: ReplyBody) -> Response<ReplyBody> {
     let mut reply = Response::new(body);
-    *reply.status_mut() = StatusCode::from_u16(begun.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    *reply.headers_mut() = begun.headers.clone();
+    *reply.status_mut() = StatusCode::from_u16(response.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    *reply.headers_mut() = response.headers.clone();
     reply
 }
 
 fn give_up(
-    guard: &InFlight,
+    guard: &RequestGuard,
     attempts: &RequestAttempts,
     failed: &FailedRequest,
 ) -> Response<ReplyBody> {
-    guard.count(failed.outcome.kind());
+    guard.count_outcome(failed.outcome.kind());
     failure_reply(attempts.head(), failed)
 }
 
 async fn read_whole(
     attempts: &RequestAttempts,
-    begun: &mut BegunAnswer,
+    response: &mut StartedResponse,
 ) -> Result<Bytes, AttemptEnd> {
     let mut whole = BytesMut::new();
     loop {
         let span = attempts.head().deadline.remaining(Timestamp::now());
-        match timeout(span, begun.stream.next()).await {
-            Some(AnswerPart::Data(bytes)) => whole.extend_from_slice(&bytes),
-            Some(AnswerPart::End(_)) => return Ok(whole.freeze()),
-            Some(AnswerPart::Cut(detail)) => return Err(AttemptEnd::Lost(detail)),
+        match timeout(span, response.stream.next()).await {
+            Some(ResponsePart::Data(bytes)) => whole.extend_from_slice(&bytes),
+            Some(ResponsePart::End(_)) => return Ok(whole.freeze()),
+            Some(ResponsePart::Cut(detail)) => return Err(AttemptEnd::Lost(detail)),
             None => return Err(AttemptEnd::Unknown("the deadline was reached".to_owned())),
         }
         if whole.len() > WHOLE_BYTES {
--- a/crates/entry/src/caller/relay.rs
+++ b/crates/entry/src/caller/relay.rs
@@ -23,62 +23,62 @@
 };
 
 use super::{
-    InFlight,
-    attempts::{BegunAnswer, FailedRequest, RequestAttempts},
-    dispatch::AnswerPart,
+    RequestGuard,
+    attempts::{FailedRequest, RequestAttempts, StartedResponse},
+    dispatch::ResponsePart,
     outcome::{
         OUTCOME_HEADER, REPLAYED_HEADER, TRAILER_NAMES, add_headers, failure_reply, outcome_text,
     },
 };
 
 /// One step of an answer.
-enum AnswerStep {
+enum ResponseStep {
     Data(Bytes),
     End,
     Cut(String),
 }
 
 /// Reads the rest of an answer and checks that it is whole.
-struct AnswerReader {
+struct ResponseReader {
     attempts: RequestAttempts,
-    begun: BegunAnswer,
+    response: StartedResponse,
     received: u64,
     digest: blake3::Hasher,
 }
 
 /// The reply for an answer that has begun.
-pub(crate) async fn answer_reply(
-    guard: InFlight,
+pub(crate) async fn relay_reply(
+    guard: RequestGuard,
     attempts: RequestAttempts,
-    begun: BegunAnswer,
+    response: StartedResponse,
 ) -> Response<ReplyBody> {
     let repeat = attempts.head().repeat;
-    let reader = AnswerReader { attempts, begun, received: 0, digest: blake3::Hasher::new() };
+    let reader = ResponseReader { attempts, response, received: 0, digest: blake3::Hasher::new() };
     match repeat {
         Repeatability::AtMostOnce => whole_reply(guard, reader).await,
         Repeatability::Idempotent => streamed_reply(guard, reader),
     }
 }
 
-impl AnswerReader {
-    async fn next(&mut self) -> AnswerStep {
+impl ResponseReader {
+    async fn next(&mut self) -> ResponseStep {
         match self.next_part().await {
-            AnswerPart::Data(bytes) => self.pass_on(bytes),
-            AnswerPart::End(Some(bytes)) if bytes != self.received => {
-                AnswerStep::Cut(format!("{} of {bytes} bytes arrived", self.received))
+            ResponsePart::Data(bytes) => self.pass_on(bytes),
+            ResponsePart::End(Some(bytes)) if bytes != self.received => {
+                ResponseStep::Cut(format!("{} of {bytes} bytes arrived", self.received))
             }
-            AnswerPart::End(_) => AnswerStep::End,
-            AnswerPart::Cut(detail) => AnswerStep::Cut(detail),
+            ResponsePart::End(_) => ResponseStep::End,
+            ResponsePart::Cut(detail) => ResponseStep::Cut(detail),
         }
     }
 
     /// Like `next`, but lets another endpoint go on where an answer is cut.
-    async fn next_or_resumed(&mut self) -> AnswerStep {
+    async fn next_or_resumed(&mut self) -> ResponseStep {
         let mut step = self.next().await;
-        while let AnswerStep::Cut(detail) = step {
+        while let ResponseStep::Cut(detail) = step {
             step = match self.resume(detail).await {
                 Ok(step) => step,
-                Err(detail) => return AnswerStep::Cut(detail),
+                Err(detail) => return ResponseStep::Cut(detail),
             };
         }
         step
@@ -89,22 +89,22 @@
     /// The second run must begin with the very bytes that its caller has, or the
     /// two would be mixed: their digests are compared before anything follows.
     /// What the caller gets so is the whole answer of the last run.
-    async fn resume(&mut self, detail: String) -> Result<AnswerStep, String> {
-        let version = self.begun.version.clone();
+    async fn resume(&mut self, detail: String) -> Result<ResponseStep, String> {
+        let version = self.response.version.clone();
         log::info!(target: "outcome", request:% = self.attempts.head().id, cause:% = detail, received = self.received; "Resumes a cut answer.");
         let end = AttemptEnd::Unknown(detail);
-        let begun = self.attempts.begin_again(&self.begun, version, end).await;
-        let begun = begun.map_err(|failed| format!("{:?}", failed.outcome))?;
-        let kind = |begun: &BegunAnswer| begun.headers.get(CONTENT_TYPE).cloned();
-        if (begun.status, kind(&begun)) != (self.begun.status, kind(&self.begun)) {
+        let response = self.attempts.retry_cut(&self.response, version, end).await;
+        let response = response.map_err(|failed| format!("{:?}", failed.outcome))?;
+        let kind = |response: &StartedResponse| response.headers.get(CONTENT_TYPE).cloned();
+        if (response.status, kind(&response)) != (self.response.status, kind(&self.response)) {
             return Err("another run answered otherwise".to_owned());
         }
-        self.begun = begun;
+        self.response = response;
         let mut digest = blake3::Hasher::new();
         let mut left = self.received;
         while left > 0 {
             match self.next_part().await {
-                AnswerPart::Data(mut bytes) => {
+                ResponsePart::Data(mut bytes) => {
                     let known = bytes.split_to(bytes.len().min(left as usize));
                     digest.update(&known);
                     left -= known.len() as u64;
@@ -112,8 +112,8 @@
                         return Ok(self.pass_on(bytes));
                     }
                 }
-                AnswerPart::End(_) => return Err("another run answered less".to_owned()),
-                AnswerPart::Cut(detail) => return Ok(AnswerStep::Cut(detail)),
+                ResponsePart::End(_) => return Err("another run answered less".to_owned()),
+                ResponsePart::Cut(detail) => return Ok(ResponseStep::Cut(detail)),
             }
         }
         if self.received == 0 {
@@ -122,58 +122,58 @@
         Err("another run answered otherwise".to_owned())
     }
 
-    fn pass_on(&mut self, bytes: Bytes) -> AnswerStep {
+    fn pass_on(&mut self, bytes: Bytes) -> ResponseStep {
         self.received += bytes.len() as u64;
         self.digest.update(&bytes);
-        AnswerStep::Data(bytes)
+        ResponseStep::Data(bytes)
     }
 
-    async fn next_part(&mut self) -> AnswerPart {
+    async fn next_part(&mut self) -> ResponsePart {
         let span = self.attempts.head().deadline.remaining(Timestamp::now());
-        match timeout(span, self.begun.stream.next()).await {
+        match timeout(span, self.response.stream.next()).await {
             Some(part) => part,
-            None => AnswerPart::Cut("the deadline was reached".to_owned()),
+            None => ResponsePart::Cut("the deadline was reached".to_owned()),
         }
     }
 
     fn add_headers(&self, headers: &mut HeaderMap) {
-        let begun = &self.begun;
-        let (version, revision) = (begun.version.as_ref(), begun.revision);
-        add_headers(headers, self.attempts.head(), version, revision, begun.attempts);
+        let response = &self.response;
+        let (version, revision) = (response.version.as_ref(), response.revision);
+        add_headers(headers, self.attempts.head(), version, revision, response.attempts);
     }
 
     fn reply(&self, body: ReplyBody) -> Response<ReplyBody> {
-        let begun = &self.begun;
+        let response = &self.response;
         let mut reply = Response::new(body);
-        *reply.status_mut() = StatusCode::from_u16(begun.status).unwrap_or(StatusCode::OK);
+        *reply.status_mut() = StatusCode::from_u16(response.status).unwrap_or(StatusCode::OK);
         let headers = reply.headers_mut();
         self.add_headers(headers);
-        if begun.replayed {
+        if response.replayed {
             headers.insert(REPLAYED_HEADER, HeaderValue::from_static("true"));
         }
-        headers.extend(begun.headers.clone());
+        headers.extend(response.headers.clone());
         reply
     }
 }
 
-async fn whole_reply(guard: InFlight, mut reader: AnswerReader) -> Response<ReplyBody> {
+async fn whole_reply(guard: RequestGuard, mut reader: ResponseReader) -> Response<ReplyBody> {
     let mut whole = BytesMut::new();
     loop {
         match reader.next().await {
-            AnswerStep::Data(bytes) => whole.extend_from_slice(&bytes),
-            AnswerStep::End => {
-                guard.count(OutcomeKind::Complete);
+            ResponseStep::Data(bytes) => whole.extend_from_slice(&bytes),
+            ResponseStep::End => {
+                guard.count_outcome(OutcomeKind::Complete);
                 let mut reply = reader.reply(full_body(whole.freeze()));
                 let complete = HeaderValue::from_static(outcome_text(OutcomeKind::Complete));
                 reply.headers_mut().insert(OUTCOME_HEADER, complete);
                 return reply;
             }
-            AnswerStep::Cut(detail) => {
-                guard.count(OutcomeKind::Unknown);
+            ResponseStep::Cut(detail) => {
+                guard.count_outcome(OutcomeKind::Unknown);
                 let failed = FailedRequest {
                     outcome: RequestOutcome::Unknown { detail },
-                    revision: reader.begun.revision,
-                    attempts: reader.begun.attempts,
+                    revision: reader.response.revision,
+                    attempts: reader.response.attempts,
                 };
                 return failure_reply(reader.attempts.head(), &failed);
             }
@@ -181,15 +181,15 @@
     }
 }
 
-fn streamed_reply(guard: InFlight, reader: AnswerReader) -> Response<ReplyBody> {
+fn streamed_reply(guard: RequestGuard, reader: ResponseReader) -> Response<ReplyBody> {
     let mut reply = reader.reply(full_body(""));
     reply.headers_mut().insert(TRAILER, HeaderValue::from_static(TRAILER_NAMES));
     let frames = stream::unfold(Some((guard, reader)), |state| async move {
         let (guard, mut reader) = state?;
         match reader.next_or_resumed().await {
-            AnswerStep::Data(bytes) => Some((Ok(Frame::data(bytes)), Some((guard, reader)))),
-            AnswerStep::End => {
-                guard.count(OutcomeKind::Complete);
+            ResponseStep::Data(bytes) => Some((Ok(Frame::data(bytes)), Some((guard, reader)))),
+            ResponseStep::End => {
+                guard.count_outcome(OutcomeKind::Complete);
                 let complete = HeaderValue::from_static(outcome_text(OutcomeKind::Complete));
                 // A resumed answer has more attempts, and perhaps a later revision,
                 // than its headers could tell.
@@ -198,8 +198,8 @@
                 trailers.insert(OUTCOME_HEADER, complete);
                 Some((Ok(Frame::trailers(trailers)), None))
             }
-            AnswerStep::Cut(detail) => {
-                guard.count(OutcomeKind::Unknown);
+            ResponseStep::Cut(detail) => {
+                guard.count_outcome(OutcomeKind::Unknown);
                 log::warn!(target: "outcome", request:% = reader.attempts.head().id, cause:% = detail; "An answer was cut.");
                 Some((Err(io::Error::other(detail)), None))
             }
--- a/crates/entry/src/caller/routed.rs
+++ b/crates/entry/src/caller/routed.rs
@@ -24,11 +24,11 @@
 use rand::Rng;
 
 use super::{
-    InFlight, admit, advisable,
-    attempts::{BegunAnswer, FailedRequest, RequestAttempts},
-    events,
-    identify::{AnswerForm, IdentifiedRequest},
-    lost, outcome, unchanged,
+    RequestGuard, admit, advice_candidates,
+    attempts::{FailedRequest, RequestAttempts, StartedResponse},
+    crash_detection, events,
+    identify::{IdentifiedRequest, ResponseForm},
+    outcome, passthrough,
 };
 use crate::{routed::RoutedState, shared::EntryShared};
 
@@ -82,40 +82,40 @@
 }
 
 async fn answer(shared: Arc<EntryShared>, request: IdentifiedRequest) -> Response<ReplyBody> {
-    let mut guard = InFlight::begin(shared.clone());
+    let mut guard = RequestGuard::begin(shared.clone());
     // A request that reaches no endpoint would only take the place of another one.
-    let admitted = match lost::refuse_barred(&shared, &request) {
+    let admitted = match crash_detection::refuse_barred(&shared, &request) {
         Ok(()) => admit::admit(&shared, &request).await,
         Err(reason) => Err(reason),
     };
     match admitted {
         Ok(permit) => guard.permit = permit,
         Err(reason) => {
-            guard.count(OutcomeKind::NotRun);
+            guard.count_outcome(OutcomeKind::NotRun);
             let failed = FailedRequest::before_attempts(&shared, reason);
             return failure_reply(&request.head, &failed);
         }
     }
     let mut attempts = RequestAttempts::new(shared, request);
     match attempts.begin().await {
-        Ok(begun) => answer_reply(guard, attempts, begun).await,
+        Ok(response) => relay_reply(guard, attempts, response).await,
         Err(failed) => {
-            guard.count(failed.outcome.kind());
+            guard.count_outcome(failed.outcome.kind());
             failure_reply(attempts.head(), &failed)
         }
     }
 }
 
-async fn answer_reply(
-    guard: InFlight,
+async fn relay_reply(
+    guard: RequestGuard,
     attempts: RequestAttempts,
-    begun: BegunAnswer,
+    response: StartedResponse,
 ) -> Response<ReplyBody> {
-    let is_success = StatusCode::from_u16(begun.status).is_ok_and(|status| status.is_success());
+    let is_success = StatusCode::from_u16(response.status).is_ok_and(|status| status.is_success());
     match attempts.request.form {
-        AnswerForm::Events if is_success => events::stream_reply(guard, attempts, begun),
-        AnswerForm::Events | AnswerForm::Unchanged | AnswerForm::WithOutcome => {
-            unchanged::whole_reply(guard, attempts, begun).await
+        ResponseForm::Events if is_success => events::stream_reply(guard, attempts, response),
+        ResponseForm::Events | ResponseForm::Passthrough | ResponseForm::WithOutcome => {
+            passthrough::whole_reply(guard, attempts, response).await
         }
     }
 }
@@ -132,7 +132,7 @@
         return error_reply(StatusCode::NOT_FOUND, "not-found", message);
     };
     let settings = &shared.settings.caller;
-    let entries = advisable(&shared);
+    let entries = advice_candidates(&shared);
     let own = &shared.settings.place.failure_domain;
     let asked = query.failure_domain.and_then(|name| name.parse().ok());
     let domain = asked.as_ref().unwrap_or(own);
@@ -196,8 +196,8 @@
         max_attempts: rule.max_attempts.max(1),
         admit_by: now.deadline_after(Duration::from_millis(rule.aim_ms / AIM_PART)),
         form: match rule.kind {
-            RouteKind::Idempotent | RouteKind::AtMostOnce => AnswerForm::Unchanged,
-            RouteKind::Stream | RouteKind::ResumableStream => AnswerForm::Events,
+            RouteKind::Idempotent | RouteKind::AtMostOnce => ResponseForm::Passthrough,
+            RouteKind::Stream | RouteKind::ResumableStream => ResponseForm::Events,
         },
         last_event: caller.last_event,
         turn: if is_first { CallerTurn::Fresh } else { CallerTurn::Returned },
--- a/crates/entry/src/control/peers.rs
+++ b/crates/entry/src/control/peers.rs
@@ -333,8 +333,8 @@
     loop {
         let now = Timestamp::now();
         let message = beat_message(&shared);
-        let unchanged = last.as_ref().is_some_and(|last| equal_but_for_load(last, &message));
-        if unchanged && now.since(whole_at) < WHOLE_TIME {
+        let is_unchanged = last.as_ref().is_some_and(|last| equal_but_for_load(last, &message));
+        if is_unchanged && now.since(whole_at) < WHOLE_TIME {
             let in_flight = shared.in_flight.load(Ordering::Relaxed);
             send_to_peers(&shared, &ControlMessage::EntryAlive { in_flight });
         } else {
--- a/crates/entry/src/direct.rs
+++ b/crates/entry/src/direct.rs
@@ -40,7 +40,7 @@
 }
 
 /// The head of an answer and the stream of its rest.
-pub(crate) struct DirectAnswer {
+pub(crate) struct DirectResponse {
     /// Status and header fields.
     pub(crate) parts: Parts,
     /// What they tell.
@@ -86,7 +86,7 @@
         fields: &HeaderMap,
         body: &Bytes,
         leg: &EndpointLeg<'_>,
-    ) -> Result<DirectAnswer, AttemptEnd> {
+    ) -> Result<DirectResponse, AttemptEnd> {
         let request = self.request(head, fields, body, leg)?;
         let (reply, connection) = self.exchange(target, head, request).await?;
         let (parts, body) = reply.into_parts();
@@ -102,7 +102,7 @@
             marks: marks.clone(),
         };
         match check_head(head, &parts, &marks) {
-            Ok(()) => Ok(DirectAnswer { parts, marks, stream }),
+            Ok(()) => Ok(DirectResponse { parts, marks, stream }),
             Err(end) => {
                 if matches!(end, AttemptEnd::NotRun(_)) {
                     stream.reclaim();
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -71,7 +71,7 @@
     }
 
     /// Counts a request's outcome.
-    pub(crate) fn count(&self, kind: OutcomeKind) {
+    pub(crate) fn count_outcome(&self, kind: OutcomeKind) {
         let label = match kind {
             OutcomeKind::Complete => "complete",
             OutcomeKind::NotRun => "not-run",
