--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -26,7 +26,7 @@
     },
     shared::EntryShared,
 };
-use reply::{AdminReply, failed, findings_reply, read_json, text_id};
+use reply::{AdminReply, findings_reply, parse_id, preset_error_reply, read_json};
 
 pub(crate) use status::{EndpointStatus, ServiceStatus, StatusReply};
 
@@ -67,7 +67,7 @@
 /// What a call asks for.
 enum AdminRoute<'a> {
     Status,
-    InForce,
+    ActivePreset,
     History,
     ListPresets,
     GetPreset(&'a str),
@@ -79,14 +79,14 @@
 
 impl<'a> AdminRoute<'a> {
     /// The route of a path, if there is one for `method`.
-    fn find(method: &Method, path: &'a str) -> Option<Self> {
+    fn parse(method: &Method, path: &'a str) -> Option<Self> {
         let parts: Vec<_> = path.trim_start_matches('/').split('/').collect();
         let ["v1", rest @ ..] = parts.as_slice() else {
             return None;
         };
         Some(match (method, rest) {
             (&Method::GET, ["status"]) => Self::Status,
-            (&Method::GET, ["force"]) => Self::InForce,
+            (&Method::GET, ["force"]) => Self::ActivePreset,
             (&Method::GET, ["history"]) => Self::History,
             (&Method::GET, ["presets"]) => Self::ListPresets,
             (&Method::GET, ["presets", name]) => Self::GetPreset(name),
@@ -98,10 +98,10 @@
         })
     }
 
-    fn needed_role(&self) -> OperatorRole {
+    fn required_role(&self) -> OperatorRole {
         match self {
             Self::Status
-            | Self::InForce
+            | Self::ActivePreset
             | Self::History
             | Self::ListPresets
             | Self::GetPreset(_) => OperatorRole::View,
@@ -117,27 +117,27 @@
     shared: Arc<EntryShared>,
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
-    let answered = answer(&shared, request).await;
+    let answered = handle(&shared, request).await;
     answered.unwrap_or_else(|refusal| refusal)
 }
 
-async fn answer(shared: &EntryShared, request: Request<Incoming>) -> AdminReply {
+async fn handle(shared: &EntryShared, request: Request<Incoming>) -> AdminReply {
     let operators = &shared.settings.operators;
     let operator = auth::authenticate(operators, request.headers())
         .inspect_err(|_| shared.metrics.admin_refused.inc())?;
     let (parts, body) = request.into_parts();
-    let route = AdminRoute::find(&parts.method, parts.uri.path()).ok_or_else(|| {
+    let route = AdminRoute::parse(&parts.method, parts.uri.path()).ok_or_else(|| {
         let message = format!("there is no {} {}", parts.method, parts.uri.path());
         error_reply(StatusCode::NOT_FOUND, "not-found", message)
     })?;
-    if operator.role < route.needed_role() {
+    if operator.role < route.required_role() {
         shared.metrics.admin_refused.inc();
         let message = format!("{} may only view", operator.name);
         return Err(error_reply(StatusCode::FORBIDDEN, "forbidden", message));
     }
     match route {
         AdminRoute::Status => Ok(json_reply(StatusCode::OK, &status::build_status(shared))),
-        AdminRoute::InForce => Ok(in_force(shared)),
+        AdminRoute::ActivePreset => Ok(active_preset(shared)),
         AdminRoute::History => history(shared).await,
         AdminRoute::ListPresets => list_presets(shared).await,
         AdminRoute::GetPreset(name) => get_preset(shared, name).await,
@@ -148,20 +148,22 @@
     }
 }
 
-fn in_force(shared: &EntryShared) -> Response<ReplyBody> {
+fn active_preset(shared: &EntryShared) -> Response<ReplyBody> {
     let preset: Option<Arc<ForcedPreset>> = shared.active_preset.load_full();
     json_reply(StatusCode::OK, &preset)
 }
 
 async fn list_presets(shared: &EntryShared) -> AdminReply {
-    let rows = shared.table.scan("preset/").await.map_err(|error| failed(error.into()))?;
+    let rows =
+        shared.table.scan("preset/").await.map_err(|error| preset_error_reply(error.into()))?;
     let names: Vec<_> = rows.iter().filter_map(|row| row.key.strip_prefix("preset/")).collect();
     Ok(json_reply(StatusCode::OK, &names))
 }
 
 async fn get_preset(shared: &EntryShared, name: &str) -> AdminReply {
-    let name: PresetName = text_id("the preset name", name)?;
-    let content = change::get_preset(shared.table.as_ref(), &name).await.map_err(failed)?;
+    let name: PresetName = parse_id("the preset name", name)?;
+    let content =
+        change::get_preset(shared.table.as_ref(), &name).await.map_err(preset_error_reply)?;
     Ok(json_reply(StatusCode::OK, &content))
 }
 
@@ -171,26 +173,27 @@
     name: &str,
     body: Incoming,
 ) -> AdminReply {
-    let name: PresetName = text_id("the preset name", name)?;
-    let mut content: PresetContent = read_json(body, body_time(shared)).await?;
+    let name: PresetName = parse_id("the preset name", name)?;
+    let mut content: PresetContent = read_json(body, body_timeout(shared)).await?;
     let findings = content.check(name.as_str());
     if !findings.is_empty() {
         return Err(findings_reply(&findings));
     }
-    change::pin_manifests(shared, &mut content).await.map_err(failed)?;
-    let row_revision =
-        change::put_preset(shared.table.as_ref(), &name, &content).await.map_err(failed)?;
+    change::pin_manifests(shared, &mut content).await.map_err(preset_error_reply)?;
+    let row_revision = change::put_preset(shared.table.as_ref(), &name, &content)
+        .await
+        .map_err(preset_error_reply)?;
     log::info!(target: "admin", operator:% = operator, preset:% = name, row_revision = row_revision; "Stored a preset.");
     Ok(json_reply(StatusCode::OK, &StoredReply { preset: name, row_revision, content }))
 }
 
 async fn history(shared: &EntryShared) -> AdminReply {
-    let changes = change::history(shared.table.as_ref()).await.map_err(failed)?;
+    let changes = change::history(shared.table.as_ref()).await.map_err(preset_error_reply)?;
     Ok(json_reply(StatusCode::OK, &changes))
 }
 
 async fn force(shared: &EntryShared, operator: &OperatorName, body: Incoming) -> AdminReply {
-    let call: ForceCall = read_json(body, body_time(shared)).await?;
+    let call: ForceCall = read_json(body, body_timeout(shared)).await?;
     let change = call.change.clone();
     let request = ChangeRequest {
         preset: call.preset,
@@ -199,7 +202,7 @@
         fresh: call.fresh,
         known: shared.known_revision(),
     };
-    let reply = change::force_preset(shared, request).await.map_err(failed)?;
+    let reply = change::force_preset(shared, request).await.map_err(preset_error_reply)?;
     let (status, result) = match &reply {
         ChangeReply::Accepted { .. } => (StatusCode::OK, "accepted"),
         ChangeReply::Conflict { .. } => (StatusCode::CONFLICT, "conflict"),
@@ -211,18 +214,19 @@
 }
 
 async fn stage(shared: &EntryShared, operator: &OperatorName, name: &str) -> AdminReply {
-    let name = text_id("the preset name", name)?;
-    let staged = staging::stage_preset(shared, &name, operator).await.map_err(failed)?;
+    let name = parse_id("the preset name", name)?;
+    let staged =
+        staging::stage_preset(shared, &name, operator).await.map_err(preset_error_reply)?;
     Ok(json_reply(StatusCode::OK, &staged))
 }
 
 fn drain(shared: &EntryShared, operator: &OperatorName, instance: &str) -> AdminReply {
-    let instance: InstanceId = text_id("the instance", instance)?;
+    let instance: InstanceId = parse_id("the instance", instance)?;
     log::info!(target: "admin", operator:% = operator, instance:% = instance; "Asked an instance to leave.");
     drains::request_drain(shared, &instance);
     Ok(json_reply(StatusCode::ACCEPTED, &DrainReply { instance }))
 }
 
-fn body_time(shared: &EntryShared) -> Duration {
+fn body_timeout(shared: &EntryShared) -> Duration {
     Duration::from_millis(shared.settings.limits.body_ms)
 }
--- a/crates/entry/src/admin/reply.rs
+++ b/crates/entry/src/admin/reply.rs
@@ -59,7 +59,7 @@
 }
 
 /// Reads an identifier of the path.
-pub(super) fn text_id<T>(what: &str, text: &str) -> Result<T, Response<ReplyBody>>
+pub(super) fn parse_id<T>(what: &str, text: &str) -> Result<T, Response<ReplyBody>>
 where
     T: std::str::FromStr<Err: std::fmt::Display>,
 {
@@ -67,7 +67,7 @@
 }
 
 /// The refusal that an error about presets leads to.
-pub(super) fn failed(error: PresetError) -> Response<ReplyBody> {
+pub(super) fn preset_error_reply(error: PresetError) -> Response<ReplyBody> {
     let (status, code) = match &error {
         PresetError::Store(_) => (StatusCode::SERVICE_UNAVAILABLE, "store"),
         PresetError::Manifest { .. } => (StatusCode::UNPROCESSABLE_ENTITY, "manifest"),
--- a/crates/entry/src/admin/status.rs
+++ b/crates/entry/src/admin/status.rs
@@ -87,7 +87,7 @@
             version: target.version.clone(),
             replicas_wanted: target.replicas,
             replicas_ready,
-            progress: progress_of(shared, name, target, &endpoints),
+            progress: service_progress(shared, name, target, &endpoints),
         };
         services.insert(name.clone(), status);
     }
@@ -124,13 +124,13 @@
 fn staging_status(shared: &EntryShared, endpoints: &[EndpointStatus]) -> Option<StagingStatus> {
     let ahead = &current_staging(shared)?.staged;
     let services = ahead.content.services.iter().filter_map(|(name, target)| {
-        Some((name.clone(), progress_of(shared, name, target, endpoints)?))
+        Some((name.clone(), service_progress(shared, name, target, endpoints)?))
     });
     let (preset, staged_at) = (ahead.preset.clone(), ahead.staged_at);
     Some(StagingStatus { preset, staged_at, services: services.collect() })
 }
 
-fn progress_of(
+fn service_progress(
     shared: &EntryShared,
     service: &ServiceName,
     target: &ServiceTarget,
--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -17,12 +17,12 @@
 use crate::shared::EntryShared;
 
 /// Age at which the capacity is added up again, in milliseconds.
-const CAPACITY_MS: u64 = 20;
+const CAPACITY_TTL_MS: u64 = 20;
 
 /// Admission to one service.
 #[derive(Debug)]
 pub(crate) struct EntryAdmission {
-    places: ServiceAdmission<Sender<AdmitVerdict>>,
+    queue: ServiceAdmission<Sender<AdmitVerdict>>,
     capacity: AtomicU32,
     measured_at: AtomicU64,
 }
@@ -42,7 +42,7 @@
     /// An admission in which at most `most` requests wait.
     pub(crate) fn new(most: usize) -> Self {
         Self {
-            places: ServiceAdmission::new(most),
+            queue: ServiceAdmission::new(most),
             capacity: AtomicU32::new(0),
             measured_at: AtomicU64::new(0),
         }
@@ -50,9 +50,9 @@
 
     /// Requests that this entry may have in progress at all endpoints; zero if
     /// none serves, which routing tells better than a queue could.
-    fn refresh(&self, shared: &EntryShared, service: &ServiceName, now: Timestamp) -> u32 {
+    fn refresh_capacity(&self, shared: &EntryShared, service: &ServiceName, now: Timestamp) -> u32 {
         let measured_at = self.measured_at.load(Ordering::Relaxed);
-        if now.0 < measured_at + CAPACITY_MS {
+        if now.0 < measured_at + CAPACITY_TTL_MS {
             return self.capacity.load(Ordering::Relaxed);
         }
         let preset = shared.active_preset.load();
@@ -67,7 +67,7 @@
 
     fn release(&self) {
         let capacity = self.capacity.load(Ordering::Relaxed);
-        self.places.release(capacity, Timestamp::now(), tell);
+        self.queue.release(capacity, Timestamp::now(), send_verdict);
     }
 }
 
@@ -89,7 +89,7 @@
 }
 
 /// Tells a waiting request its verdict; false if its caller is gone.
-fn tell(waiting: Sender<AdmitVerdict>, verdict: AdmitVerdict) -> bool {
+fn send_verdict(waiting: Sender<AdmitVerdict>, verdict: AdmitVerdict) -> bool {
     waiting.try_send(verdict).is_ok()
 }
 
@@ -106,11 +106,11 @@
         return Ok(None);
     }
     let admission = shared.admission(&head.service);
-    let capacity = admission.refresh(shared, &head.service, now);
+    let capacity = admission.refresh_capacity(shared, &head.service, now);
     if capacity == 0 {
         return Ok(None);
     }
-    if admission.places.admit_now(request.turn, capacity) {
+    if admission.queue.admit_now(request.turn, capacity) {
         return Ok(Some(AdmitPermit { admission }));
     }
     let ticket = AdmitTicket {
@@ -120,17 +120,17 @@
         turn: request.turn,
     };
     let (sender, verdict) = bounded(1);
-    let place = QueueSlot { admission: admission.clone(), verdict };
-    admission.places.wait(&ticket, sender, capacity, now, tell);
-    let half: Duration = admit_by.remaining(now) / 2;
-    let verdict = timeout(half, place.verdict.recv()).await;
+    let slot = QueueSlot { admission: admission.clone(), verdict };
+    admission.queue.wait(&ticket, sender, capacity, now, send_verdict);
+    let max_wait: Duration = admit_by.remaining(now) / 2;
+    let verdict = timeout(max_wait, slot.verdict.recv()).await;
     let refused = match verdict {
         Some(Ok(AdmitVerdict::Admitted)) => return Ok(Some(AdmitPermit { admission })),
         Some(Ok(AdmitVerdict::Refused(reason))) => reason,
         Some(Err(_)) => NotRunReason::Overloaded,
         None => NotRunReason::DeadlineTooClose,
     };
-    let (active, waiting) = (admission.places.active(), admission.places.waiting());
+    let (active, waiting) = (admission.queue.active(), admission.queue.waiting());
     log::info!(target: "admit", request:% = head.id, workspace:% = head.workspace, reason:% = refused, active = active, waiting = waiting, capacity = capacity; "Refused a request.");
     Err(refused)
 }
--- a/crates/entry/src/caller/attempts.rs
+++ b/crates/entry/src/caller/attempts.rs
@@ -31,7 +31,7 @@
 /// An answer that broke off has cost its caller time and an engine work. When
 /// an engine dies the others are often full, and refusing would waste both;
 /// the requests of one dead engine are one or two for each of the others.
-const REPEAT_ROOM: u32 = 4;
+const RETRY_EXTRA_SLOTS: u32 = 4;
 
 /// Lowest status of a failure that is the endpoint's own.
 const SERVER_ERROR: u16 = 500;
@@ -53,7 +53,7 @@
     /// Attempts that it took.
     pub(crate) attempts: u32,
     /// Where it runs.
-    run: RunTarget,
+    target: RunTarget,
     /// Counts the request at its endpoint until the answer ends.
     _load: LoadGuard,
 }
@@ -85,7 +85,7 @@
 
 impl LoadGuard {
     /// Takes over a request that is counted at the endpoint already.
-    fn taken(cell: Arc<EndpointCell>, service: Arc<AtomicU32>) -> Self {
+    fn adopt(cell: Arc<EndpointCell>, service: Arc<AtomicU32>) -> Self {
         service.fetch_add(1, Ordering::Relaxed);
         Self { cell, service }
     }
@@ -143,23 +143,23 @@
     /// Tries until an answer begins or the request is given up.
     pub(crate) async fn begin(&mut self) -> Result<StartedResponse, FailedRequest> {
         loop {
-            match self.try_preset().await {
-                Ok(response) if self.may_ask_another(&response) => {
+            match self.attempt().await {
+                Ok(response) if self.may_retry_elsewhere(&response) => {
                     let end = AttemptEnd::Unknown(format!("answered {}", response.status));
-                    if self.after(end).await.is_err() {
+                    if self.await_retry(end).await.is_err() {
                         // The failure is the endpoint's own answer, and the
                         // last one that there will be.
                         return Ok(response);
                     }
                 }
                 Ok(response) => return Ok(response),
-                Err(end) => self.after(end).await?,
+                Err(end) => self.await_retry(end).await?,
             }
         }
     }
 
     /// Whether an endpoint failed at a request that another one may answer.
-    fn may_ask_another(&self, response: &StartedResponse) -> bool {
+    fn may_retry_elsewhere(&self, response: &StartedResponse) -> bool {
         self.request.is_direct()
             && response.status >= SERVER_ERROR
             && self.head().repeat == Repeatability::Idempotent
@@ -175,21 +175,21 @@
         end: AttemptEnd,
     ) -> Result<StartedResponse, FailedRequest> {
         self.version = version;
-        let lost_run = LostRun { place: &cut.run, answering: cut.stream.has_data(), end: &end };
+        let lost_run = LostRun { target: &cut.target, answering: cut.stream.has_data(), end: &end };
         record_lost_run(&self.shared, &self.request, lost_run).await;
         self.suspect_run = None;
-        self.after(end).await?;
+        self.await_retry(end).await?;
         self.begin().await
     }
 
-    async fn try_preset(&mut self) -> Result<StartedResponse, AttemptEnd> {
+    async fn attempt(&mut self) -> Result<StartedResponse, AttemptEnd> {
         let preset =
             preset_in_force(&self.shared, &self.request.head).map_err(AttemptEnd::NotRun)?;
         self.revision = preset.revision;
         self.suspect_run = None;
         let turn = await_turn(&self.shared, &self.request).await;
         self.suspect_run = turn.map_err(AttemptEnd::NotRun)?;
-        self.try_once(&preset).await
+        self.route_and_dispatch(&preset).await
     }
 
     /// Notes that the answer was whole.
@@ -198,7 +198,7 @@
     }
 
     /// Waits until the next attempt, if one is allowed.
-    async fn after(&mut self, end: AttemptEnd) -> Result<(), FailedRequest> {
+    async fn await_retry(&mut self, end: AttemptEnd) -> Result<(), FailedRequest> {
         let now = Timestamp::now();
         let next_at = match self.tracker.after(end, &self.budget, now, &mut rand::rng()) {
             RetryStep::Again(next_at) => next_at,
@@ -215,7 +215,10 @@
         Ok(())
     }
 
-    async fn try_once(&mut self, preset: &ForcedPreset) -> Result<StartedResponse, AttemptEnd> {
+    async fn route_and_dispatch(
+        &mut self,
+        preset: &ForcedPreset,
+    ) -> Result<StartedResponse, AttemptEnd> {
         let (shared, head) = (&self.shared, &self.request.head);
         let now = Timestamp::now();
         let allowed = shared.allowed_versions(&head.service, now);
@@ -228,7 +231,7 @@
             version: self.version.as_ref(),
             allowed: allowed.as_deref(),
             extra_room: if self.tracker.attempts() > 0 && self.request.is_direct() {
-                REPEAT_ROOM
+                RETRY_EXTRA_SLOTS
             } else {
                 0
             },
@@ -239,11 +242,11 @@
         let choice = routes.take(&query, &mut rand::rng());
         let (Some(choice), Some(service)) = (choice, routes.service(&head.service)) else {
             log::info!(target: "route", request:% = head.id, workspace:% = head.workspace, service:% = head.service, revision = preset.revision.0, excluded = self.excluded.len(); "No endpoint for a request.");
-            return Err(AttemptEnd::NotRun(no_endpoint(&routes, head)));
+            return Err(AttemptEnd::NotRun(no_endpoint_reason(&routes, head)));
         };
         let candidate = choice.candidate;
         log::info!(target: "route", request:% = head.id, workspace:% = head.workspace, endpoint:% = candidate.instance, reason = choice.reason.as_str(), cost = choice.cost, near = candidate.is_near, candidates = choice.candidates, revision = preset.revision.0, attempt = self.tracker.attempts() + 1; "Chose an endpoint.");
-        let load = LoadGuard::taken(candidate.cell.clone(), service.in_flight().clone());
+        let load = LoadGuard::adopt(candidate.cell.clone(), service.in_flight().clone());
         let (instance, path) = (candidate.instance.clone(), candidate.path);
         let candidate_version = candidate.version.clone();
         let version = match path {
@@ -267,9 +270,9 @@
         {
             Ok(response) => response,
             Err(end) => {
-                note_end(shared, &routed, self.excluded.last(), &load.cell, &end);
-                let place = RunTarget { instance, path };
-                let lost_run = LostRun { place: &place, answering: false, end: &end };
+                record_failure(shared, &routed, self.excluded.last(), &load.cell, &end);
+                let target = RunTarget { instance, path };
+                let lost_run = LostRun { target: &target, answering: false, end: &end };
                 record_lost_run(shared, &self.request, lost_run).await;
                 return Err(end);
             }
@@ -285,7 +288,7 @@
             revision: response.revision,
             replayed: response.replayed,
             attempts: self.tracker.attempts(),
-            run: RunTarget { instance, path },
+            target: RunTarget { instance, path },
             _load: load,
         })
     }
@@ -306,7 +309,7 @@
 }
 
 /// Why no endpoint was found: none serves, or each is at its limit.
-fn no_endpoint(routes: &RouteSnapshot, head: &RequestHead) -> NotRunReason {
+fn no_endpoint_reason(routes: &RouteSnapshot, head: &RequestHead) -> NotRunReason {
     match routes.service(&head.service) {
         Some(service) if service.in_flight().load(Ordering::Relaxed) > 0 => {
             NotRunReason::Overloaded
@@ -316,7 +319,7 @@
 }
 
 /// Learns from an attempt that gave no answer.
-fn note_end(
+fn record_failure(
     shared: &EntryShared,
     head: &RequestHead,
     instance: Option<&InstanceId>,
--- a/crates/entry/src/caller/crash_detection.rs
+++ b/crates/entry/src/caller/crash_detection.rs
@@ -21,10 +21,10 @@
 };
 
 /// Time in which an address of another region refuses a connection.
-const PROBE_TIME: Duration = Duration::from_millis(100);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time between looks whether the run of a suspect may begin.
-const TURN_TIME: Duration = Duration::from_millis(20);
+const TURN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Where a request runs.
 pub(super) struct RunTarget {
@@ -37,7 +37,7 @@
 /// A run that ended without a whole answer.
 pub(super) struct LostRun<'a> {
     /// Where it ran.
-    pub(super) place: &'a RunTarget,
+    pub(super) target: &'a RunTarget,
     /// Whether some bytes of the answer had come.
     pub(super) answering: bool,
     /// How it ended.
@@ -50,16 +50,16 @@
     request: &IdentifiedRequest,
     lost: LostRun<'_>,
 ) {
-    let (AttemptEnd::Lost(cause), EndpointPath::Direct(addr)) = (lost.end, lost.place.path) else {
+    let (AttemptEnd::Lost(cause), EndpointPath::Direct(addr)) = (lost.end, lost.target.path) else {
         return;
     };
     let Some(routed) = &shared.routed else {
         return;
     };
     let ended_at = Timestamp::now();
-    let instance = &lost.place.instance;
+    let instance = &lost.target.instance;
     let digest = request.digest();
-    let has_ended = !leaves(routed, instance) && refuses(addr).await;
+    let has_ended = !has_left(routed, instance) && refuses_connections(addr).await;
     log::info!(target: "direct", request:% = request.head.id, digest:% = digest, endpoint:% = instance, answering = lost.answering, ended = has_ended, cause:% = cause; "An endpoint was lost under a request.");
     if has_ended {
         let endpoint = subject_of(instance.as_str());
@@ -94,14 +94,14 @@
 }
 
 /// Whether an endpoint leaves as planned, or has left.
-fn leaves(routed: &RoutedState, instance: &InstanceId) -> bool {
+fn has_left(routed: &RoutedState, instance: &InstanceId) -> bool {
     let listing = routed.listing();
     !listing.endpoints().any(|listed| listed.instance == *instance && !listed.is_leaving)
 }
 
 /// Whether `addr` refuses connections; false if it does not answer in time.
-async fn refuses(addr: SocketAddr) -> bool {
-    let dialled = timeout(PROBE_TIME, dial(addr, None)).await;
+async fn refuses_connections(addr: SocketAddr) -> bool {
+    let dialled = timeout(PROBE_TIMEOUT, dial(addr, None)).await;
     matches!(dialled, Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
@@ -161,6 +161,6 @@
             }
             Some(_) => {}
         }
-        Timer::after(TURN_TIME).await;
+        Timer::after(TURN_CHECK_INTERVAL).await;
     }
 }
--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -95,7 +95,7 @@
 
     async fn read(&mut self) -> ResponsePart {
         match &mut self.kind {
-            StreamKind::Link(stream) => next_of_link(stream).await,
+            StreamKind::Link(stream) => next_link_part(stream).await,
             StreamKind::Direct(stream) => match stream.next().await {
                 DirectPart::Data(bytes) => ResponsePart::Data(bytes),
                 DirectPart::End => ResponsePart::End(None),
@@ -114,10 +114,10 @@
     }
 }
 
-async fn next_of_link(stream: &mut LinkStream) -> ResponsePart {
+async fn next_link_part(stream: &mut LinkStream) -> ResponsePart {
     match stream.next().await {
         Some(RequestMessage::Data { bytes, .. }) => {
-            stream.grant(bytes.len()).await;
+            stream.grant_credit(bytes.len()).await;
             ResponsePart::Data(Bytes::from(bytes))
         }
         Some(RequestMessage::End { bytes, .. }) => ResponsePart::End(Some(bytes)),
@@ -158,8 +158,8 @@
     cell: &EndpointCell,
     start_by: Option<Deadline>,
 ) -> Result<ResponseHead, AttemptEnd> {
-    let mut watch = LatencyTimer::start(cell);
-    let beginning = begin(shared, path, &sent, cell);
+    let mut timer = LatencyTimer::start(cell);
+    let starting = send_and_await_start(shared, path, &sent, cell);
     let response = match start_by.filter(|_| sent.head.repeat == Repeatability::Idempotent) {
         // A request may wait in the engine's queue until the engine's version may
         // not answer any more. It is taken back before, while others can answer.
@@ -167,16 +167,16 @@
             let late =
                 || Err(AttemptEnd::Unknown("its version may not answer any more".to_owned()));
             let left = start_by.remaining(Timestamp::now());
-            timeout(left, beginning).await.unwrap_or_else(late)?
+            timeout(left, starting).await.unwrap_or_else(late)?
         }
-        None => beginning.await?,
+        None => starting.await?,
     };
-    watch.answered = true;
+    timer.answered = true;
     Ok(response)
 }
 
 /// Sends an attempt; done once its answer has begun as far as it has to be known.
-async fn begin(
+async fn send_and_await_start(
     shared: &EntryShared,
     path: EndpointPath,
     sent: &DispatchedRequest<'_>,
@@ -185,11 +185,11 @@
     let mut response = match (path, &shared.routed) {
         (EndpointPath::Agent, _) => {
             let link = shared.links.load().get(sent.instance).cloned();
-            through_agent(link, sent.head, &sent.request.body).await?
+            dispatch_through_agent(link, sent.head, &sent.request.body).await?
         }
         (EndpointPath::Direct(addr), Some(routed)) => {
             let target = DirectTarget { instance: sent.instance, addr };
-            straight(routed, target, sent, cell).await?
+            dispatch_direct(routed, target, sent, cell).await?
         }
         // Only the list gives such paths, and nobody follows it then.
         (EndpointPath::Direct(_), None) => {
@@ -202,7 +202,7 @@
     Ok(response)
 }
 
-async fn straight(
+async fn dispatch_direct(
     routed: &RoutedState,
     target: DirectTarget<'_>,
     sent: &DispatchedRequest<'_>,
@@ -237,7 +237,7 @@
     LoadReport { in_flight: load.running, queued: load.waiting, measured_at: Timestamp::now() }
 }
 
-async fn through_agent(
+async fn dispatch_through_agent(
     link: Option<Arc<AgentLink>>,
     routed: &RequestHead,
     body: &Bytes,
--- a/crates/entry/src/caller/events.rs
+++ b/crates/entry/src/caller/events.rs
@@ -28,7 +28,7 @@
 ///
 /// A busy engine makes an event every 40 to 120 ms; callers count a pause of
 /// 300 ms as late and leave after some two seconds.
-const PAUSE_TIME: Duration = Duration::from_millis(1_200);
+const MAX_EVENT_GAP: Duration = Duration::from_millis(1_200);
 
 /// One step of a stream.
 enum EventStep {
@@ -119,9 +119,9 @@
     async fn next(&mut self) -> EventStep {
         loop {
             let left = self.attempts.head().deadline.remaining(Timestamp::now());
-            let part = match timeout(left.min(PAUSE_TIME), self.response.stream.next()).await {
+            let part = match timeout(left.min(MAX_EVENT_GAP), self.response.stream.next()).await {
                 Some(part) => part,
-                None if left <= PAUSE_TIME => {
+                None if left <= MAX_EVENT_GAP => {
                     return cut("the deadline was reached");
                 }
                 None => return EventStep::Silent,
--- a/crates/entry/src/caller/identify.rs
+++ b/crates/entry/src/caller/identify.rs
@@ -16,7 +16,7 @@
 use crate::shared::EntryShared;
 
 /// Time for a body whose deadline is past or near; its caller is then told so.
-const MIN_BODY_TIME: Duration = Duration::from_secs(1);
+const MIN_BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Header that names the caller's workspace.
 pub(crate) const WORKSPACE_HEADER: &str = "cassiawheel-workspace";
@@ -131,7 +131,7 @@
     // A caller that stalls in the middle of its body would hold its connection
     // for as long as it likes.
     let limit = Duration::from_millis(shared.settings.limits.body_ms);
-    let span = limit.min(head.deadline.remaining(Timestamp::now()).max(MIN_BODY_TIME));
+    let span = limit.min(head.deadline.remaining(Timestamp::now()).max(MIN_BODY_TIMEOUT));
     let body = read_body_within(body, settings.max_body_bytes, span).await;
     let body = body.map_err(|error| match error {
         BodyError::TooLong => BadRequest {
--- a/crates/entry/src/caller/passthrough.rs
+++ b/crates/entry/src/caller/passthrough.rs
@@ -22,7 +22,7 @@
 };
 
 /// Largest answer that is read as a whole, in bytes; far above those of plain services.
-const WHOLE_BYTES: usize = 4 << 20;
+const MAX_WHOLE_BYTES: usize = 4 << 20;
 
 /// Reads an answer and passes it on; asks another endpoint if it breaks off.
 pub(super) async fn whole_reply(
@@ -41,7 +41,7 @@
         };
         match attempts.retry_cut(&response, None, end).await {
             Ok(next) => response = next,
-            Err(failed) => return give_up(&guard, &attempts, &failed),
+            Err(failed) => return fail(&guard, &attempts, &failed),
         }
     }
 }
@@ -54,7 +54,7 @@
     reply
 }
 
-fn give_up(
+fn fail(
     guard: &RequestGuard,
     attempts: &RequestAttempts,
     failed: &FailedRequest,
@@ -76,8 +76,8 @@
             Some(ResponsePart::Cut(detail)) => return Err(AttemptEnd::Lost(detail)),
             None => return Err(AttemptEnd::Unknown("the deadline was reached".to_owned())),
         }
-        if whole.len() > WHOLE_BYTES {
-            let detail = format!("the answer has more than {WHOLE_BYTES} bytes");
+        if whole.len() > MAX_WHOLE_BYTES {
+            let detail = format!("the answer has more than {MAX_WHOLE_BYTES} bytes");
             return Err(AttemptEnd::Unknown(detail));
         }
     }
--- a/crates/entry/src/caller/relay.rs
+++ b/crates/entry/src/caller/relay.rs
@@ -63,7 +63,7 @@
 impl ResponseReader {
     async fn next(&mut self) -> ResponseStep {
         match self.next_part().await {
-            ResponsePart::Data(bytes) => self.pass_on(bytes),
+            ResponsePart::Data(bytes) => self.record_bytes(bytes),
             ResponsePart::End(Some(bytes)) if bytes != self.received => {
                 ResponseStep::Cut(format!("{} of {bytes} bytes arrived", self.received))
             }
@@ -109,7 +109,7 @@
                     digest.update(&known);
                     left -= known.len() as u64;
                     if left == 0 && digest.finalize() == self.digest.finalize() {
-                        return Ok(self.pass_on(bytes));
+                        return Ok(self.record_bytes(bytes));
                     }
                 }
                 ResponsePart::End(_) => return Err("another run answered less".to_owned()),
@@ -122,7 +122,7 @@
         Err("another run answered otherwise".to_owned())
     }
 
-    fn pass_on(&mut self, bytes: Bytes) -> ResponseStep {
+    fn record_bytes(&mut self, bytes: Bytes) -> ResponseStep {
         self.received += bytes.len() as u64;
         self.digest.update(&bytes);
         ResponseStep::Data(bytes)
--- a/crates/entry/src/caller/routed.rs
+++ b/crates/entry/src/caller/routed.rs
@@ -33,21 +33,21 @@
 use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Workspace of requests that carry no key.
-const NO_WORKSPACE: &str = "public";
+const PUBLIC_WORKSPACE: &str = "public";
 
 /// When a caller should come back that was refused for want of room.
 ///
 /// Whoever comes back has missed the aim in any case, so that the wait costs
 /// nothing but gives the crowd time to pass: engines that lost their weights
 /// serve again after three to four seconds, and a burst lasts about as long.
-const CROWDED_TIME: Duration = Duration::from_millis(2_000);
+const OVERLOAD_RETRY_DELAY: Duration = Duration::from_millis(2_000);
 
 /// Part of a route's aim by which a request has to be admitted; half of that
 /// time is the longest wait.
 ///
 /// A busy engine takes 130 to 250 ms to begin an answer and aims are 300 to
 /// 400 ms, so a quarter is what is left.
-const AIM_PART: u64 = 2;
+const AIM_DIVISOR: u64 = 2;
 
 /// When a caller should come back to an entry that knows no preset yet, in seconds.
 const START_RETRY_S: &str = "0.3";
@@ -134,15 +134,15 @@
     let settings = &shared.settings.caller;
     let entries = advice_candidates(&shared);
     let own = &shared.settings.place.failure_domain;
-    let asked = query.failure_domain.and_then(|name| name.parse().ok());
-    let domain = asked.as_ref().unwrap_or(own);
-    let keep = Duration::from_millis(settings.advice_ms);
-    let valid_until = Timestamp::now().deadline_after(keep);
+    let requested = query.failure_domain.and_then(|name| name.parse().ok());
+    let domain = requested.as_ref().unwrap_or(own);
+    let ttl = Duration::from_millis(settings.advice_ms);
+    let valid_until = Timestamp::now().deadline_after(ttl);
     let advice = advise(&entries, domain, settings.advice_addresses, valid_until, &mut rand::rng());
     let near = entries.iter().filter(|e| e.failure_domain == *domain && !e.leaving).count();
     let count = if near > 0 { near } else { advice.addresses.len() };
     let addresses = &advice.addresses[..count.min(advice.addresses.len())];
-    let mut reply = Response::new(full_body(routed.callers.advice_body(addresses, keep)));
+    let mut reply = Response::new(full_body(routed.callers.advice_body(addresses, ttl)));
     reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     reply
 }
@@ -194,7 +194,7 @@
         fields: routed.callers.end_to_end(&parts.headers),
         workspace,
         max_attempts: rule.max_attempts.max(1),
-        admit_by: now.deadline_after(Duration::from_millis(rule.aim_ms / AIM_PART)),
+        admit_by: now.deadline_after(Duration::from_millis(rule.aim_ms / AIM_DIVISOR)),
         form: match rule.kind {
             RouteKind::Idempotent | RouteKind::AtMostOnce => ResponseForm::Passthrough,
             RouteKind::Stream | RouteKind::ResumableStream => ResponseForm::Events,
@@ -217,12 +217,12 @@
     workspace: Option<&WorkspaceId>,
     now: Timestamp,
 ) -> Result<RequestHead, CallerRefusal> {
-    let bad = |error: &dyn std::fmt::Display| {
+    let internal_error = |error: &dyn std::fmt::Display| {
         CallerRefusal::Bad(StatusCode::INTERNAL_SERVER_ERROR, error.to_string())
     };
     let workspace = match workspace {
         Some(workspace) => workspace.clone(),
-        None => WorkspaceId::new(NO_WORKSPACE).map_err(|error| bad(&error))?,
+        None => WorkspaceId::new(PUBLIC_WORKSPACE).map_err(|error| internal_error(&error))?,
     };
     let service = draw_service(rule, rand::rng().random()).ok_or(CallerRefusal::NoRoute)?;
     let timeout = Duration::from_millis(rule.timeout_ms);
@@ -295,7 +295,7 @@
             RequestOutcome::NotRun { reason: NotRunReason::Quarantined, .. } => {
                 Duration::from_millis(wait_ms)
             }
-            _ => CROWDED_TIME,
+            _ => OVERLOAD_RETRY_DELAY,
         };
         let wait_s = format!("{:.3}", wait.as_secs_f64());
         if let Ok(wait_s) = HeaderValue::from_str(&wait_s) {
--- a/crates/entry/src/cli.rs
+++ b/crates/entry/src/cli.rs
@@ -1,11 +1,11 @@
 //! The command line: `serve`, `check-config` and the operator's commands.
 
 mod client;
+mod deployment;
 mod diff;
 mod exit;
 mod preset;
 mod table;
-mod watch;
 
 use std::{
     path::{Path, PathBuf},
@@ -49,9 +49,9 @@
     Serve(ServeArgs),
     CheckConfig(CheckArgs),
     Preset(preset::PresetArgs),
-    Rollout(watch::RolloutArgs),
-    Status(watch::StatusArgs),
-    Drain(watch::DrainArgs),
+    Rollout(deployment::RolloutArgs),
+    Status(deployment::StatusArgs),
+    Drain(deployment::DrainArgs),
 }
 
 /// Runs an entry until SIGTERM; then drains and ends.
@@ -86,9 +86,9 @@
         EntryCommand::Serve(args) => serve(args.config.as_deref()),
         EntryCommand::CheckConfig(args) => check(&args.file),
         EntryCommand::Preset(args) => preset::run(args),
-        EntryCommand::Rollout(args) => watch::rollout(args),
-        EntryCommand::Status(args) => watch::status(args),
-        EntryCommand::Drain(args) => watch::drain(args),
+        EntryCommand::Rollout(args) => deployment::rollout(args),
+        EntryCommand::Status(args) => deployment::status(args),
+        EntryCommand::Drain(args) => deployment::drain(args),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/entry/src/cli/client.rs
+++ b/crates/entry/src/cli/client.rs
@@ -14,7 +14,7 @@
 use super::exit::CommandError;
 
 /// Longest wait for a reply.
-const REPLY_TIME: Duration = Duration::from_secs(15);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Environment variable with the token, if no file is named.
 const TOKEN_VARIABLE: &str = "CASSIAWHEEL_TOKEN";
@@ -106,7 +106,7 @@
             .body(Full::new(Bytes::from(body)))
             .map_err(|error| CallFailure::NotSent(error.to_string()))?;
         let client = HttpClient::default();
-        let reply = cassiawheel_runtime::run(1, client.send_whole(request, REPLY_TIME));
+        let reply = cassiawheel_runtime::run(1, client.send_whole(request, REPLY_TIMEOUT));
         match reply {
             Ok(Ok(reply)) => Ok(AdminReply { status: reply.status(), body: reply.into_body() }),
             Ok(Err(ClientError::NotSent(detail))) => {
@@ -121,7 +121,7 @@
 
     /// Reads something.
     pub(super) fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CommandError> {
-        self.call(Method::GET, path, Vec::new())?.accepted()
+        self.call(Method::GET, path, Vec::new())?.parse_success()
     }
 
     /// Prints `value` as JSON or as the text that `table` makes of it.
@@ -157,7 +157,7 @@
 
 impl AdminReply {
     /// The body of a reply that says yes.
-    pub(super) fn accepted<T: DeserializeOwned>(self) -> Result<T, CommandError> {
+    pub(super) fn parse_success<T: DeserializeOwned>(self) -> Result<T, CommandError> {
         if !self.status.is_success() {
             return Err(self.refusal());
         }
--- a/crates/entry/src/cli/watch.rs
+++ b/crates/entry/src/cli/deployment.rs
@@ -97,7 +97,7 @@
 pub(super) fn drain(args: DrainArgs) -> Result<(), CommandError> {
     let client = connect(args.admin, args.token_file, args.json)?;
     let path = format!("/v1/drain/{}", args.instance);
-    let reply: DrainReply = client.call(Method::POST, &path, Vec::new())?.accepted()?;
+    let reply: DrainReply = client.call(Method::POST, &path, Vec::new())?.parse_success()?;
     client.print(&reply, |reply| {
         format!("{} was asked to leave; watch it with `cassiawheel status`", reply.instance)
     })
--- a/crates/entry/src/cli/preset.rs
+++ b/crates/entry/src/cli/preset.rs
@@ -136,7 +136,7 @@
     let content = std::fs::read(&args.file)
         .map_err(|error| CommandError::Findings(format!("{file}: cannot be read: {error}")))?;
     let reply = client.call(Method::PUT, &preset_path(&args.name), content)?;
-    let stored: StoredReply = reply.accepted()?;
+    let stored: StoredReply = reply.parse_success()?;
     client.print(&stored, |stored| {
         let table = content_table(&stored.content);
         format!("{table}stored as {}, not in force yet", stored.preset)
@@ -164,9 +164,9 @@
     let call = ForceCall { preset: args.name, change, fresh };
     let body = serde_json::to_vec(&call).map_err(anyhow::Error::from)?;
     match client.call(Method::POST, "/v1/force", body) {
-        Ok(reply) => tell_change(client, reply, &call),
+        Ok(reply) => report_change(client, reply, &call),
         Err(failure @ CallFailure::NotSent(_)) => Err(failure.into()),
-        Err(CallFailure::NoAnswer(detail)) => Err(unknown(&call, &detail)),
+        Err(CallFailure::NoAnswer(detail)) => Err(unknown_outcome(&call, &detail)),
     }
 }
 
@@ -175,7 +175,7 @@
     ChangeId::new(&text).map_err(|error| CommandError::Failed(error.to_string()))
 }
 
-fn tell_change(
+fn report_change(
     client: &AdminClient,
     reply: AdminReply,
     call: &ForceCall,
@@ -193,7 +193,7 @@
         ChangeReply::NotAccepted { detail } => {
             Err(CommandError::Failed(format!("nothing was changed: {detail}; try again later")))
         }
-        ChangeReply::Unknown { detail, .. } => Err(unknown(call, &detail)),
+        ChangeReply::Unknown { detail, .. } => Err(unknown_outcome(call, &detail)),
     }
 }
 
@@ -201,7 +201,7 @@
 ///
 /// The lost answer may have been a yes. A new change id would make a second
 /// change of it, perhaps over one that another operator made in between.
-fn unknown(call: &ForceCall, detail: &str) -> CommandError {
+fn unknown_outcome(call: &ForceCall, detail: &str) -> CommandError {
     let ForceCall { preset, change, .. } = call;
     CommandError::Unknown(format!(
         "it is unknown whether the change took effect: {detail}\n\
--- a/crates/entry/src/control/change.rs
+++ b/crates/entry/src/control/change.rs
@@ -222,10 +222,10 @@
         step = writer.next(answer, Timestamp::now());
     };
     log::info!(target: "preset", change:% = change, verdict:? = verdict; "A change was decided.");
-    Ok(reply_of(shared, change, verdict))
+    Ok(change_reply(shared, change, verdict))
 }
 
-fn reply_of(shared: &EntryShared, change: ChangeId, verdict: ChangeVerdict) -> ChangeReply {
+fn change_reply(shared: &EntryShared, change: ChangeId, verdict: ChangeVerdict) -> ChangeReply {
     match verdict {
         ChangeVerdict::Accepted(preset) => {
             peers::adopt(shared, &preset);
@@ -237,7 +237,7 @@
     }
 }
 
-fn failed(error: StoreError) -> ChangeAnswer {
+fn store_failure(error: StoreError) -> ChangeAnswer {
     match error {
         StoreError::Unknown(_) => ChangeAnswer::Lost(error.to_string()),
         StoreError::NoEffect(_) | StoreError::RateLimited { .. } => {
@@ -249,14 +249,14 @@
 async fn find_record(shared: &EntryShared, change: &ChangeId) -> Result<ChangeAnswer, PresetError> {
     match shared.table.read(&change_id_row(change)).await {
         Ok(row) => Ok(ChangeAnswer::Record(row.map(parse_record).transpose()?)),
-        Err(error) => Ok(failed(error)),
+        Err(error) => Ok(store_failure(error)),
     }
 }
 
 async fn read_preset(shared: &EntryShared, name: &PresetName) -> Result<ChangeAnswer, PresetError> {
     match get_preset(shared.table.as_ref(), name).await {
         Ok(content) => Ok(ChangeAnswer::Preset(content)),
-        Err(PresetError::Store(error)) => Ok(failed(error)),
+        Err(PresetError::Store(error)) => Ok(store_failure(error)),
         Err(error) => Err(error),
     }
 }
@@ -264,7 +264,7 @@
 async fn find_force(shared: &EntryShared) -> ChangeAnswer {
     match read_force(shared.table.as_ref()).await {
         Ok(row) => ChangeAnswer::Force(row),
-        Err(error) => failed(error),
+        Err(error) => store_failure(error),
     }
 }
 
@@ -283,8 +283,8 @@
         new_row(change_row(preset.revision), value),
     ];
     match shared.table.write(&writes, true).await {
-        Ok(verdicts) => verdict_answer(&verdicts),
-        Err(error) => Ok(failed(error)),
+        Ok(verdicts) => write_answer(&verdicts),
+        Err(error) => Ok(store_failure(error)),
     }
 }
 
@@ -296,15 +296,15 @@
     let key = change_id_row(change);
     let write = TableWrite { key, guard: TableGuard::Absent, value: to_value(record)? };
     match shared.table.write(&[write], true).await {
-        Ok(verdicts) => verdict_answer(&verdicts),
-        Err(error) => Ok(failed(error)),
+        Ok(verdicts) => write_answer(&verdicts),
+        Err(error) => Ok(store_failure(error)),
     }
 }
 
 /// Reads the rows that stood in the way out of the answer itself.
 ///
 /// A read after the write could be answered from an earlier state and miss them.
-fn verdict_answer(verdicts: &[WriteVerdict]) -> Result<ChangeAnswer, PresetError> {
+fn write_answer(verdicts: &[WriteVerdict]) -> Result<ChangeAnswer, PresetError> {
     if verdicts.iter().all(|verdict| matches!(verdict, WriteVerdict::Written(_))) {
         return Ok(ChangeAnswer::Written);
     }
--- a/crates/entry/src/control/chunk_peers.rs
+++ b/crates/entry/src/control/chunk_peers.rs
@@ -14,13 +14,13 @@
 use crate::{link::AgentLink, shared::EntryShared};
 
 /// Time between looks for agents that have to be told.
-const LOOK_TIME: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Shortest time between two words to an agent that has been told of others.
 ///
 /// An agent that joins dials the others itself; that they know of it is less
 /// urgent, and a list of forty is four kilobytes.
-const AGAIN_TIME: Duration = Duration::from_millis(1_000);
+const RESEND_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Agents by service, each with what it has to know of the others.
 type ServiceAgents = HashMap<ServiceName, Vec<EndpointAddress>>;
@@ -34,12 +34,12 @@
 /// What all agents have been told.
 #[derive(Default)]
 struct ChunkPeerSender {
-    told: HashMap<InstanceId, SentPeers>,
+    sent: HashMap<InstanceId, SentPeers>,
     known: ServiceAgents,
     /// The state of the roster that the last look was made at.
-    looked_at: Option<(u64, usize)>,
+    checked_at: Option<(u64, usize)>,
     /// When agents that have been told may be told again; at once at first.
-    again_at: Option<Deadline>,
+    resend_at: Option<Deadline>,
 }
 
 /// Tells agents whom they may swap chunks with, whenever that has changed.
@@ -48,57 +48,57 @@
 /// at every look would cost control traffic and make agents dial each other
 /// again and again in the middle of a transfer.
 pub(crate) async fn send_chunk_peers(shared: Arc<EntryShared>) {
-    let mut words = ChunkPeerSender::default();
+    let mut peer_sender = ChunkPeerSender::default();
     loop {
-        Timer::after(LOOK_TIME).await;
-        words.renew(&shared, Timestamp::now());
+        Timer::after(CHECK_INTERVAL).await;
+        peer_sender.update(&shared, Timestamp::now());
     }
 }
 
 impl ChunkPeerSender {
     /// Tells new agents at once, and the others if it is time and something changed.
-    fn renew(&mut self, shared: &EntryShared, now: Timestamp) {
+    fn update(&mut self, shared: &EntryShared, now: Timestamp) {
         let links = shared.links.load_full();
-        self.told.retain(|instance, last| {
+        self.sent.retain(|instance, last| {
             links.get(instance).is_some_and(|link| Arc::ptr_eq(link, &last.link))
         });
-        let looked_at = Some((shared.roster().changes(), links.len()));
-        let all_told = links.keys().all(|instance| self.told.contains_key(instance));
-        if looked_at == self.looked_at && all_told {
+        let checked_at = Some((shared.roster().changes(), links.len()));
+        let all_sent = links.keys().all(|instance| self.sent.contains_key(instance));
+        if checked_at == self.checked_at && all_sent {
             return;
         }
         let fleet = agents_by_service(shared);
-        let all_are_due = fleet != self.known && self.again_at.is_none_or(|at| at.is_past(now));
+        let all_are_due = fleet != self.known && self.resend_at.is_none_or(|at| at.is_past(now));
         for agents in fleet.values() {
             for agent in agents {
-                let is_due = all_are_due || !self.told.contains_key(&agent.instance);
+                let is_due = all_are_due || !self.sent.contains_key(&agent.instance);
                 if let Some(link) = links.get(&agent.instance).filter(|_| is_due) {
-                    self.tell(link, agent, chosen_peers(agent, agents));
+                    self.send(link, agent, chosen_peers(agent, agents));
                 }
             }
         }
         if all_are_due {
-            self.again_at = Some(now.deadline_after(AGAIN_TIME));
+            self.resend_at = Some(now.deadline_after(RESEND_INTERVAL));
             self.known = fleet;
         }
-        if !all_are_due && self.again_at.is_none_or(|at| at.is_past(now)) {
-            self.looked_at = looked_at;
+        if !all_are_due && self.resend_at.is_none_or(|at| at.is_past(now)) {
+            self.checked_at = checked_at;
         }
     }
 
-    fn tell(
+    fn send(
         &mut self,
         link: &Arc<AgentLink>,
         agent: &EndpointAddress,
         peers: Vec<EndpointAddress>,
     ) {
-        let last = self.told.get(&agent.instance);
+        let last = self.sent.get(&agent.instance);
         // An empty list takes back the last word of an entry that tells no more.
-        let is_news = last.map_or(!peers.is_empty(), |last| last.peers != peers);
+        let is_changed = last.map_or(!peers.is_empty(), |last| last.peers != peers);
         let message = ControlMessage::Peers(peers.clone());
-        if !is_news || matches!(link.sender.try_send(message), Ok(true)) {
+        if !is_changed || matches!(link.sender.try_send(message), Ok(true)) {
             let last = SentPeers { link: link.clone(), peers };
-            self.told.insert(agent.instance.clone(), last);
+            self.sent.insert(agent.instance.clone(), last);
         }
     }
 }
@@ -120,11 +120,11 @@
 }
 
 fn chosen_peers(agent: &EndpointAddress, agents: &[EndpointAddress]) -> Vec<EndpointAddress> {
-    let places: Vec<_> = agents.iter().map(place_of).collect();
-    let chosen: HashSet<_> = acquaintances(place_of(agent), &places).into_iter().collect();
+    let places: Vec<_> = agents.iter().map(agent_place).collect();
+    let chosen: HashSet<_> = acquaintances(agent_place(agent), &places).into_iter().collect();
     agents.iter().filter(|other| chosen.contains(other.instance.as_str())).cloned().collect()
 }
 
-fn place_of(agent: &EndpointAddress) -> AgentPlace<'_> {
+fn agent_place(agent: &EndpointAddress) -> AgentPlace<'_> {
     AgentPlace { instance: agent.instance.as_str(), region: &agent.region }
 }
--- a/crates/entry/src/control/entries.rs
+++ b/crates/entry/src/control/entries.rs
@@ -14,13 +14,13 @@
 use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Waits after a failed call, in milliseconds; drawn anew each time.
-const AGAIN_MS: std::ops::Range<u64> = 300..900;
+const RETRY_DELAY_MS: std::ops::Range<u64> = 300..900;
 
 /// Leaves this entry's address in the store and notes those that did so before.
 pub(crate) async fn register(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     let mut monitor = DependencyMonitor::new("registry");
     loop {
-        match write_and_scan(&shared).await {
+        match scan_and_write(&shared).await {
             Ok(places) => {
                 monitor.record_success();
                 routed.overlay.lock().add_known_entries(places.into_iter());
@@ -28,12 +28,12 @@
             }
             Err(error) => monitor.record_failure(&error),
         }
-        let wait = rand::rng().random_range(AGAIN_MS);
+        let wait = rand::rng().random_range(RETRY_DELAY_MS);
         Timer::after(Duration::from_millis(wait)).await;
     }
 }
 
-async fn write_and_scan(
+async fn scan_and_write(
     shared: &EntryShared,
 ) -> Result<Vec<(SocketAddr, Option<RegionName>)>, StoreError> {
     let table = shared.table.as_ref();
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -23,82 +23,82 @@
 };
 
 /// Shortest time between two messages over a link, so that a burst of changes shares them.
-const BATCH_TIME: Duration = Duration::from_millis(20);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The same after a message with many items.
 ///
 /// When all start together most of what an entry would pass on reaches its
 /// neighbours another way in this time.
-const LONG_BATCH_TIME: Duration = Duration::from_millis(80);
+const LARGE_SEND_INTERVAL: Duration = Duration::from_millis(80);
 
 /// Items in a message from which on they are many.
-const MANY_ITEMS: usize = 12;
+const LARGE_MESSAGE_ITEMS: usize = 12;
 
 /// Time between messages with loads to an entry of the own region.
-const NEAR_LOAD_TIME: Duration = Duration::from_millis(200);
+const LOCAL_LOAD_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time between messages with loads to an entry of another region.
 ///
 /// Two of them may be lost before the link counts as silent.
-const FAR_LOAD_TIME: Duration = Duration::from_millis(600);
+const REMOTE_LOAD_INTERVAL: Duration = Duration::from_millis(600);
 
 /// Differences in age below this are taken for the same measurement, in milliseconds.
-const NEAR_STEP_MS: u64 = 60;
+const LOCAL_AGE_TOLERANCE_MS: u64 = 60;
 
 /// The same for loads that come from another region, in milliseconds.
 ///
 /// Several links bring the same load; one copy of it in this time is enough.
-const FAR_STEP_MS: u64 = 900;
+const REMOTE_AGE_TOLERANCE_MS: u64 = 900;
 
 /// Time between looks whether the own record has changed.
-const LOOK_TIME: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Shortest time between two versions of the own record that only add to it.
 ///
 /// Processes that start together connect to each other within a second; a
 /// version for each connection would reach every entry.
-const ADD_TIME: Duration = Duration::from_millis(400);
+const ADDITION_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Shortest time between two versions of the own record.
-const RENEW_TIME: Duration = Duration::from_millis(100);
+const RECORD_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Requests in progress below which an entry's load is of no use to the others.
 const MIN_PUBLISHED_LOAD: u32 = 16;
 
 /// Parts of a version by which progress is passed on.
-const PROGRESS_PARTS: u32 = 4;
+const PROGRESS_STEPS: u32 = 4;
 
 /// Sends the neighbours what has changed, for ever.
 pub(crate) async fn send_changes(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     loop {
-        timeout(LOOK_TIME, routed.overlay.changed()).await;
+        timeout(CHECK_INTERVAL, routed.overlay.changed()).await;
         refresh_own_record(&shared, &routed);
         update_paces(&shared, &routed, Timestamp::now());
-        let sent = send_news(&shared, &routed, Timestamp::now());
-        let span = if sent > MANY_ITEMS { LONG_BATCH_TIME } else { BATCH_TIME };
+        let sent = send_updates(&shared, &routed, Timestamp::now());
+        let span = if sent > LARGE_MESSAGE_ITEMS { LARGE_SEND_INTERVAL } else { MIN_SEND_INTERVAL };
         Timer::after(span).await;
     }
 }
 
 /// Sends each neighbour what it lacks; the most records and reports that one of them got.
-fn send_news(shared: &EntryShared, routed: &RoutedState, now: Timestamp) -> usize {
+fn send_updates(shared: &EntryShared, routed: &RoutedState, now: Timestamp) -> usize {
     let revision = shared.active_preset.load().as_ref().map(|p| p.revision).unwrap_or_default();
     let load = shared.in_flight.load(Ordering::Relaxed);
     let mut state = routed.overlay.lock();
     if load >= MIN_PUBLISHED_LOAD {
         let subject = subject_of(shared.settings.place.instance.as_str());
         let row = LoadRow { subject, load, age_ms: 0 };
-        state.store.merge_load(row, FAR_STEP_MS, None, now);
+        state.store.merge_load(row, REMOTE_AGE_TOLERANCE_MS, None, now);
     }
     let OverlayState { store, crashes, links, .. } = &mut *state;
-    let mut most = 0;
+    let mut max_items = 0;
     for link in links {
         let (records, reports, mut mark) = store.state_since(link.mark, link.number);
         let loads_are_due = link.loads_at.is_past(now);
         let (rows, crash_mark) = crashes.rows_since(link.crash_mark, link.number, now);
         let (limits, limit_mark) =
             routed.limits.book().rows_since(link.limit_mark, link.number, now);
-        most = most.max(records.len() + reports.len());
+        max_items = max_items.max(records.len() + reports.len());
         if records.is_empty()
             && reports.is_empty()
             && rows.is_empty()
@@ -117,7 +117,7 @@
             (news.loads, mark) = store.loads_since(mark, link.number, now);
             let is_in_other_region =
                 is_in_other_region(store, &link.instance, &shared.settings.place.region);
-            let span = if is_in_other_region { FAR_LOAD_TIME } else { NEAR_LOAD_TIME };
+            let span = if is_in_other_region { REMOTE_LOAD_INTERVAL } else { LOCAL_LOAD_INTERVAL };
             loads_at = now.deadline_after(span);
         }
         // What a full queue does not take is sent with the next message.
@@ -128,7 +128,7 @@
             link.loads_at = loads_at;
         }
     }
-    most
+    max_items
 }
 
 /// Makes the present revision due to every neighbour at once.
@@ -166,7 +166,7 @@
         return;
     }
     let now = Timestamp::now();
-    let span = known.map_or(Duration::ZERO, |known| renew_time(known, &record));
+    let span = known.map_or(Duration::ZERO, |known| min_record_interval(known, &record));
     if state.renewed_at.is_none_or(|renewed_at| now.since(renewed_at) >= span) {
         let record = EntryRecord { sequence: record.sequence + 1, ..record };
         state.store.merge_record(record, None, now);
@@ -178,13 +178,13 @@
 }
 
 /// Time since the last version after which `record` replaces `known`.
-fn renew_time(known: &EntryRecord, record: &EntryRecord) -> Duration {
+fn min_record_interval(known: &EntryRecord, record: &EntryRecord) -> Duration {
     let keeps = |old: &[InstanceId], new: &[InstanceId]| old.iter().all(|name| new.contains(name));
     let only_adds = known.leaving == record.leaving
         && known.follows_rows == record.follows_rows
         && keeps(&known.neighbours, &record.neighbours)
         && keeps(&known.agents, &record.agents);
-    if only_adds { ADD_TIME } else { RENEW_TIME }
+    if only_adds { ADDITION_INTERVAL } else { RECORD_INTERVAL }
 }
 
 /// Takes in what the entry at the other end of the link `source` has sent.
@@ -212,17 +212,18 @@
         }
     }
     let is_in_other_region = state.is_in_other_region(source, &shared.settings.place.region);
-    let step_ms = if is_in_other_region { FAR_STEP_MS } else { NEAR_STEP_MS };
+    let tolerance_ms =
+        if is_in_other_region { REMOTE_AGE_TOLERANCE_MS } else { LOCAL_AGE_TOLERANCE_MS };
     let mut loads = news.loads;
-    loads.retain(|row| state.store.merge_load(*row, step_ms, Some(source), now));
+    loads.retain(|row| state.store.merge_load(*row, tolerance_ms, Some(source), now));
     let mut crashes = news.crashes;
     crashes.retain(|row| state.crashes.note(*row, Some(source), now));
     routed.crashes.apply_rows(&state.crashes, &crashes, Some(source));
     drop(state);
     let mut limits = news.limits;
     limits.retain(|row| routed.limits.merge_row(*row, source, now));
-    let is_news = !reports.is_empty() || !crashes.is_empty() || !limits.is_empty();
-    if membership_changed || is_news {
+    let has_updates = !reports.is_empty() || !crashes.is_empty() || !limits.is_empty();
+    if membership_changed || has_updates {
         routed.overlay.notify_change();
     }
     apply_reports(shared, reports, now);
@@ -269,7 +270,7 @@
         load: load.in_flight + load.queued,
         age_ms: 0,
     };
-    routed.overlay.lock().store.merge_load(row, NEAR_STEP_MS, None, Timestamp::now());
+    routed.overlay.lock().store.merge_load(row, LOCAL_AGE_TOLERANCE_MS, None, Timestamp::now());
 }
 
 /// Keeps the report of an agent that is connected here, if other entries need it.
@@ -286,10 +287,10 @@
 
 /// Whether `report` differs from `known` by more than its load and some chunks.
 fn is_significant(known: &EndpointReport, report: &EndpointReport) -> bool {
-    let part = |report: &EndpointReport| {
+    let progress_step = |report: &EndpointReport| {
         let staged = report.staged.as_ref()?;
-        let part = staged.chunks_ready * PROGRESS_PARTS / staged.chunks_total.max(1);
-        Some((staged.manifest, part))
+        let progress_step = staged.chunks_ready * PROGRESS_STEPS / staged.chunks_total.max(1);
+        Some((staged.manifest, progress_step))
     };
     let same = EndpointReport {
         load: report.load,
@@ -297,7 +298,7 @@
         staged: report.staged.clone(),
         ..known.clone()
     };
-    same != *report || part(known) != part(report)
+    same != *report || progress_step(known) != progress_step(report)
 }
 
 /// Works out from the records who is present.
@@ -311,7 +312,7 @@
     let connected = shared.links.load();
     let attached = others.clone().flat_map(|record| record.agents.iter());
     let attached: HashSet<_> = attached.chain(connected.keys()).cloned().collect();
-    let peers = others.map(|record| (record.instance.clone(), peer_of(record, now))).collect();
+    let peers = others.map(|record| (record.instance.clone(), peer_entry(record, now))).collect();
     shared.peers().replace(peers, now);
     drop(state);
     if shared.roster().attach(attached) {
@@ -320,7 +321,7 @@
     }
 }
 
-fn peer_of(record: &EntryRecord, now: Timestamp) -> PeerEntry {
+fn peer_entry(record: &EntryRecord, now: Timestamp) -> PeerEntry {
     let advice = AdviceInput {
         caller_addr: record.caller_addr,
         failure_domain: record.failure_domain.clone(),
--- a/crates/entry/src/control/links.rs
+++ b/crates/entry/src/control/links.rs
@@ -20,22 +20,22 @@
 use crate::{limits, overlay::entry_addrs_for, routed::RoutedState, shared::EntryShared};
 
 /// Time between looks whether links are to be made or ended.
-const LOOK_TIME: Duration = Duration::from_millis(150);
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Longest wait for a connection to another entry, and for its hello.
-const CONNECT_TIME: Duration = Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Time for which a link that is no longer chosen is kept, in case the choice changes back.
-const SURPLUS_TIME: Duration = Duration::from_secs(4);
+const SURPLUS_GRACE: Duration = Duration::from_secs(4);
 
 /// Time between repetitions of the named versions to the neighbours.
-const REPEAT_TIME: Duration = Duration::from_secs(3);
+const VERSION_RESEND_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Time between looks for state of processes that are gone.
-const EXPIRE_TIME: Duration = Duration::from_secs(5);
+const EXPIRE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Wait before the next entry is dialled while there is no link, in milliseconds.
-const ALONE_MS: std::ops::Range<u64> = 50..150;
+const REDIAL_DELAY_MS: std::ops::Range<u64> = 50..150;
 
 /// The links that this entry keeps.
 #[derive(Default)]
@@ -50,22 +50,22 @@
 pub(crate) async fn maintain_links(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     let seeds = shared.settings.peers.iter().map(|seed| (*seed, None));
     routed.overlay.lock().add_known_entries(seeds);
-    let mut kept = LinkManager::default();
-    let mut repeat_at = Timestamp::now().deadline_after(REPEAT_TIME);
-    let mut expire_at = Timestamp::now().deadline_after(EXPIRE_TIME);
+    let mut manager = LinkManager::default();
+    let mut resend_at = Timestamp::now().deadline_after(VERSION_RESEND_INTERVAL);
+    let mut expire_at = Timestamp::now().deadline_after(EXPIRE_INTERVAL);
     loop {
         let now = Timestamp::now();
-        kept.renew(&shared, &routed, now);
-        kept.send_entry_lists(&shared, &routed);
-        if repeat_at.is_past(now) {
-            repeat_at = now.deadline_after(REPEAT_TIME);
-            repeat_versions(&routed);
+        manager.update(&shared, &routed, now);
+        manager.send_entry_lists(&shared, &routed);
+        if resend_at.is_past(now) {
+            resend_at = now.deadline_after(VERSION_RESEND_INTERVAL);
+            resend_versions(&routed);
         }
         if expire_at.is_past(now) {
-            expire_at = now.deadline_after(EXPIRE_TIME);
+            expire_at = now.deadline_after(EXPIRE_INTERVAL);
             expire(&shared, &routed, now);
         }
-        Timer::after(LOOK_TIME).await;
+        Timer::after(CHECK_INTERVAL).await;
     }
 }
 
@@ -84,9 +84,9 @@
 }
 
 impl LinkManager {
-    fn renew(&mut self, shared: &Arc<EntryShared>, routed: &Arc<RoutedState>, now: Timestamp) {
+    fn update(&mut self, shared: &Arc<EntryShared>, routed: &Arc<RoutedState>, now: Timestamp) {
         self.dialling.retain(|_, task| !task.is_finished());
-        let chosen = chosen_now(shared, routed, now);
+        let chosen = chosen_entries(shared, routed, now);
         for addr in &chosen {
             let is_linked = routed.overlay.lock().is_linked(*addr);
             if !is_linked && !self.dialling.contains_key(addr) {
@@ -103,7 +103,7 @@
         let dialled: BTreeSet<_> = state.links.iter().filter_map(|link| link.dialled).collect();
         self.surplus.retain(|addr, _| dialled.contains(addr) && !chosen.contains(addr));
         for addr in dialled.difference(chosen) {
-            let until = self.surplus.entry(*addr).or_insert(now.deadline_after(SURPLUS_TIME));
+            let until = self.surplus.entry(*addr).or_insert(now.deadline_after(SURPLUS_GRACE));
             if until.is_past(now) {
                 let links = state.links.iter().filter(|link| link.dialled == Some(*addr));
                 links.for_each(|link| link.sender.close());
@@ -138,7 +138,11 @@
 }
 
 /// The entries that links are wanted to; any that is known while there is none.
-fn chosen_now(shared: &EntryShared, routed: &RoutedState, now: Timestamp) -> BTreeSet<SocketAddr> {
+fn chosen_entries(
+    shared: &EntryShared,
+    routed: &RoutedState,
+    now: Timestamp,
+) -> BTreeSet<SocketAddr> {
     let settings = &shared.settings;
     let own =
         EntryPlace { inner_addr: settings.listen.inner, region: settings.place.region.clone() };
@@ -155,15 +159,16 @@
 /// Makes a link to the entry at `addr` and keeps it until it ends.
 async fn dial(shared: Arc<EntryShared>, routed: Arc<RoutedState>, addr: SocketAddr) {
     let local = Some(shared.settings.listen.inner.ip());
-    let connected = timeout(CONNECT_TIME, connect(addr, &shared.settings.inner_key, local)).await;
+    let connected =
+        timeout(CONNECT_TIMEOUT, connect(addr, &shared.settings.inner_key, local)).await;
     let Some(Ok((sender, mut receiver))) = connected else {
         routed.overlay.lock().avoid(addr, Timestamp::now());
-        let wait = rand::rng().random_range(ALONE_MS);
+        let wait = rand::rng().random_range(REDIAL_DELAY_MS);
         Timer::after(Duration::from_millis(wait)).await;
         return;
     };
     let _ = sender.try_send(shared.hello());
-    match timeout(CONNECT_TIME, receiver.recv()).await {
+    match timeout(CONNECT_TIMEOUT, receiver.recv()).await {
         Some(Ok(WireMessage::Hello(hello))) if hello.kind == ProcessKind::Entry => {
             serve_link(&shared, &routed, sender, receiver, hello, Some(addr)).await;
         }
@@ -197,7 +202,7 @@
 ) {
     let silence = Duration::from_millis(shared.settings.control.heartbeat_timeout_ms);
     let number = routed.overlay.lock().add_link(sender.clone(), other.instance.clone(), dialled);
-    greet(routed, &sender);
+    send_initial_state(routed, &sender);
     gossip::refresh_own_record(shared, routed);
     routed.overlay.notify_change();
     while let Some(Ok(message)) = timeout(silence, receiver.recv()).await {
@@ -234,7 +239,7 @@
 }
 
 /// Sends the entry at the other end of a new link what gossip does not carry.
-fn greet(routed: &Arc<RoutedState>, sender: &WireSender) {
+fn send_initial_state(routed: &Arc<RoutedState>, sender: &WireSender) {
     for named in routed.versions.load().named(Timestamp::now()) {
         let _ = sender.try_send(ControlMessage::Named(named));
     }
@@ -245,7 +250,7 @@
 }
 
 /// Repeats the named versions to the neighbours, in case a full queue dropped one.
-fn repeat_versions(routed: &RoutedState) {
+fn resend_versions(routed: &RoutedState) {
     let named = routed.versions.load().named(Timestamp::now());
     let state = routed.overlay.lock();
     for link in &state.links {
--- a/crates/entry/src/control/listing.rs
+++ b/crates/entry/src/control/listing.rs
@@ -13,28 +13,28 @@
 use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest sleep between looks whether it is this entry's turn.
-const LOOK_TIME: Duration = Duration::from_millis(250);
+const TURN_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time between looks whether something is known of the list.
-const ASK_TIME: Duration = Duration::from_millis(100);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time after its start within which an entry discovers the others.
-const SETTLE_TIME: Duration = Duration::from_millis(1_500);
+const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
 
 /// Waits after a failed read, in milliseconds; drawn anew each time.
-const AGAIN_MS: std::ops::Range<u64> = 200..500;
+const RETRY_DELAY_MS: std::ops::Range<u64> = 200..500;
 
 /// Follows the list for ever.
 pub(crate) async fn follow_listing(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     let mut monitor = DependencyMonitor::new("list");
-    let mut again_at = Timestamp::now().deadline_after(Duration::ZERO);
+    let mut retry_at = Timestamp::now().deadline_after(Duration::ZERO);
     let mut history_lost = false;
     loop {
         let now = Timestamp::now();
         settle(&shared, &routed, now);
-        let due = routed.listing().read_at(read_rank(&shared, now)).max(again_at);
-        if !due.is_past(now) {
-            Timer::after(due.remaining(now).min(LOOK_TIME)).await;
+        let next_read_at = routed.listing().read_at(read_rank(&shared, now)).max(retry_at);
+        if !next_read_at.is_past(now) {
+            Timer::after(next_read_at.remaining(now).min(TURN_CHECK_INTERVAL)).await;
             continue;
         }
         let base = if history_lost { 0 } else { routed.listing().position() };
@@ -46,13 +46,13 @@
             Ok(page) => {
                 monitor.record_success();
                 history_lost = false;
-                take_page(&shared, &routed, page, base, now);
+                apply_page(&shared, &routed, page, base, now);
             }
             Err(FeedError::HistoryLost) => history_lost = true,
             Err(FeedError::Store(error)) => {
                 monitor.record_failure(&error);
-                let wait = rand::rng().random_range(AGAIN_MS);
-                again_at = Timestamp::now().deadline_after(Duration::from_millis(wait));
+                let wait = rand::rng().random_range(RETRY_DELAY_MS);
+                retry_at = Timestamp::now().deadline_after(Duration::from_millis(wait));
             }
         }
     }
@@ -65,12 +65,12 @@
 /// whatever had registered meanwhile.
 fn read_rank(shared: &EntryShared, now: Timestamp) -> u32 {
     let has_others = !shared.settings.peers.is_empty();
-    let is_new = now.since(Timestamp(shared.incarnation)) < SETTLE_TIME;
+    let is_new = now.since(Timestamp(shared.incarnation)) < DISCOVERY_TIME;
     let is_alone = shared.peers().values().next().is_none();
     if has_others && is_new && is_alone { u32::MAX } else { shared.own_rank() }
 }
 
-fn take_page(
+fn apply_page(
     shared: &EntryShared,
     routed: &RoutedState,
     page: FeedPage<ListedRow>,
@@ -82,14 +82,14 @@
     let mut listing = routed.listing();
     let is_first = listing.position() == 0;
     let before: Vec<_> = listing.endpoints().cloned().collect();
-    let told = listing.take_read(news, now);
+    let to_send = listing.take_read(news, now);
     let changed = !listing.endpoints().eq(before.iter());
     drop(listing);
     // What a process reads at its start is news to itself. The others read at
     // theirs, or follow the list already; told by each of 45 entries that start
     // at once, the whole list fills the links between regions for seconds.
     if !is_first {
-        tell(shared, told, &before);
+        send_changes(shared, to_send, &before);
     }
     if changed {
         log_change(shared, routed, "read");
@@ -97,7 +97,7 @@
 }
 
 /// Sends the other entries what they have to know; rows that only repeat a heartbeat stay out.
-fn tell(shared: &EntryShared, news: ListingNews, before: &[ListedEndpoint]) {
+fn send_changes(shared: &EntryShared, news: ListingNews, before: &[ListedEndpoint]) {
     let is_news = |row: &ListedRow| match &row.endpoint {
         Some(endpoint) => !before.contains(endpoint),
         None => true,
@@ -120,7 +120,7 @@
     let Some(asked_at) = asked_at.filter(|_| !rows.is_empty()) else {
         return;
     };
-    tell(shared, ListingNews { rows, base: position, position, asked_at }, &[]);
+    send_changes(shared, ListingNews { rows, base: position, position, asked_at }, &[]);
     log_change(shared, routed, "not-returned");
 }
 
@@ -158,7 +158,7 @@
 pub(crate) async fn request_until_known(routed: Arc<RoutedState>, sender: WireSender) {
     while routed.listing().position() == 0 && !sender.is_closed() {
         request_listing(&routed, &sender);
-        Timer::after(ASK_TIME).await;
+        Timer::after(REQUEST_INTERVAL).await;
     }
 }
 
--- a/crates/entry/src/control/manifest_cache.rs
+++ b/crates/entry/src/control/manifest_cache.rs
@@ -12,7 +12,7 @@
 const MAX_CACHED: usize = 4;
 
 /// Time in which another entry is expected to send a manifest.
-const ANSWER_TIME: Duration = Duration::from_millis(200);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The manifests that this entry has.
 #[derive(Default)]
@@ -23,9 +23,9 @@
 #[derive(Default)]
 struct CacheInner {
     /// Newest last.
-    held: VecDeque<Arc<WeightManifest>>,
+    manifests: VecDeque<Arc<WeightManifest>>,
     /// The manifest that was asked for last, and until when its answer is expected.
-    asked: Option<(ManifestDigest, Deadline)>,
+    requested: Option<(ManifestDigest, Deadline)>,
 }
 
 impl ManifestCache {
@@ -39,9 +39,9 @@
         if inner.find(manifest.digest).is_some() {
             return;
         }
-        inner.held.push_back(manifest);
-        if inner.held.len() > MAX_CACHED {
-            inner.held.pop_front();
+        inner.manifests.push_back(manifest);
+        if inner.manifests.len() > MAX_CACHED {
+            inner.manifests.pop_front();
         }
     }
 
@@ -56,12 +56,13 @@
     /// the manifest would come as many times.
     pub(crate) fn begin_request(&self, digest: ManifestDigest, now: Timestamp) -> bool {
         let mut inner = self.lock();
-        let is_expected =
-            inner.asked.is_some_and(|(asked, until)| asked == digest && !until.is_past(now));
+        let is_expected = inner
+            .requested
+            .is_some_and(|(requested, until)| requested == digest && !until.is_past(now));
         if is_expected || inner.find(digest).is_some() {
             return false;
         }
-        inner.asked = Some((digest, now.deadline_after(ANSWER_TIME)));
+        inner.requested = Some((digest, now.deadline_after(REPLY_TIMEOUT)));
         true
     }
 
@@ -72,6 +73,6 @@
 
 impl CacheInner {
     fn find(&self, digest: ManifestDigest) -> Option<Arc<WeightManifest>> {
-        self.held.iter().find(|manifest| manifest.digest == digest).cloned()
+        self.manifests.iter().find(|manifest| manifest.digest == digest).cloned()
     }
 }
--- a/crates/entry/src/control/manifests.rs
+++ b/crates/entry/src/control/manifests.rs
@@ -20,18 +20,18 @@
 ///
 /// It is there within some 20 ms, or some hundred while chunks leave the origin;
 /// a longer wait holds a connection at an origin that is silent.
-const READ_TIME: Duration = Duration::from_secs(1);
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Longest wait before the others' word of a version is looked for again.
-const TICK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time between looks whether the origin's address is known.
-const PLACE_STEP: Duration = Duration::from_millis(10);
+const ORIGIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Pins every named version for ever.
 pub(crate) async fn pin_versions(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     loop {
-        match first_unpinned(&routed) {
+        match newest_unpinned(&routed) {
             Some(named) => pin(&shared, &routed, &named.version).await,
             None => {
                 timeout(Duration::from_secs(1), routed.versions_changed()).await;
@@ -50,19 +50,19 @@
         match step {
             // It comes with the preset, which may be some milliseconds behind the versions.
             SearchStep::Origin if shared.origin_place().is_none() => {
-                Timer::after(PLACE_STEP).await;
+                Timer::after(ORIGIN_CHECK_INTERVAL).await;
             }
             SearchStep::Origin => {
                 let asked_at = Timestamp::now();
                 match read_twice(shared, version).await {
-                    Some(manifest) => tell_pinned(shared, routed, version, manifest),
+                    Some(manifest) => publish_pinned(shared, routed, version, manifest),
                     None => search.origin_failed(asked_at, None, peers.len(), Timestamp::now()),
                 }
             }
             // The others tell what they have pinned without being asked.
             SearchStep::Others(_) => {}
             SearchStep::Wait(until) => {
-                let span = until.remaining(Timestamp::now()).min(TICK);
+                let span = until.remaining(Timestamp::now()).min(CHECK_INTERVAL);
                 timeout(span, routed.versions_changed()).await;
             }
         }
@@ -70,7 +70,7 @@
 }
 
 /// Tells everybody which bytes `version` consists of.
-fn tell_pinned(
+fn publish_pinned(
     shared: &EntryShared,
     routed: &RoutedState,
     version: &ModelVersion,
@@ -79,7 +79,7 @@
     // The search may have taken seconds. Told with the age that the version had
     // before it, an entry that hears of it only now would take it for younger and
     // let older ones answer for too long.
-    let Some(named) = first_unpinned(routed).filter(|named| named.version == *version) else {
+    let Some(named) = newest_unpinned(routed).filter(|named| named.version == *version) else {
         return;
     };
     let pinned = NamedVersion { manifest: Some(manifest.digest), ..named };
@@ -91,12 +91,12 @@
 }
 
 /// Asks whoever told of a pinned version for its manifest, if it is missing here.
-pub(crate) fn request_manifest(routed: &RoutedState, teller: &WireSender, named: &NamedVersion) {
+pub(crate) fn request_manifest(routed: &RoutedState, sender: &WireSender, named: &NamedVersion) {
     let Some(manifest) = named.manifest else {
         return;
     };
     if routed.manifests.begin_request(manifest, Timestamp::now()) {
-        let _ = teller.try_send(ControlMessage::ManifestWanted { manifest });
+        let _ = sender.try_send(ControlMessage::ManifestWanted { manifest });
     }
 }
 
@@ -114,11 +114,11 @@
 }
 
 fn is_unpinned(routed: &RoutedState, version: &ModelVersion) -> bool {
-    first_unpinned(routed).is_some_and(|left| left.version == *version)
+    newest_unpinned(routed).is_some_and(|left| left.version == *version)
 }
 
 /// The newest named version whose bytes are not known, as old as it is now.
-fn first_unpinned(routed: &RoutedState) -> Option<NamedVersion> {
+fn newest_unpinned(routed: &RoutedState) -> Option<NamedVersion> {
     let versions = routed.versions.load();
     let named = versions.named(Timestamp::now());
     // The newest one is what endpoints have to serve; the origin may have
@@ -143,7 +143,7 @@
 }
 
 async fn read_once(shared: &EntryShared, version: &ModelVersion) -> Option<WeightManifest> {
-    match timeout(READ_TIME, shared.origin.manifest(version)).await {
+    match timeout(READ_TIMEOUT, shared.origin.manifest(version)).await {
         Some(Ok(manifest)) => Some(manifest),
         Some(Err(error)) => {
             log::info!(target: "preset", version:% = version, cause:% = error; "A manifest cannot be read.");
--- a/crates/entry/src/control/membership.rs
+++ b/crates/entry/src/control/membership.rs
@@ -9,16 +9,16 @@
 use crate::shared::EntryShared;
 
 /// Time between looks for silent endpoints.
-const EXPIRE_TIME: Duration = Duration::from_millis(100);
+const EXPIRE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between reads of the platform's list.
-const LIST_TIME: Duration = Duration::from_secs(1);
+const LIST_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Drops endpoints and entries whose heartbeats stopped, where every one is connected here.
 pub(crate) async fn expire_silent(shared: Arc<EntryShared>) {
     let timeout = shared.settings.control.heartbeat_timeout_ms;
     loop {
-        Timer::after(EXPIRE_TIME).await;
+        Timer::after(EXPIRE_INTERVAL).await;
         let now = Timestamp::now();
         let oldest = Timestamp(now.0.saturating_sub(timeout));
         let silent = shared.roster().expire(oldest, now);
@@ -36,16 +36,16 @@
 pub(crate) async fn follow_list(shared: Arc<EntryShared>, list: Arc<dyn InstanceList>) {
     loop {
         match list.list().await {
-            Ok(listed) => take_list(&shared, listed),
+            Ok(listed) => apply_list(&shared, listed),
             Err(error) => {
                 log::warn!(target: "roster", cause:% = error; "The list of instances cannot be read.");
             }
         }
-        Timer::after(LIST_TIME).await;
+        Timer::after(LIST_INTERVAL).await;
     }
 }
 
-fn take_list(shared: &EntryShared, listed: Vec<ListedInstance>) {
+fn apply_list(shared: &EntryShared, listed: Vec<ListedInstance>) {
     let leaving: HashSet<_> = listed
         .into_iter()
         .filter(|listed| listed.state == ListedState::Leaving)
--- a/crates/entry/src/control/operators.rs
+++ b/crates/entry/src/control/operators.rs
@@ -22,16 +22,16 @@
 ///
 /// Bounds the time in which a connection that has gone silent is not noticed;
 /// until then the other entries' heartbeats tell of changes.
-const WAIT_TIME: Duration = Duration::from_secs(3);
+const MAX_POLL_WAIT: Duration = Duration::from_secs(3);
 
 /// Time between calls while the table service rejects this entry but not others.
-const PROBE_TIME: Duration = Duration::from_secs(2);
+const PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Time between looks whether this entry has to follow the rows.
-const LOOK_TIME: Duration = Duration::from_millis(50);
+const DUTY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Waits after a failed call, in milliseconds; drawn anew each time.
-const AGAIN_MS: std::ops::Range<u64> = 150..400;
+const RETRY_DELAY_MS: std::ops::Range<u64> = 150..400;
 
 /// Follows the operators' rows for ever.
 pub(crate) async fn follow_operators(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
@@ -39,20 +39,20 @@
     let mut followed = FollowedRows::default();
     let mut probe_at = Deadline(0);
     loop {
-        let began_at = Timestamp::now();
+        let started_at = Timestamp::now();
         let is_due = match routed.row_duty() {
             RowDuty::Follow => true,
-            RowDuty::Probe => probe_at.is_past(began_at),
+            RowDuty::Probe => probe_at.is_past(started_at),
             RowDuty::Rest => followed.position.is_none(),
         };
         if !is_due {
-            followed = FollowedRows { until: Some(began_at), by_others: true, ..followed };
-            Timer::after(LOOK_TIME).await;
+            followed = FollowedRows { until: Some(started_at), by_others: true, ..followed };
+            Timer::after(DUTY_CHECK_INTERVAL).await;
             continue;
         }
         // A connection that has gone silent is noticed sooner without a wait.
         let is_answered = routed.follows_rows.load(Ordering::Relaxed);
-        let wait = if is_answered { WAIT_TIME } else { Duration::ZERO };
+        let wait = if is_answered { MAX_POLL_WAIT } else { Duration::ZERO };
         let read = match followed.position {
             Some(position) => routed.operators.read_changes(position, wait).await,
             None => routed.operators.read_all().await,
@@ -65,7 +65,7 @@
                 let age = followed.version_age(now);
                 let position = Some(page.position);
                 followed = FollowedRows { position, until: Some(now), by_others: false };
-                take_page(&shared, &routed, page, age);
+                apply_page(&shared, &routed, page, age);
                 shared.start_hold().heard(shared.settings.platform.table);
             }
             Err(FeedError::HistoryLost) => {
@@ -75,15 +75,15 @@
             Err(FeedError::Store(error)) => {
                 monitor.record_failure(&error);
                 routed.follows_rows.store(false, Ordering::Relaxed);
-                probe_at = Timestamp::now().deadline_after(PROBE_TIME);
-                let wait = rand::rng().random_range(AGAIN_MS);
+                probe_at = Timestamp::now().deadline_after(PROBE_INTERVAL);
+                let wait = rand::rng().random_range(RETRY_DELAY_MS);
                 Timer::after(Duration::from_millis(wait)).await;
             }
         }
     }
 }
 
-fn take_page(
+fn apply_page(
     shared: &EntryShared,
     routed: &RoutedState,
     page: FeedPage<OperatorRow>,
--- a/crates/entry/src/control/orders.rs
+++ b/crates/entry/src/control/orders.rs
@@ -26,10 +26,10 @@
 
 /// Time after which orders are planned again though nothing has changed, so that
 /// one that a full queue swallowed is sent again.
-const REPEAT_TIME: Duration = Duration::from_millis(500);
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time between two plans.
-const PLAN_TIME: Duration = Duration::from_millis(50);
+const PLAN_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Sends an agent that knows `revision` the preset in force, if that is newer.
 pub(crate) fn send_preset(shared: &EntryShared, link: &AgentLink, revision: PresetRevision) {
@@ -45,27 +45,27 @@
 
 /// Plans again whenever a report or the preset changed, and now and then without a change.
 pub(crate) async fn run_planner(shared: Arc<EntryShared>) {
-    let mut repeat_at = Timestamp::now().deadline_after(REPEAT_TIME);
+    let mut resend_at = Timestamp::now().deadline_after(RESEND_INTERVAL);
     let mut turns = TurnLedger::default();
     let mut sent = SentOrders::default();
     loop {
-        Timer::after(PLAN_TIME).await;
+        Timer::after(PLAN_INTERVAL).await;
         let now = Timestamp::now();
-        if shared.plan_stale.swap(false, Ordering::AcqRel) || repeat_at.is_past(now) {
-            repeat_at = now.deadline_after(REPEAT_TIME);
-            let planned = due_orders(&shared);
+        if shared.plan_stale.swap(false, Ordering::AcqRel) || resend_at.is_past(now) {
+            resend_at = now.deadline_after(RESEND_INTERVAL);
+            let planned = current_orders(&shared);
             if shared.routed.is_none() {
                 planned.into_iter().for_each(|order| send_order(&shared, order));
                 continue;
             }
             let mut released = turns.release(planned, shared.own_rank(), now);
-            released.retain(|order| sent.note(order, now));
-            give_orders(&shared, released);
+            released.retain(|order| sent.record(order, now));
+            send_orders(&shared, released);
         }
     }
 }
 
-fn due_orders(shared: &EntryShared) -> Vec<PlannedOrder> {
+fn current_orders(shared: &EntryShared) -> Vec<PlannedOrder> {
     let Some(preset) = shared.active_preset.load_full() else {
         return Vec::new();
     };
@@ -96,15 +96,15 @@
 
 impl SentOrders {
     /// Notes an order; false if it was given a moment ago and cannot show in a report yet.
-    fn note(&mut self, order: &PlannedOrder, now: Timestamp) -> bool {
+    fn record(&mut self, order: &PlannedOrder, now: Timestamp) -> bool {
         let last = self.sent.get(&order.instance);
-        let is_news = last.is_none_or(|(fencing, sent_at)| {
-            *fencing != order.fencing || now.since(*sent_at) >= REPEAT_TIME
+        let is_due = last.is_none_or(|(fencing, sent_at)| {
+            *fencing != order.fencing || now.since(*sent_at) >= RESEND_INTERVAL
         });
-        if is_news {
+        if is_due {
             self.sent.insert(order.instance.clone(), (order.fencing, now));
         }
-        is_news
+        is_due
     }
 }
 
@@ -112,12 +112,12 @@
 /// switch given by the other entries as well.
 ///
 /// Every entry derives all other orders for its own agents.
-fn give_orders(shared: &EntryShared, released: Vec<PlannedOrder>) {
+fn send_orders(shared: &EntryShared, released: Vec<PlannedOrder>) {
     let mut turns = Vec::new();
     for planned in released {
         let instance = planned.instance.clone();
         if planned.is_turn() {
-            turns.push(EndpointOrder { instance, order: order_of(shared, &planned) });
+            turns.push(EndpointOrder { instance, order: weight_order(shared, &planned) });
         }
         send_order(shared, planned);
     }
@@ -141,13 +141,13 @@
     let Some(link) = links.get(&planned.instance) else {
         return;
     };
-    let order = order_of(shared, &planned);
+    let order = weight_order(shared, &planned);
     let PlannedOrder { instance, version, fencing, serve, reason, .. } = planned;
     log::info!(target: "place", instance:% = instance, version:% = version, fencing = fencing, serve = serve, reason:? = reason; "Orders an endpoint.");
     let _ = link.sender.try_send(ControlMessage::Order(order));
 }
 
-fn order_of(shared: &EntryShared, planned: &PlannedOrder) -> WeightOrder {
+fn weight_order(shared: &EntryShared, planned: &PlannedOrder) -> WeightOrder {
     WeightOrder {
         version: planned.version.clone(),
         manifest: planned.manifest,
--- a/crates/entry/src/control/peers.rs
+++ b/crates/entry/src/control/peers.rs
@@ -27,13 +27,13 @@
 };
 
 /// Time between heartbeats of an entry.
-const BEAT_TIME: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Longest time between whole heartbeats of an entry.
-const WHOLE_TIME: Duration = Duration::from_secs(2);
+const FULL_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Wait before another entry is dialled again.
-const DIAL_AGAIN: Duration = Duration::from_millis(250);
+const REDIAL_DELAY: Duration = Duration::from_millis(250);
 
 /// Most entries that an entry dials.
 ///
@@ -43,29 +43,29 @@
 const MAX_DIALLED: usize = 12;
 
 /// Time between looks whether a connection that the other end made is still up.
-const LINKED_TIME: Duration = Duration::from_millis(1_000);
+const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Time between looks whether the start hold is over.
-const SETTLE_STEP: Duration = Duration::from_millis(20);
+const START_HOLD_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Considers a preset and passes it on if it is new here.
 pub(crate) fn adopt(shared: &EntryShared, preset: &Arc<ForcedPreset>) {
     if shared.offer_preset(preset) {
-        push_everywhere(shared, preset);
+        push_preset(shared, preset);
     }
 }
 
 /// Waits until every source was heard at the start, then uses the highest preset.
 pub(crate) async fn await_start_hold(shared: Arc<EntryShared>) {
     while !shared.start_hold().is_over(Timestamp::now()) {
-        Timer::after(SETTLE_STEP).await;
+        Timer::after(START_HOLD_CHECK_INTERVAL).await;
     }
     if let Some(preset) = shared.end_start_hold() {
-        push_everywhere(&shared, &preset);
+        push_preset(&shared, &preset);
     }
 }
 
-fn push_everywhere(shared: &EntryShared, preset: &Arc<ForcedPreset>) {
+fn push_preset(shared: &EntryShared, preset: &Arc<ForcedPreset>) {
     if let Some(routed) = &shared.routed {
         // A table of routes is large, and some neighbours have it already:
         // only its revision is pushed, and who lacks it pulls it.
@@ -109,18 +109,18 @@
             advised,
             inner_addr,
         } => {
-            note_link(shared, sender, inner_addr);
-            heal(shared, sender, revision);
+            record_link_addr(shared, sender, inner_addr);
+            send_if_newer(shared, sender, revision);
             let advice = AdviceInput { caller_addr, failure_domain, in_flight, leaving };
             let heard_at = Timestamp::now();
             let peer = PeerEntry { advice, incarnation, revision, advised, heard_at };
             shared.peers().hear(&instance, peer);
         }
         ControlMessage::ReportWanted => {
-            let _ = sender.try_send(beat_message(shared));
+            let _ = sender.try_send(heartbeat_message(shared));
         }
         ControlMessage::Leaving { instance, incarnation } => {
-            take_leaving(shared, &instance, incarnation);
+            mark_leaving(shared, &instance, incarnation);
         }
         ControlMessage::Drain { instance } => drains::drain_local(shared, &instance),
         ControlMessage::PresetWanted => {
@@ -149,7 +149,7 @@
 }
 
 /// Marks an entry or an agent as leaving.
-fn take_leaving(shared: &EntryShared, instance: &InstanceId, incarnation: u64) {
+fn mark_leaving(shared: &EntryShared, instance: &InstanceId, incarnation: u64) {
     let now = Timestamp::now();
     shared.peers().leave(instance, incarnation, now);
     log::info!(target: "roster", instance:% = instance; "A process leaves.");
@@ -185,7 +185,7 @@
 }
 
 /// Notes which entry is at the other end of a connection.
-fn note_link(shared: &EntryShared, sender: &WireSender, addr: SocketAddr) {
+fn record_link_addr(shared: &EntryShared, sender: &WireSender, addr: SocketAddr) {
     let mut links = shared.peer_links();
     if let Some(link) = links.iter_mut().find(|link| link.sender.is_same(sender)) {
         link.addr = Some(addr);
@@ -200,7 +200,7 @@
 
 /// Sends the preset in force to an entry whose heartbeat shows an older one, or
 /// asks for a newer one.
-fn heal(shared: &EntryShared, sender: &WireSender, revision: PresetRevision) {
+fn send_if_newer(shared: &EntryShared, sender: &WireSender, revision: PresetRevision) {
     if let Some(preset) =
         shared.active_preset.load_full().filter(|preset| preset.revision > revision)
     {
@@ -239,7 +239,7 @@
     let local = Some(shared.settings.listen.inner.ip());
     loop {
         if is_linked(&shared, addr) {
-            Timer::after(LINKED_TIME).await;
+            Timer::after(LINK_CHECK_INTERVAL).await;
             continue;
         }
         match connect(addr, &shared.settings.inner_key, local).await {
@@ -249,7 +249,7 @@
             }
             Err(_) => shared.start_hold().heard(addr),
         }
-        Timer::after(DIAL_AGAIN).await;
+        Timer::after(REDIAL_DELAY).await;
     }
 }
 
@@ -262,8 +262,8 @@
 ) {
     // The preset goes before the heartbeat, so that the other end has it once
     // it takes this entry as heard.
-    greet(shared, &sender);
-    let _ = sender.try_send(beat_message(shared));
+    send_initial_state(shared, &sender);
+    let _ = sender.try_send(heartbeat_message(shared));
     shared.peer_links().push(PeerLink { sender: sender.clone(), addr: None });
     let mut other = None;
     while let Ok(message) = receiver.recv().await {
@@ -271,13 +271,13 @@
             continue;
         };
         if let ControlMessage::EntryAlive { in_flight } = message {
-            hear_alive(shared, &sender, other.as_ref(), in_flight);
+            handle_alive(shared, &sender, other.as_ref(), in_flight);
             continue;
         }
-        let is_beat = matches!(message, ControlMessage::EntryBeat { .. });
-        other = told_process(&message).or(other);
+        let is_heartbeat = matches!(message, ControlMessage::EntryBeat { .. });
+        other = heartbeat_process(&message).or(other);
         handle_peer_message(shared, &sender, message);
-        if let Some(addr) = dialled.filter(|_| is_beat) {
+        if let Some(addr) = dialled.filter(|_| is_heartbeat) {
             shared.start_hold().heard(addr);
         }
     }
@@ -285,7 +285,7 @@
 }
 
 /// Tells an entry at the other end of a new connection what it may lack.
-fn greet(shared: &EntryShared, sender: &WireSender) {
+fn send_initial_state(shared: &EntryShared, sender: &WireSender) {
     if let Some(preset) = shared.active_preset.load_full() {
         let _ = sender.try_send(ControlMessage::Force(preset));
     }
@@ -298,7 +298,7 @@
 }
 
 /// The process that a whole heartbeat comes from.
-fn told_process(message: &ControlMessage) -> Option<PeerProcess> {
+fn heartbeat_process(message: &ControlMessage) -> Option<PeerProcess> {
     match message {
         ControlMessage::EntryBeat { instance, incarnation, .. } => {
             Some(PeerProcess { instance: instance.clone(), incarnation: *incarnation })
@@ -308,7 +308,7 @@
 }
 
 /// Takes a short heartbeat of `other`; asks for a whole one if it was dropped meanwhile.
-fn hear_alive(
+fn handle_alive(
     shared: &EntryShared,
     sender: &WireSender,
     other: Option<&PeerProcess>,
@@ -318,7 +318,7 @@
     let known = other
         .and_then(|other| shared.peers().alive(&other.instance, other.incarnation, in_flight, now));
     match known {
-        Some(revision) => heal(shared, sender, revision),
+        Some(revision) => send_if_newer(shared, sender, revision),
         None => {
             let _ = sender.try_send(ControlMessage::ReportWanted);
         }
@@ -329,24 +329,24 @@
 /// then, in case one was lost, and short ones between.
 pub(crate) async fn send_heartbeats(shared: Arc<EntryShared>) {
     let mut last = None;
-    let mut whole_at = Timestamp::now();
+    let mut full_sent_at = Timestamp::now();
     loop {
         let now = Timestamp::now();
-        let message = beat_message(&shared);
-        let is_unchanged = last.as_ref().is_some_and(|last| equal_but_for_load(last, &message));
-        if is_unchanged && now.since(whole_at) < WHOLE_TIME {
+        let message = heartbeat_message(&shared);
+        let is_unchanged = last.as_ref().is_some_and(|last| equal_except_load(last, &message));
+        if is_unchanged && now.since(full_sent_at) < FULL_HEARTBEAT_INTERVAL {
             let in_flight = shared.in_flight.load(Ordering::Relaxed);
             send_to_peers(&shared, &ControlMessage::EntryAlive { in_flight });
         } else {
             send_to_peers(&shared, &message);
-            whole_at = now;
+            full_sent_at = now;
             last = Some(message);
         }
-        Timer::after(BEAT_TIME).await;
+        Timer::after(HEARTBEAT_INTERVAL).await;
     }
 }
 
-fn equal_but_for_load(last: &ControlMessage, message: &ControlMessage) -> bool {
+fn equal_except_load(last: &ControlMessage, message: &ControlMessage) -> bool {
     let mut last = last.clone();
     if let (
         ControlMessage::EntryBeat { in_flight: before, .. },
@@ -358,7 +358,7 @@
     last == *message
 }
 
-fn beat_message(shared: &EntryShared) -> ControlMessage {
+fn heartbeat_message(shared: &EntryShared) -> ControlMessage {
     let settings = &shared.settings;
     ControlMessage::EntryBeat {
         instance: settings.place.instance.clone(),
--- a/crates/entry/src/control/poll.rs
+++ b/crates/entry/src/control/poll.rs
@@ -55,7 +55,7 @@
                 failures = 0;
                 staging::apply_row(&shared, found.ahead);
                 if let Some(row) = found.force {
-                    warn_of_older(&shared, row.preset.revision);
+                    warn_if_older(&shared, row.preset.revision);
                     peers::adopt(&shared, &row.preset);
                 }
             }
@@ -74,7 +74,7 @@
 }
 
 /// Tells operators that the table service answers from an earlier state.
-fn warn_of_older(shared: &EntryShared, stored: PresetRevision) {
+fn warn_if_older(shared: &EntryShared, stored: PresetRevision) {
     let known = shared.known_revision();
     if stored < known {
         log::warn!(target: "preset", stored = stored.0, known = known.0; "The table service has an older preset than this entry.");
--- a/crates/entry/src/control/pull.rs
+++ b/crates/entry/src/control/pull.rs
@@ -14,7 +14,7 @@
 use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest sleep between looks whether the preset has come, or somebody near has it.
-const LOOK_TIME: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Takes in the revision that another entry tells.
 pub(super) fn handle_revision(
@@ -57,7 +57,7 @@
                 let _ = sender.try_send(ControlMessage::PresetWanted);
             }
             PullStep::Wait(until) => {
-                Timer::after(until.remaining(now).min(LOOK_TIME)).await;
+                Timer::after(until.remaining(now).min(CHECK_INTERVAL)).await;
             }
         }
     }
--- a/crates/entry/src/control/quarantine.rs
+++ b/crates/entry/src/control/quarantine.rs
@@ -13,47 +13,47 @@
 use crate::{routed::RoutedState, shared::EntryShared};
 
 /// The row with all bars.
-const BARS_ROW: &str = "quarantine";
+const BARRED_ROW: &str = "quarantine";
 
 /// Time after the start in which links to other entries come up.
 ///
 /// Only the few that follow the operators' rows then read the row.
-const LINK_TIME: Duration = Duration::from_secs(1);
+const LINK_SETUP_TIME: Duration = Duration::from_secs(1);
 
 /// Time between two tries.
-const TRY_TIME: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Reads the bars once after the start, and adds those that own runs have shown.
 pub(crate) async fn sync_barred(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
-    let read_at = Timestamp::now().deadline_after(LINK_TIME);
+    let read_at = Timestamp::now().deadline_after(LINK_SETUP_TIME);
     let (mut is_read, mut is_due) = (false, false);
     loop {
         if is_read && !is_due {
             routed.crashes.await_own_barred().await;
             is_due = true;
         } else {
-            is_due |= timeout(TRY_TIME, routed.crashes.await_own_barred()).await.is_some();
+            is_due |= timeout(RETRY_INTERVAL, routed.crashes.await_own_barred()).await.is_some();
         }
         if !is_read && read_at.is_past(Timestamp::now()) {
-            is_read = routed.row_duty() != RowDuty::Follow || read_bars(&shared, &routed).await;
+            is_read = routed.row_duty() != RowDuty::Follow || read_barred(&shared, &routed).await;
         }
         if is_due {
-            is_due = !add_bars(&shared, &routed).await;
+            is_due = !add_barred(&shared, &routed).await;
         }
     }
 }
 
 /// Takes in the bars of the row; false if it cannot be read.
-async fn read_bars(shared: &EntryShared, routed: &RoutedState) -> bool {
-    let kept = match kept_bars(shared.table.as_ref()).await {
-        Ok((_, kept)) => kept,
+async fn read_barred(shared: &EntryShared, routed: &RoutedState) -> bool {
+    let stored = match stored_barred(shared.table.as_ref()).await {
+        Ok((_, stored)) => stored,
         Err(error) => {
             log::warn!(target: "quarantine", cause:% = error; "Bars cannot be read.");
             return false;
         }
     };
     let now = Timestamp::now();
-    let rows = kept.iter().map(|bar| CrashRow {
+    let rows = stored.iter().map(|bar| CrashRow {
         digest: bar.digest,
         event: CrashEvent::Barred,
         age_ms: now.since(bar.ended_at).as_millis() as u32,
@@ -68,7 +68,7 @@
 }
 
 /// Adds bars that the row lacks; false if that has to be tried again.
-async fn add_bars(shared: &EntryShared, routed: &RoutedState) -> bool {
+async fn add_barred(shared: &EntryShared, routed: &RoutedState) -> bool {
     match try_add(shared, routed).await {
         Ok(is_done) => is_done,
         Err(error) => {
@@ -80,24 +80,26 @@
 
 async fn try_add(shared: &EntryShared, routed: &RoutedState) -> Result<bool, StoreError> {
     let table = shared.table.as_ref();
-    let (guard, kept) = kept_bars(table).await?;
-    let bars = routed.overlay.lock().crashes.bars_to_keep(&kept, Timestamp::now());
-    let Some(bars) = bars else {
+    let (guard, stored) = stored_barred(table).await?;
+    let barred = routed.overlay.lock().crashes.bars_to_keep(&stored, Timestamp::now());
+    let Some(barred) = barred else {
         return Ok(true);
     };
-    let value = serde_json::to_value(&bars).map_err(|e| StoreError::NoEffect(e.to_string()))?;
-    let write = TableWrite { key: BARS_ROW.to_owned(), guard, value };
+    let value = serde_json::to_value(&barred).map_err(|e| StoreError::NoEffect(e.to_string()))?;
+    let write = TableWrite { key: BARRED_ROW.to_owned(), guard, value };
     let verdict = table.write(&[write], true).await?.pop();
     Ok(matches!(verdict, Some(WriteVerdict::Written(_))))
 }
 
-async fn kept_bars(table: &dyn TableStore) -> Result<(TableGuard, Vec<BarredRequest>), StoreError> {
-    let Some(row) = table.read(BARS_ROW).await? else {
+async fn stored_barred(
+    table: &dyn TableStore,
+) -> Result<(TableGuard, Vec<BarredRequest>), StoreError> {
+    let Some(row) = table.read(BARRED_ROW).await? else {
         return Ok((TableGuard::Absent, Vec::new()));
     };
-    let bars = serde_json::from_value(row.value).unwrap_or_else(|error| {
+    let barred = serde_json::from_value(row.value).unwrap_or_else(|error| {
         log::error!(target: "quarantine", cause:% = error; "The row of bars is damaged and will be replaced.");
         Vec::new()
     });
-    Ok((TableGuard::Revision(row.revision), bars))
+    Ok((TableGuard::Revision(row.revision), barred))
 }
--- a/crates/entry/src/direct.rs
+++ b/crates/entry/src/direct.rs
@@ -21,7 +21,7 @@
 use crate::limits::LimitTracker;
 
 /// Largest body of a refusal that is read for the sake of its connection, in bytes.
-const REFUSAL_BYTES: usize = 16 << 10;
+const MAX_REFUSAL_BYTES: usize = 16 << 10;
 
 /// The client of endpoints.
 pub(crate) struct DirectClient {
@@ -74,8 +74,8 @@
     }
 
     /// Drops the connections of endpoints for which `is_listed` does not hold.
-    pub(crate) fn keep_only(&self, is_listed: impl Fn(&InstanceId) -> bool) {
-        self.pool.keep_only(is_listed);
+    pub(crate) fn retain_listed(&self, is_listed: impl Fn(&InstanceId) -> bool) {
+        self.pool.retain_listed(is_listed);
     }
 
     /// Sends a request and waits for the head of its answer.
@@ -105,7 +105,7 @@
             Ok(()) => Ok(DirectResponse { parts, marks, stream }),
             Err(end) => {
                 if matches!(end, AttemptEnd::NotRun(_)) {
-                    stream.reclaim();
+                    stream.reuse_connection();
                 }
                 Err(end)
             }
@@ -198,25 +198,25 @@
                 }
                 Some(Err(error)) => return DirectPart::Cut(error.to_string()),
                 None => {
-                    self.give_back();
+                    self.return_connection();
                     return DirectPart::End;
                 }
             }
         }
     }
 
-    fn give_back(&mut self) {
+    fn return_connection(&mut self) {
         if let Some(connection) = self.connection.take().filter(|_| !self.marks.closes) {
             self.client.pool.put(connection, self.marks.idle_time, Timestamp::now());
         }
     }
 
     /// Reads what is left of a refusal, so that its connection can be used again.
-    fn reclaim(mut self) {
+    fn reuse_connection(mut self) {
         spawn(async move {
-            let rest = Limited::new(&mut self.body, REFUSAL_BYTES).collect();
-            if let Some(Ok(_)) = timeout(pool::RECLAIM_TIME, rest).await {
-                self.give_back();
+            let rest = Limited::new(&mut self.body, MAX_REFUSAL_BYTES).collect();
+            if let Some(Ok(_)) = timeout(pool::REFUSAL_TIMEOUT, rest).await {
+                self.return_connection();
             }
         })
         .detach();
--- a/crates/entry/src/direct/pool.rs
+++ b/crates/entry/src/direct/pool.rs
@@ -18,10 +18,10 @@
 use super::DirectTarget;
 
 /// Longest time to connect; a live endpoint takes a few milliseconds.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Longest time to read the body of a refusal.
-pub(super) const RECLAIM_TIME: Duration = Duration::from_millis(500);
+pub(super) const REFUSAL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Idle connections kept to one endpoint.
 ///
@@ -30,10 +30,10 @@
 /// own idle time is over. Four of each entry are a third of what an endpoint of 590
 /// admits from 45 entries, so that it has room for their return. An entry rarely has
 /// more idle at one endpoint: it sends it a request or two a second.
-const IDLE_CONNECTIONS: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
 /// How long a connection is kept of which the endpoint does not tell it.
-const SHORT_IDLE: Duration = Duration::from_millis(300);
+const DEFAULT_IDLE_TIME: Duration = Duration::from_millis(300);
 
 /// Part of the endpoint's own idle time that is left unused, so that a request
 /// does not cross the endpoint's close.
@@ -46,7 +46,7 @@
 pub(super) struct EndpointConnection {
     instance: InstanceId,
     sender: http1::SendRequest<Full<Bytes>>,
-    until: Deadline,
+    idle_until: Deadline,
     /// Drives the connection for as long as it is held.
     _driver: Task<()>,
 }
@@ -58,13 +58,13 @@
     /// What went wrong.
     detail: String,
     /// Whether the connection has ended.
-    ended: bool,
+    is_closed: bool,
 }
 
 impl SendFailure {
     /// How the attempt ended, of a request that may have been sent.
     pub(super) fn into_end(self) -> AttemptEnd {
-        match self.ended {
+        match self.is_closed {
             true => AttemptEnd::Lost(self.detail),
             false => AttemptEnd::Unknown(self.detail),
         }
@@ -83,7 +83,7 @@
     deadline: Deadline,
 ) -> Result<EndpointConnection, String> {
     let addr = target.addr;
-    let span = deadline.remaining(Timestamp::now()).min(CONNECT_TIME);
+    let span = deadline.remaining(Timestamp::now()).min(CONNECT_TIMEOUT);
     let stream = match timeout(span, dial(addr, None)).await {
         Some(Ok(stream)) => stream,
         Some(Err(error)) => return Err(error.to_string()),
@@ -100,7 +100,7 @@
         }
     });
     let instance = target.instance.clone();
-    Ok(EndpointConnection { instance, sender, until: Deadline(0), _driver: driver })
+    Ok(EndpointConnection { instance, sender, idle_until: Deadline(0), _driver: driver })
 }
 
 impl EndpointConnection {
@@ -115,18 +115,22 @@
             Some(Ok(reply)) => Ok(reply),
             Some(Err(mut failure)) => {
                 let unsent = failure.take_message().map(Box::new);
-                Err(SendFailure { unsent, detail: failure.into_error().to_string(), ended: true })
+                Err(SendFailure {
+                    unsent,
+                    detail: failure.into_error().to_string(),
+                    is_closed: true,
+                })
             }
             None => Err(SendFailure {
                 unsent: None,
                 detail: "the endpoint gave no answer in time".to_owned(),
-                ended: false,
+                is_closed: false,
             }),
         }
     }
 
     fn is_usable(&self, now: Timestamp) -> bool {
-        self.sender.is_ready() && !self.until.is_past(now)
+        self.sender.is_ready() && !self.idle_until.is_past(now)
     }
 }
 
@@ -150,18 +154,18 @@
         idle_time: Option<Duration>,
         now: Timestamp,
     ) {
-        let span = idle_time.map_or(SHORT_IDLE, |span| span.saturating_sub(IDLE_MARGIN));
-        connection.until = now.deadline_after(span);
+        let span = idle_time.map_or(DEFAULT_IDLE_TIME, |span| span.saturating_sub(IDLE_MARGIN));
+        connection.idle_until = now.deadline_after(span);
         let mut idle = self.lock();
         let connections = idle.entry(connection.instance.clone()).or_default();
         connections.retain(|other| other.is_usable(now));
-        if connections.len() < IDLE_CONNECTIONS {
+        if connections.len() < MAX_IDLE_CONNECTIONS {
             connections.push(connection);
         }
     }
 
     /// Drops the connections of endpoints for which `is_listed` does not hold.
-    pub(super) fn keep_only(&self, is_listed: impl Fn(&InstanceId) -> bool) {
+    pub(super) fn retain_listed(&self, is_listed: impl Fn(&InstanceId) -> bool) {
         self.lock().retain(|instance, _| is_listed(instance));
     }
 
--- a/crates/entry/src/inner.rs
+++ b/crates/entry/src/inner.rs
@@ -20,7 +20,7 @@
 };
 
 /// Longest wait for the hello of a new connection.
-const HELLO_TIME: Duration = Duration::from_secs(3);
+const HELLO_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Accepts connections until `shutdown`.
 pub(crate) async fn serve_inner(
@@ -43,7 +43,7 @@
             return;
         }
     };
-    let hello = match timeout(HELLO_TIME, receiver.recv()).await {
+    let hello = match timeout(HELLO_TIMEOUT, receiver.recv()).await {
         Some(Ok(WireMessage::Hello(hello))) => hello,
         Some(Ok(_) | Err(_)) | None => {
             log::warn!(target: "inner", "A connection did not begin with a hello.");
@@ -64,7 +64,7 @@
 ///
 /// An entry sends an endpoint of another region only what its own region has no
 /// room for. Two words may be lost before the agent counts as silent, after 1.5 s.
-const FAR_LOAD_MS: u64 = 600;
+const REMOTE_LOAD_INTERVAL_MS: u64 = 600;
 
 async fn serve_agent(
     shared: &Arc<EntryShared>,
@@ -79,11 +79,11 @@
         shared.add_link(link.clone());
     }
     orders::send_preset(shared, &link, PresetRevision::default());
-    let silence = Duration::from_millis(shared.settings.control.heartbeat_timeout_ms);
+    let silence_timeout = Duration::from_millis(shared.settings.control.heartbeat_timeout_ms);
     let mut region = None;
     loop {
         let received = match &shared.routed {
-            Some(_) => timeout(silence, receiver.recv()).await,
+            Some(_) => timeout(silence_timeout, receiver.recv()).await,
             None => Some(receiver.recv().await),
         };
         let Some(received) = received else {
@@ -92,7 +92,7 @@
         };
         match received {
             Ok(WireMessage::Control(ControlMessage::EntriesWanted { region })) => {
-                answer_entries(shared, &link, &region);
+                send_entries(shared, &link, &region);
             }
             Ok(WireMessage::Control(message)) => {
                 if !is_added && matches!(message, ControlMessage::Report(_)) {
@@ -100,10 +100,10 @@
                     is_added = true;
                 }
                 if let (None, ControlMessage::Report(report)) = (&region, &message) {
-                    ask_for_loads(shared, &link, &report.region);
+                    request_load_interval(shared, &link, &report.region);
                     region = Some(report.region.clone());
                 }
-                handle_agent_control(shared, &link, message);
+                handle_agent_message(shared, &link, message);
             }
             Ok(WireMessage::Request(message)) => link.deliver(message),
             Ok(WireMessage::Hello(_) | WireMessage::Chunk(_)) => {}
@@ -120,7 +120,7 @@
 }
 
 /// Sends an agent the entries that it may connect to.
-fn answer_entries(shared: &EntryShared, link: &AgentLink, region: &RegionName) {
+fn send_entries(shared: &EntryShared, link: &AgentLink, region: &RegionName) {
     let Some(routed) = &shared.routed else {
         return;
     };
@@ -130,19 +130,20 @@
 }
 
 /// Asks an agent of another region for fewer loads.
-fn ask_for_loads(shared: &EntryShared, link: &AgentLink, region: &RegionName) {
+fn request_load_interval(shared: &EntryShared, link: &AgentLink, region: &RegionName) {
     if *region != shared.settings.place.region {
-        let _ = link.sender.try_send(ControlMessage::LoadWanted { every_ms: FAR_LOAD_MS });
+        let _ =
+            link.sender.try_send(ControlMessage::LoadWanted { every_ms: REMOTE_LOAD_INTERVAL_MS });
     }
 }
 
-fn handle_agent_control(shared: &Arc<EntryShared>, link: &AgentLink, message: ControlMessage) {
+fn handle_agent_message(shared: &Arc<EntryShared>, link: &AgentLink, message: ControlMessage) {
     match message {
         ControlMessage::Report(report) if report.instance == link.instance => {
             orders::send_preset(shared, link, report.revision);
-            take_report(shared, *report);
+            handle_report(shared, *report);
         }
-        ControlMessage::Beat(load) => take_beat(shared, link, load),
+        ControlMessage::Beat(load) => handle_heartbeat(shared, link, load),
         ControlMessage::Leaving { instance, incarnation } if instance == link.instance => {
             shared.roster().leave(&instance, incarnation, Timestamp::now());
             shared.rebuild_routes();
@@ -182,7 +183,7 @@
 }
 
 /// Takes a heartbeat that tells only the load.
-fn take_beat(shared: &EntryShared, link: &AgentLink, load: LoadReport) {
+fn handle_heartbeat(shared: &EntryShared, link: &AgentLink, load: LoadReport) {
     let mut roster = shared.roster();
     let known = roster.beat(&link.instance, link.incarnation, load, Timestamp::now());
     let known = known.map(|report| (report.revision, report.limit));
@@ -204,18 +205,18 @@
 /// A rebuild of the routes costs time in proportion to the endpoints, so one
 /// for each heartbeat would cost its square. Only a changed state needs one;
 /// the load goes into the cell that all snapshots share.
-fn take_report(shared: &EntryShared, report: EndpointReport) {
+fn handle_report(shared: &EntryShared, report: EndpointReport) {
     let (load, limit) = (report.load, report.limit);
     let instance = report.instance.clone();
     let mut roster = shared.roster();
     let known = roster.member(&instance).map(|member| member.report.state.clone());
     let changed = known.as_ref() != Some(&report.state);
-    let told = shared.routed.is_some().then(|| report.clone());
+    let published = shared.routed.is_some().then(|| report.clone());
     if !roster.hear(report, Timestamp::now()) {
         return;
     }
     drop(roster);
-    if let (Some(routed), Some(report)) = (&shared.routed, told) {
+    if let (Some(routed), Some(report)) = (&shared.routed, published) {
         gossip::publish_report(routed, &report);
         // Requests may go to the endpoint as soon as it counts as connected.
         gossip::refresh_own_record(shared, routed);
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -21,12 +21,12 @@
 use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Shortest time between two looks at the paces of all endpoints.
-const RENEW_TIME: Duration = Duration::from_millis(100);
+const PACE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Limits that endpoints name.
 pub(crate) struct LimitTracker {
     book: Mutex<LimitBook>,
-    is_known: AtomicBool,
+    has_limits: AtomicBool,
     /// When paces were set last, in milliseconds.
     paced_at: AtomicU64,
     /// Wakes the task that sends news to neighbours and sets paces.
@@ -38,14 +38,14 @@
     pub(crate) fn new(waker: Sender<()>) -> Self {
         Self {
             book: Mutex::default(),
-            is_known: AtomicBool::new(false),
+            has_limits: AtomicBool::new(false),
             paced_at: AtomicU64::new(0),
             waker,
         }
     }
 
     fn notify_change(&self) {
-        self.is_known.store(true, Ordering::Relaxed);
+        self.has_limits.store(true, Ordering::Relaxed);
         self.paced_at.store(0, Ordering::Relaxed);
         let _ = self.waker.try_send(());
     }
@@ -57,11 +57,11 @@
 
     /// Takes in the limit of an answer of `instance`.
     pub(crate) fn observe(&self, instance: &InstanceId, limit: Option<NamedLimit>) {
-        if limit.is_none() && !self.is_known.load(Ordering::Relaxed) {
+        if limit.is_none() && !self.has_limits.load(Ordering::Relaxed) {
             return;
         }
-        let is_news = self.book().hear(subject_of(instance.as_str()), limit, Timestamp::now());
-        if is_news {
+        let is_new = self.book().hear(subject_of(instance.as_str()), limit, Timestamp::now());
+        if is_new {
             self.notify_change();
             match limit {
                 Some(limit) => {
@@ -78,24 +78,25 @@
     pub(crate) fn merge_row(&self, row: LimitRow, source: u64, now: Timestamp) -> bool {
         let mut book = self.book();
         let before = book.named();
-        let is_news = book.note(row, source, now);
+        let is_new = book.note(row, source, now);
         let named = book.named();
         drop(book);
-        if is_news {
+        if is_new {
             self.notify_change();
         }
         if named != before {
             log::info!(target: "limit", endpoint = row.endpoint, state:? = row.state, age_ms = row.age_ms, named = named; "Learned of a limit.");
         }
-        is_news
+        is_new
     }
 }
 
 /// Sets the pace of each endpoint that names a limit, or did so a moment ago.
 pub(crate) fn update_paces(shared: &EntryShared, routed: &RoutedState, now: Timestamp) {
     let limits = &routed.limits;
-    let renew_at = Timestamp(limits.paced_at.load(Ordering::Relaxed)).deadline_after(RENEW_TIME);
-    if !limits.is_known.load(Ordering::Relaxed) || !renew_at.is_past(now) {
+    let update_at =
+        Timestamp(limits.paced_at.load(Ordering::Relaxed)).deadline_after(PACE_INTERVAL);
+    if !limits.has_limits.load(Ordering::Relaxed) || !update_at.is_past(now) {
         return;
     }
     limits.paced_at.store(now.0, Ordering::Relaxed);
@@ -116,7 +117,7 @@
         }
         let listed = listing.endpoints().find(|listed| listed.instance == candidate.instance);
         let domain = listed.map(|listed| &listed.failure_domain);
-        let place = place_for(subject, domain, own, &present);
+        let place = holder_place(subject, domain, own, &present);
         let pace = book.pace(subject, place, now);
         is_change |= pace.is_some() != candidate.cell.is_paced();
         candidate.cell.set_pace(pace, now);
@@ -130,7 +131,7 @@
 
 /// Forgets limits of endpoints that are gone.
 pub(crate) fn expire(routed: &RoutedState, now: Timestamp) {
-    if !routed.limits.is_known.load(Ordering::Relaxed) {
+    if !routed.limits.has_limits.load(Ordering::Relaxed) {
         return;
     }
     let listing = routed.listing();
@@ -139,19 +140,19 @@
     drop(listing);
     let mut book = routed.limits.book();
     book.expire(|endpoint| listed.contains(&endpoint), now);
-    routed.limits.is_known.store(!book.is_empty(), Ordering::Relaxed);
+    routed.limits.has_limits.store(!book.is_empty(), Ordering::Relaxed);
 }
 
 /// Place of the entry `own` among those that may hold the limit of an endpoint in `domain`.
-fn place_for(
+fn holder_place(
     subject: u64,
     domain: Option<&FailureDomain>,
     own: &InstanceId,
     present: &[&EntryRecord],
 ) -> HolderPlace {
-    let is_beside = |record: &&&EntryRecord| Some(&record.failure_domain) == domain;
-    let has_beside = present.iter().any(|record| is_beside(&record));
-    let candidates = present.iter().filter(|record| !has_beside || is_beside(record));
+    let is_in_domain = |record: &&&EntryRecord| Some(&record.failure_domain) == domain;
+    let has_domain_entry = present.iter().any(|record| is_in_domain(&record));
+    let candidates = present.iter().filter(|record| !has_domain_entry || is_in_domain(record));
     let candidates: Vec<_> = candidates.collect();
     let weight = |name: &InstanceId| rendezvous_weight(subject, name.as_str());
     let own_weight = weight(own);
--- a/crates/entry/src/link.rs
+++ b/crates/entry/src/link.rs
@@ -27,7 +27,7 @@
     /// Messages to the agent.
     pub(crate) sender: WireSender,
     attempts: AtomicU64,
-    waiting: Mutex<HashMap<u64, Sender<RequestMessage>>>,
+    receivers: Mutex<HashMap<u64, Sender<RequestMessage>>>,
 }
 
 /// One attempt under way; dropping it tells the agent that nobody waits for it.
@@ -46,7 +46,7 @@
             incarnation,
             sender,
             attempts: AtomicU64::new(0),
-            waiting: Mutex::default(),
+            receivers: Mutex::default(),
         }
     }
 
@@ -59,7 +59,7 @@
         let span = head.deadline.remaining(Timestamp::now()).min(MAX_QUEUE_TIME);
         let attempt = self.attempts.fetch_add(1, Ordering::Relaxed);
         let (sender, messages) = unbounded();
-        self.waiting().insert(attempt, sender);
+        self.receivers().insert(attempt, sender);
         let stream = LinkStream { link: self.clone(), attempt, messages, ended: false };
         let message =
             RequestMessage::Dispatch { attempt, head: Box::new(head), body: body.to_vec() };
@@ -68,7 +68,7 @@
         let sent = timeout(span, self.sender.send(message)).await;
         match sent {
             Some(Ok(())) => return Ok(stream),
-            Some(Err(_)) | None => stream.abandon(),
+            Some(Err(_)) | None => stream.discard(),
         }
         Err(NotRunReason::ConnectFailed)
     }
@@ -77,19 +77,19 @@
     pub(crate) fn deliver(&self, message: RequestMessage) {
         // A message of an abandoned attempt has no receiver any more; dropping
         // it keeps a late answer from reaching another caller.
-        if let Some(waiting) = self.waiting().get(&message.attempt()) {
-            let _ = waiting.try_send(message);
+        if let Some(receivers) = self.receivers().get(&message.attempt()) {
+            let _ = receivers.try_send(message);
         }
     }
 
     /// Ends all attempts: the connection is gone.
     pub(crate) fn close(&self) {
         self.sender.close();
-        self.waiting().clear();
+        self.receivers().clear();
     }
 
-    fn waiting(&self) -> MutexGuard<'_, HashMap<u64, Sender<RequestMessage>>> {
-        self.waiting.lock().unwrap_or_else(|poison| poison.into_inner())
+    fn receivers(&self) -> MutexGuard<'_, HashMap<u64, Sender<RequestMessage>>> {
+        self.receivers.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 }
 
@@ -110,20 +110,20 @@
     ///
     /// Waits for room in the queue: a credit that is lost would stall the rest
     /// of the answer until its deadline.
-    pub(crate) async fn grant(&self, bytes: usize) {
+    pub(crate) async fn grant_credit(&self, bytes: usize) {
         let message = RequestMessage::Credit { attempt: self.attempt, bytes: bytes as u32 };
         let _ = self.link.sender.send(message).await;
     }
 
     /// Forgets an attempt of which nothing was sent.
-    fn abandon(mut self) {
+    fn discard(mut self) {
         self.ended = true;
     }
 }
 
 impl Drop for LinkStream {
     fn drop(&mut self) {
-        self.link.waiting().remove(&self.attempt);
+        self.link.receivers().remove(&self.attempt);
         if self.ended {
             return;
         }
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -34,7 +34,7 @@
 /// Entries among which the retries of a service are shared at least.
 ///
 /// An entry that starts knows of no other yet, and would take all of them.
-const FEWEST_ENTRIES: usize = 9;
+const MIN_BUDGET_SHARES: usize = 9;
 
 /// The edges of such an entry.
 pub struct RoutedAdapters {
@@ -95,7 +95,7 @@
 ///
 /// Callers give a first try all of their time, and come back after some hundred
 /// milliseconds at least.
-const FIRST_TRY_PART: f64 = 0.97;
+const FIRST_TRY_FRACTION: f64 = 0.97;
 
 /// An endpoint that requests may be sent to.
 pub(crate) struct DirectCandidate<'a> {
@@ -169,7 +169,7 @@
         let patience = patience.as_millis() as u64;
         if let Some(longest) = self.patience.load().get(route) {
             let longest = longest.fetch_max(patience, Ordering::Relaxed).max(patience);
-            return patience as f64 >= longest as f64 * FIRST_TRY_PART;
+            return patience as f64 >= longest as f64 * FIRST_TRY_FRACTION;
         }
         self.patience.rcu(|known| {
             let mut known = HashMap::clone(known);
@@ -234,7 +234,7 @@
 
     /// Retries of `service`; this entry's share of those that all entries may make.
     pub(crate) fn retry_budget(&self, service: &ServiceName, entries: usize) -> Arc<RetryBudget> {
-        let savings = self.settings.retry_slack / entries.max(FEWEST_ENTRIES) as f64;
+        let savings = self.settings.retry_slack / entries.max(MIN_BUDGET_SHARES) as f64;
         if let Some(budget) = self.budgets.load().get(service) {
             budget.set_savings(savings);
             return budget.clone();
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -38,13 +38,13 @@
 ///
 /// Presets name a shorter one; callers use a connection for a part of that, and
 /// one that ends under them costs a request.
-const IDLE_TIME: Duration = Duration::from_secs(60);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(60);
 
 /// Longest time for which a leaving entry takes new connections.
 ///
 /// Callers keep the addresses that they were told for the advised time, some of
 /// them longer; the rest of the shutdown is for the requests in progress.
-const LEAVE_TIME: Duration = Duration::from_millis(3_000);
+const MIN_LEAVE_TIME: Duration = Duration::from_millis(3_000);
 
 /// The addresses of an entry, all taken.
 struct EntryListeners {
@@ -106,9 +106,9 @@
     };
     let end = signals.finish(deadline, drained).await;
     trigger.fire();
-    let left = shared.in_flight.load(Ordering::Relaxed);
-    log::info!(target: "drain", in_flight = left; "The entry ends.");
-    end.into_result(left)
+    let remaining = shared.in_flight.load(Ordering::Relaxed);
+    log::info!(target: "drain", in_flight = remaining; "The entry ends.");
+    end.into_result(remaining)
 }
 
 impl EntryListeners {
@@ -218,7 +218,7 @@
     let limits = listener_limits(&settings.limits, settings.caller.max_connections);
     match shared.routed.clone() {
         Some(routed) => {
-            let limits = ListenerLimits { head_time: IDLE_TIME, ..limits };
+            let limits = ListenerLimits { head_time: MAX_IDLE_TIME, ..limits };
             let answer =
                 move |request, _| caller::accept_routed(shared.clone(), routed.clone(), request);
             serve_http(listener, limits, shutdown, answer).await;
@@ -249,6 +249,6 @@
     peers::announce_leaving(shared);
     log::info!(target: "drain", in_flight = shared.in_flight.load(Ordering::Relaxed); "The entry leaves.");
     let advised = Duration::from_millis(shared.settings.caller.advice_ms);
-    let span = if shared.routed.is_some() { LEAVE_TIME.max(advised) } else { advised };
+    let span = if shared.routed.is_some() { MIN_LEAVE_TIME.max(advised) } else { advised };
     Timer::after(span).await;
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -33,16 +33,16 @@
 };
 
 /// Longest time for which an entry that starts waits for every source of presets.
-const START_TIME: Duration = Duration::from_secs(1);
+const START_HOLD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time for which a request may still begin at an engine whose version gets no new ones.
 ///
 /// New requests stop 900 ms before the version may not answer any more. One that
 /// waits in a full engine's queue for longer than that would begin too late.
-const BEGIN_TIME: Duration = Duration::from_millis(550);
+const MAX_START_DELAY: Duration = Duration::from_millis(550);
 
 /// Time within which agents connect to an entry that has started.
-const CONNECT_TIME: Duration = Duration::from_secs(3);
+const AGENT_CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Everything that the parts of an entry share.
 pub(crate) struct EntryShared {
@@ -73,14 +73,14 @@
     pub(crate) progress: Mutex<ProgressMarks>,
     /// What the entry has where callers are routed by a table.
     pub(crate) routed: Option<Arc<RoutedState>>,
-    retries: Arc<RetryBudget>,
+    default_retries: Arc<RetryBudget>,
     /// Requests of callers in progress.
     pub(crate) in_flight: AtomicU32,
     /// Whether this entry leaves.
     pub(crate) leaving: AtomicBool,
     advised: AtomicBool,
     holder: Mutex<PresetHolder>,
-    settled: AtomicBool,
+    start_hold_over: AtomicBool,
     start_hold: Mutex<StartHold>,
     roster: Mutex<EndpointRoster>,
     counters: Mutex<CounterRegistry>,
@@ -122,13 +122,13 @@
             store,
             progress: Mutex::default(),
             routed,
-            retries: Arc::default(),
+            default_retries: Arc::default(),
             in_flight: AtomicU32::new(0),
             leaving: AtomicBool::new(false),
             advised: AtomicBool::new(false),
             holder: Mutex::default(),
-            settled: AtomicBool::new(false),
-            start_hold: Mutex::new(StartHold::new(sources, now.deadline_after(START_TIME))),
+            start_hold_over: AtomicBool::new(false),
+            start_hold: Mutex::new(StartHold::new(sources, now.deadline_after(START_HOLD_TIMEOUT))),
             roster: Mutex::default(),
             counters: Mutex::default(),
             peers: Mutex::default(),
@@ -188,7 +188,7 @@
     pub(crate) fn retry_budget(&self, service: &ServiceName) -> Arc<RetryBudget> {
         match &self.routed {
             Some(routed) => routed.retry_budget(service, self.peers().values().count() + 1),
-            None => self.retries.clone(),
+            None => self.default_retries.clone(),
         }
     }
 
@@ -215,7 +215,7 @@
         let active_preset = self.active_preset.load();
         let engine = active_preset.as_ref()?.content.services.get(service)?.engine.as_ref()?;
         let barred_from = routed.versions.load().barred_from(&engine.model, version?)?;
-        Some(Timestamp(barred_from.0).deadline_after(BEGIN_TIME))
+        Some(Timestamp(barred_from.0).deadline_after(MAX_START_DELAY))
     }
 
     /// An id that no other request has.
@@ -229,7 +229,7 @@
     pub(crate) fn offer_preset(&self, preset: &Arc<ForcedPreset>) -> bool {
         let mut holder = self.holder();
         match holder.offer(preset.clone()) {
-            Adoption::Adopted if self.settled.load(Ordering::Acquire) => {
+            Adoption::Adopted if self.start_hold_over.load(Ordering::Acquire) => {
                 self.publish(preset);
                 true
             }
@@ -245,7 +245,7 @@
     /// Ends the hold of the start; the preset that is in force from now on, if one is known.
     pub(crate) fn end_start_hold(&self) -> Option<Arc<ForcedPreset>> {
         let holder = self.holder();
-        self.settled.store(true, Ordering::Release);
+        self.start_hold_over.store(true, Ordering::Release);
         let preset = holder.current()?.clone();
         self.publish(&preset);
         Some(preset)
@@ -274,7 +274,7 @@
             return false;
         };
         let started_at = Timestamp(self.incarnation);
-        if Timestamp::now().since(started_at) > CONNECT_TIME {
+        if Timestamp::now().since(started_at) > AGENT_CONNECT_TIMEOUT {
             return true;
         }
         if let Some(routed) = &self.routed {
@@ -386,8 +386,8 @@
         let Some(routed) = &self.routed else {
             return;
         };
-        let is_news = routed.listing().forget(instance);
-        if is_news {
+        let is_new = routed.listing().forget(instance);
+        if is_new {
             log::info!(target: "list", endpoint:% = instance; "Another process answers for an endpoint.");
             self.rebuild_routes();
         }
@@ -458,7 +458,7 @@
             let listed = candidate.listed;
             if counters.processes.begin(&listed.instance, listed.born_at) {
                 counters.reset(&listed.instance);
-                routed.direct.keep_only(|instance| *instance != listed.instance);
+                routed.direct.retain_listed(|instance| *instance != listed.instance);
             }
             let cell = counters.endpoint(&listed.instance);
             cell.set_limit(candidate.limit);
@@ -474,7 +474,7 @@
             });
         }
         let listed: HashSet<_> = listing.endpoints().map(|listed| &listed.instance).collect();
-        routed.direct.keep_only(|instance| listed.contains(instance));
+        routed.direct.retain_listed(|instance| listed.contains(instance));
         counters.processes.keep_only(|instance| listed.contains(instance));
         routed.counters_by_agent.store(Arc::new(counters_by_agent));
         services
