--- a/crates/entry/src/caller/relay.rs
+++ b/crates/entry/src/caller/relay.rs
@@ -97,7 +97,7 @@
         let response = response.map_err(|failed| format!("{:?}", failed.outcome))?;
         let kind = |response: &StartedResponse| response.headers.get(CONTENT_TYPE).cloned();
         if (response.status, kind(&response)) != (self.response.status, kind(&self.response)) {
-            return Err("another run's response differs".to_owned());
+            return Err("the new response differs".to_owned());
         }
         self.response = response;
         let mut digest = blake3::Hasher::new();
@@ -113,7 +113,7 @@
                     }
                 }
                 ResponsePart::End(_) => {
-                    return Err("another run's response is shorter".to_owned());
+                    return Err("the new response is shorter".to_owned());
                 }
                 ResponsePart::Cut(detail) => return Ok(ResponseStep::Cut(detail)),
             }
@@ -121,7 +121,7 @@
         if self.received == 0 {
             return Ok(self.next().await);
         }
-        Err("another run's response differs".to_owned())
+        Err("the new response differs".to_owned())
     }
 
     fn record_bytes(&mut self, bytes: Bytes) -> ResponseStep {
--- a/crates/entry/src/caller/routed.rs
+++ b/crates/entry/src/caller/routed.rs
@@ -273,11 +273,9 @@
                 reply
             }
             Self::NoRoute => error_reply(StatusCode::NOT_FOUND, "no-route", "no matching route"),
-            Self::UnknownKey => error_reply(
-                StatusCode::UNAUTHORIZED,
-                "unknown-key",
-                "the key is not valid for this route",
-            ),
+            Self::UnknownKey => {
+                error_reply(StatusCode::UNAUTHORIZED, "unknown-key", "the key is not valid")
+            }
             Self::Bad(status, message) => error_reply(status, "bad-request", message),
         }
     }
