--- a/crates/entry/src/caller/relay.rs
+++ b/crates/entry/src/caller/relay.rs
@@ -112,9 +112,7 @@
                         return Ok(self.record_bytes(bytes));
                     }
                 }
-                ResponsePart::End(_) => {
-                    return Err("the new response is shorter".to_owned());
-                }
+                ResponsePart::End(_) => return Err("the new response is shorter".to_owned()),
                 ResponsePart::Cut(detail) => return Ok(ResponseStep::Cut(detail)),
             }
         }
