--- a/crates/agent/src/endpoint.rs
+++ b/crates/agent/src/endpoint.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{EntryChoice, GateState, LoadPace, PresetHolder, StartHold, ToldReport};
+use cassiawheel_decide::{EntrySelector, GateState, LoadSchedule, PresetHolder, StartHold, SentReport};
 use cassiawheel_edge::{ModelEngine, TableStore, WeightSource};
 use cassiawheel_model::{EndpointState, LoadReport, Timestamp, settings::AgentSettings};
 use cassiawheel_runtime::timeout;
@@ -55,10 +55,10 @@
     order: Mutex<Option<WeightOrder>>,
     /// The connection over which the newest order came.
     order_giver: Mutex<Option<WireSender>>,
-    last_report: Mutex<Option<ToldReport>>,
+    last_report: Mutex<Option<SentReport>>,
     load: Mutex<LoadReport>,
     entries: Mutex<Vec<EntryLink>>,
-    known_entries: Mutex<EntryChoice>,
+    known_entries: Mutex<EntrySelector>,
     entries_changed: (Sender<()>, Receiver<()>),
     reports: AtomicU64,
     attempts: AtomicU64,
@@ -140,7 +140,7 @@
     }
 
     /// The last whole report, if every connected entry has it.
-    pub(crate) fn last_report(&self) -> MutexGuard<'_, Option<ToldReport>> {
+    pub(crate) fn last_report(&self) -> MutexGuard<'_, Option<SentReport>> {
         self.last_report.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// The entries that this agent may connect to.
-    pub(crate) fn entry_choice(&self) -> MutexGuard<'_, EntryChoice> {
+    pub(crate) fn entry_choice(&self) -> MutexGuard<'_, EntrySelector> {
         self.known_entries.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
@@ -223,7 +223,7 @@
     /// Messages to it.
     pub(crate) sender: WireSender,
     /// When it wants to hear the load.
-    pub(crate) pace: LoadPace,
+    pub(crate) pace: LoadSchedule,
 }
 
 /// An attempt that a graceful shutdown waits for.
--- a/crates/agent/src/entry_choice.rs
+++ b/crates/agent/src/entry_choice.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
-use cassiawheel_decide::{near_or_all, rank::subject_of};
+use cassiawheel_decide::{same_region_or_all, rank::subject_of};
 use cassiawheel_edge::{ENTRY_ROWS, EntryRow, StoreError};
 use cassiawheel_model::Timestamp;
 use cassiawheel_runtime::{spawn, timeout};
@@ -107,7 +107,7 @@
     let rows = shared.table.scan(ENTRY_ROWS).await?;
     let rows: Vec<_> = rows.iter().filter_map(EntryRow::read).collect();
     let places = rows.iter().map(|row| (row.inner_addr, row.region.as_ref()));
-    Ok(near_or_all(&shared.settings.place.region, places))
+    Ok(same_region_or_all(&shared.settings.place.region, places))
 }
 
 async fn ask_entry(shared: &EndpointShared, addr: SocketAddr) -> Option<Vec<SocketAddr>> {
--- a/crates/agent/src/entry_link.rs
+++ b/crates/agent/src/entry_link.rs
@@ -7,7 +7,7 @@
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use bytes::Bytes;
-use cassiawheel_decide::{LoadPace, RunLatch};
+use cassiawheel_decide::{LoadSchedule, RunLatch};
 use cassiawheel_model::{EndpointState, PresetRevision, Repeatability, RequestHead, Timestamp};
 use cassiawheel_runtime::spawn;
 use cassiawheel_wire::{
@@ -75,7 +75,7 @@
     if let Err(error) = sender.send(shared.hello()).await {
         return error;
     }
-    let pace = LoadPace::each_heartbeat();
+    let pace = LoadSchedule::each_heartbeat();
     shared.entries().push(EntryLink { addr, sender: sender.clone(), pace });
     shared.note_entries_changed();
     // An entry that restarted with the table service down may know no preset.
@@ -152,7 +152,7 @@
 }
 
 fn set_pace(shared: &EndpointShared, sender: &WireSender, every_ms: u64) {
-    let pace = LoadPace::every(every_ms, Timestamp::now());
+    let pace = LoadSchedule::every(every_ms, Timestamp::now());
     let mut entries = shared.entries();
     for link in entries.iter_mut().filter(|link| link.sender.is_same(sender)) {
         link.pace = pace;
--- a/crates/agent/src/report.rs
+++ b/crates/agent/src/report.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::ToldReport;
+use cassiawheel_decide::SentReport;
 use cassiawheel_model::{EndpointReport, LoadReport, Timestamp};
 use cassiawheel_wire::{ControlMessage, WireSender};
 use smol::Timer;
@@ -77,12 +77,12 @@
 /// `last` stays locked from the building of the report to its queueing: two
 /// reports that overtook each other would leave the entries with the older
 /// state, and the beats that follow would confirm it for ever.
-fn send_whole(shared: &EndpointShared, last: &mut Option<ToldReport>, report: EndpointReport) {
+fn send_whole(shared: &EndpointShared, last: &mut Option<SentReport>, report: EndpointReport) {
     let message = ControlMessage::Report(Box::new(numbered(shared, report.clone())));
     let reached_all = send_to_entries(shared, &message);
     // An entry whose queue was full would take the next beats for the state
     // before this one, and might route to an endpoint that switches.
-    *last = reached_all.then(|| ToldReport::new(report, Timestamp::now()));
+    *last = reached_all.then(|| SentReport::new(report, Timestamp::now()));
 }
 
 /// `report` with the next sequence number.
--- a/crates/agent/src/transfer/watchers.rs
+++ b/crates/agent/src/transfer/watchers.rs
@@ -1,6 +1,6 @@
 //! Connections over which other agents are told what is held here.
 
-use cassiawheel_decide::RepeatSchedule;
+use cassiawheel_decide::ResyncSchedule;
 use cassiawheel_model::Timestamp;
 use cassiawheel_wire::{ChunkMessage, WireSender};
 
@@ -12,13 +12,13 @@
 
 struct WatcherLink {
     sender: WireSender,
-    schedule: RepeatSchedule,
+    schedule: ResyncSchedule,
 }
 
 impl WatcherLinks {
     /// Adds a connection and tells it `messages`.
     pub(super) fn add(&mut self, sender: WireSender, messages: &[ChunkMessage], now: Timestamp) {
-        let mut link = WatcherLink { sender, schedule: RepeatSchedule::new(now) };
+        let mut link = WatcherLink { sender, schedule: ResyncSchedule::new(now) };
         if messages.iter().all(|message| link.tell(message)) {
             self.links.push(link);
         }
--- a/crates/decide/benches/route.rs
+++ b/crates/decide/benches/route.rs
@@ -4,7 +4,7 @@
 use std::{collections::HashMap, hint::black_box, sync::Arc};
 
 use cassiawheel_decide::{
-    EndpointCell, EndpointPath, RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes,
+    EndpointTracker, EndpointPath, RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes,
 };
 use cassiawheel_model::{InstanceId, LoadReport, ModelVersion, ServiceName, Timestamp};
 use criterion::{BenchmarkId, Criterion};
@@ -13,11 +13,11 @@
 const SIZES: [usize; 3] = [16, 400, 7_300];
 const NOW: Timestamp = Timestamp(1_800_000_000_000);
 
-fn cells(count: usize) -> Vec<Arc<EndpointCell>> {
+fn cells(count: usize) -> Vec<Arc<EndpointTracker>> {
     let mut rng = SmallRng::seed_from_u64(7);
     (0..count)
         .map(|_| {
-            let cell = Arc::new(EndpointCell::default());
+            let cell = Arc::new(EndpointTracker::default());
             let measured_at = Timestamp(NOW.0 - rng.random_range(0..500));
             let load = LoadReport { in_flight: rng.random_range(0..20), queued: 0, measured_at };
             cell.hear(&load, 32);
@@ -27,9 +27,9 @@
         .collect()
 }
 
-fn snapshot(service: &ServiceName, cells: &[Arc<EndpointCell>]) -> RouteSnapshot {
+fn snapshot(service: &ServiceName, cells: &[Arc<EndpointTracker>]) -> RouteSnapshot {
     let version = ModelVersion::new("v1").expect("a version");
-    let candidate = |(index, cell): (usize, &Arc<EndpointCell>)| RouteCandidate {
+    let candidate = |(index, cell): (usize, &Arc<EndpointTracker>)| RouteCandidate {
         instance: InstanceId::new(&format!("endpoint-{index}")).expect("an instance"),
         version: Some(version.clone()),
         is_near: index % 8 == 0,
@@ -53,7 +53,7 @@
             prefix: None,
             version: None,
             allowed: None,
-            extra_room: 0,
+            extra_capacity: 0,
             max_in_flight: 32,
             now: NOW,
         };
--- a/crates/decide/src/admit.rs
+++ b/crates/decide/src/admit.rs
@@ -32,12 +32,12 @@
     /// When its answer is of no more use.
     pub deadline: Deadline,
     /// Whether its caller asks for the first time.
-    pub turn: CallerTurn,
+    pub turn: AdmitTier,
 }
 
 /// Whether a caller asks for the first time; the first goes before the second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum CallerTurn {
+pub enum AdmitTier {
     /// It has asked nobody before.
     Fresh,
     /// It was refused before and has missed its aim.
@@ -82,7 +82,7 @@
 /// after some seconds in which nobody was served.
 const FRESH_PART: u32 = 8;
 
-impl CallerTurn {
+impl AdmitTier {
     /// Places of which a caller of this turn may take one.
     fn room(self, capacity: u32) -> u32 {
         match self {
@@ -95,7 +95,7 @@
 /// Whose requests wait in a part of the queue.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
-    turn: CallerTurn,
+    turn: AdmitTier,
     workspace: WorkspaceId,
 }
 
@@ -147,7 +147,7 @@
     }
 
     /// Admits a request if there is room and nobody waits.
-    pub fn admit_now(&self, turn: CallerTurn, capacity: u32) -> bool {
+    pub fn try_admit(&self, turn: AdmitTier, capacity: u32) -> bool {
         self.waiting.load(Ordering::SeqCst) == 0 && self.take_place(turn.room(capacity))
     }
 
@@ -242,7 +242,7 @@
     }
 
     /// The turn of the request that is admitted next.
-    fn next_turn(&self) -> Option<CallerTurn> {
+    fn next_turn(&self) -> Option<AdmitTier> {
         self.workspaces.first_key_value().map(|(key, _)| key.turn)
     }
 
--- a/crates/decide/src/advice.rs
+++ b/crates/decide/src/advice.rs
@@ -12,7 +12,7 @@
 
 /// An entry that may be advised.
 #[derive(Debug, Clone)]
-pub struct AdviceInput {
+pub struct EntryCandidate {
     /// Where callers reach it.
     pub caller_addr: SocketAddr,
     /// Where it stands.
@@ -34,7 +34,7 @@
 
 /// Chooses at most `count` entries for a caller in `own_domain`.
 pub fn advise(
-    entries: &[AdviceInput],
+    entries: &[EntryCandidate],
     own_domain: &FailureDomain,
     count: usize,
     valid_until: Deadline,
--- a/crates/decide/src/affinity.rs
+++ b/crates/decide/src/affinity.rs
@@ -60,7 +60,7 @@
 }
 
 /// Digest of the leading part of a prompt; none if it is shorter than `length`.
-pub fn prefix_of(prompt: &[u8], length: usize) -> Option<u64> {
+pub fn prefix_digest(prompt: &[u8], length: usize) -> Option<u64> {
     if length == 0 || prompt.len() < length {
         return None;
     }
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -44,6 +44,6 @@
 ///
 /// A service that comes back after an outage would otherwise meet the polls of
 /// all processes at their full rate, on top of the calls that waited for it.
-pub fn poll_wait_ms(base_ms: u64, failures: u32) -> u64 {
+pub fn poll_backoff_ms(base_ms: u64, failures: u32) -> u64 {
     base_ms << failures.min(MAX_DOUBLINGS)
 }
--- a/crates/decide/src/caller_index.rs
+++ b/crates/decide/src/caller_index.rs
@@ -60,7 +60,7 @@
 }
 
 /// The service that a request of the route goes to; `point` is a random number.
-pub fn draw_service(rule: &RouteRule, point: u32) -> Option<&ServiceName> {
+pub fn pick_service(rule: &RouteRule, point: u32) -> Option<&ServiceName> {
     let total: u64 = rule.shares.iter().map(|share| u64::from(share.weight)).sum();
     let mut left = u64::from(point) % total.max(1);
     let chosen = rule.shares.iter().find(|share| {
--- a/crates/decide/src/crash_book.rs
+++ b/crates/decide/src/crash_tracker.rs
@@ -21,7 +21,7 @@
 
 use cassiawheel_model::{BarredRequest, CrashEvent, CrashRow, Deadline, RequestDigest, Timestamp};
 
-use crate::gossip::LinkNumber;
+use crate::gossip::LinkId;
 
 /// Weight of an end before a part of the answer had come.
 const START_WEIGHT: u32 = 2;
@@ -33,7 +33,7 @@
 const BARRED_WEIGHT: u32 = 3 * START_WEIGHT;
 
 /// Time since the last end for which a request is barred, and for which ends count.
-pub const BAR_TIME: Duration = Duration::from_secs(600);
+pub const BAR_DURATION: Duration = Duration::from_secs(600);
 
 /// Wait after an end, in which ends at other entries become known here.
 const SETTLE_TIME: Duration = Duration::from_millis(60);
@@ -78,7 +78,7 @@
 
 /// Requests under which endpoints have ended.
 #[derive(Debug, Default)]
-pub struct CrashBook {
+pub struct CrashTracker {
     requests: HashMap<RequestDigest, SuspectRequest>,
     changes: u64,
 }
@@ -96,12 +96,12 @@
     event: CrashEvent,
     at: Timestamp,
     change: u64,
-    source: Option<LinkNumber>,
+    source: Option<LinkId>,
 }
 
 impl CrashVerdict {
     /// When a run of a suspect may begin at the entry of `rank` among `entries`.
-    pub fn turn_at(self, rank: usize, entries: usize) -> Deadline {
+    pub fn not_before(self, rank: usize, entries: usize) -> Deadline {
         match self {
             Self::Clear => Deadline(0),
             // The request of a caller whose endpoint has ended is at this entry alone,
@@ -189,7 +189,7 @@
         let last = self.last_end();
         match self.weight() {
             0 | ANSWER_WEIGHT => CrashVerdict::Clear,
-            BARRED_WEIGHT.. => CrashVerdict::Barred { until: last.deadline_after(BAR_TIME) },
+            BARRED_WEIGHT.. => CrashVerdict::Barred { until: last.deadline_after(BAR_DURATION) },
             _ => CrashVerdict::Suspect {
                 is_own: self.counted().count() == 1
                     && self.counted().all(|end| end.source.is_none()),
@@ -212,14 +212,14 @@
     is_later
 }
 
-impl CrashBook {
+impl CrashTracker {
     /// Takes in what an entry has seen; true if it was not known.
     ///
     /// Beginnings and whole answers are of use only for a request under which endpoints
     /// have ended.
-    pub fn note(&mut self, row: CrashRow, source: Option<LinkNumber>, now: Timestamp) -> bool {
+    pub fn note(&mut self, row: CrashRow, source: Option<LinkId>, now: Timestamp) -> bool {
         let at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
-        if at.deadline_after(BAR_TIME).is_past(now) {
+        if at.deadline_after(BAR_DURATION).is_past(now) {
             return false;
         }
         let fact = KnownFact { event: row.event, at, change: self.changes + 1, source };
@@ -258,12 +258,12 @@
 
     /// Adds the bars that are not in `kept` to it and drops those that are over; none if
     /// there is nothing to add.
-    pub fn bars_to_keep(
+    pub fn bars_to_persist(
         &self,
         kept: &[BarredRequest],
         now: Timestamp,
     ) -> Option<Vec<BarredRequest>> {
-        let is_over = |bar: &BarredRequest| bar.ended_at.deadline_after(BAR_TIME).is_past(now);
+        let is_over = |bar: &BarredRequest| bar.ended_at.deadline_after(BAR_DURATION).is_past(now);
         let is_kept =
             |digest: &RequestDigest| kept.iter().any(|bar| bar.digest == *digest && !is_over(bar));
         let barred = self.requests.iter().filter(|(digest, request)| {
@@ -285,7 +285,7 @@
     }
 
     /// Facts that `link` has to be sent, and up to which change it has all of them then.
-    pub fn rows_since(&self, mark: u64, link: LinkNumber, now: Timestamp) -> (Vec<CrashRow>, u64) {
+    pub fn rows_since(&self, mark: u64, link: LinkId, now: Timestamp) -> (Vec<CrashRow>, u64) {
         if mark == self.changes {
             return (Vec::new(), mark);
         }
@@ -310,7 +310,7 @@
     /// Forgets requests under which no endpoint has ended for long; true if there were any.
     pub fn expire(&mut self, now: Timestamp) -> bool {
         let before = self.requests.len();
-        let is_old = |fact: &KnownFact| fact.at.deadline_after(BAR_TIME).is_past(now);
+        let is_old = |fact: &KnownFact| fact.at.deadline_after(BAR_DURATION).is_past(now);
         self.requests.retain(|_, request| !request.ends.iter().all(is_old));
         before != self.requests.len()
     }
--- a/crates/decide/src/cell.rs
+++ b/crates/decide/src/endpoint_tracker.rs
@@ -67,21 +67,21 @@
     pub const NOTHING: Self = Self { interval_us: u64::MAX, first_us: u64::MAX };
 
     /// `rate` requests a second.
-    pub fn of_rate(rate: f64) -> Self {
+    pub fn from_rate(rate: f64) -> Self {
         // Conversion saturates: a rate near zero gives no request at all.
         let interval_us = ((1e6 / rate) as u64).max(1);
         Self { interval_us, first_us: interval_us }
     }
 
     /// The same pace with a first request after `part` of the time between two.
-    pub fn starting_after(self, part: f64) -> Self {
+    pub fn with_first_delay(self, part: f64) -> Self {
         Self { first_us: (self.interval_us as f64 * part) as u64, ..self }
     }
 }
 
 /// Load and health of one endpoint.
 #[derive(Debug, Default)]
-pub struct EndpointCell {
+pub struct EndpointTracker {
     in_flight: AtomicU32,
     report: AtomicU64,
     hard_limit: AtomicU32,
@@ -102,7 +102,7 @@
     next_at_us: AtomicU64,
 }
 
-impl EndpointCell {
+impl EndpointTracker {
     /// Requests that this entry has in progress there.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
@@ -117,7 +117,7 @@
     ///
     /// Looked at and counted in one step: between the two another thread could
     /// take the same last place.
-    pub fn begin_below(&self, most: u32) -> bool {
+    pub fn try_acquire(&self, most: u32) -> bool {
         let next = |count: u32| (count < most).then(|| count + 1);
         self.in_flight.fetch_update(Ordering::Relaxed, Ordering::Relaxed, next).is_ok()
     }
@@ -184,8 +184,8 @@
 
     /// Counts a request if fewer than `most` are in progress and the pace lets it be sent;
     /// false if not.
-    pub fn begin_paced(&self, most: u32, now: Timestamp) -> bool {
-        if !self.begin_below(most) {
+    pub fn try_acquire_paced(&self, most: u32, now: Timestamp) -> bool {
+        if !self.try_acquire(most) {
             return false;
         }
         let is_taken = self.take_pace(now);
@@ -233,7 +233,7 @@
     }
 
     /// Requests of others by the last report, which counts in full while it is fresh.
-    pub fn recent_others(&self, now: Timestamp) -> u32 {
+    pub fn recent_others_in_flight(&self, now: Timestamp) -> u32 {
         self.others_after(now, FRESH_MS)
     }
 
@@ -245,8 +245,8 @@
         ((report >> MOMENT_BITS) * weight / (REPORT_LIFE_MS - fresh_ms)) as u32
     }
 
-    /// Notes that a request was sent, of which [`Self::note_delay`] tells more.
-    pub fn await_answer(&self, now: Timestamp) {
+    /// Notes that a request was sent, of which [`Self::record_delay`] tells more.
+    pub fn record_sent(&self, now: Timestamp) {
         if self.unanswered.fetch_add(1, Ordering::Relaxed) == 0 {
             self.heard_at.store(now.0, Ordering::Relaxed);
         }
@@ -254,7 +254,7 @@
 
     /// Notes how long a request waited for the beginning of its answer, or has
     /// waited so far when it was given up.
-    pub fn note_delay(&self, delay_ms: u64, answered: bool, now: Timestamp) {
+    pub fn record_delay(&self, delay_ms: u64, answered: bool, now: Timestamp) {
         self.unanswered.fetch_sub(1, Ordering::Relaxed);
         if answered {
             self.heard_at.store(now.0, Ordering::Relaxed);
--- a/crates/decide/src/entry_choice.rs
+++ b/crates/decide/src/entry_selector.rs
@@ -16,12 +16,12 @@
 
 /// The entries that an agent may connect to.
 #[derive(Debug, Clone, Default)]
-pub struct EntryChoice {
+pub struct EntrySelector {
     candidates: Vec<SocketAddr>,
     avoided: BTreeMap<SocketAddr, Deadline>,
 }
 
-impl EntryChoice {
+impl EntrySelector {
     /// Replaces the candidates; an empty list changes nothing.
     pub fn set_candidates(&mut self, addrs: Vec<SocketAddr>) {
         if !addrs.is_empty() {
--- a/crates/decide/src/events.rs
+++ b/crates/decide/src/events.rs
@@ -62,7 +62,7 @@
     }
 
     /// Forgets the event that a broken stream has begun.
-    pub fn break_off(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.pending.clear();
         self.searched = 0;
     }
--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -29,11 +29,11 @@
 const MAX_LOAD_AGE_MS: u64 = 2_000;
 
 /// Number of a link within its process.
-pub type LinkNumber = u64;
+pub type LinkId = u64;
 
 /// Up to which change the other end of a link has been sent everything.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LinkMark {
+pub struct LinkCursor {
     state: u64,
     loads: u64,
 }
@@ -52,7 +52,7 @@
 struct KeptItem<T> {
     item: T,
     change: u64,
-    sources: Vec<LinkNumber>,
+    sources: Vec<LinkId>,
     heard_at: Timestamp,
 }
 
@@ -61,14 +61,14 @@
     load: u32,
     measured_at: Timestamp,
     change: u64,
-    source: Option<LinkNumber>,
+    source: Option<LinkId>,
 }
 
 /// How an item has come, and the number that it gets if it is new.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
     change: u64,
-    source: Option<LinkNumber>,
+    source: Option<LinkId>,
     now: Timestamp,
 }
 
@@ -90,7 +90,7 @@
         false
     }
 
-    fn is_due(&self, mark: u64, link: LinkNumber) -> bool {
+    fn is_due(&self, mark: u64, link: LinkId) -> bool {
         self.change > mark && !self.sources.contains(&link)
     }
 }
@@ -113,7 +113,7 @@
     pub fn merge_record(
         &mut self,
         record: EntryRecord,
-        source: Option<LinkNumber>,
+        source: Option<LinkId>,
         now: Timestamp,
     ) -> bool {
         let arrival = Arrival { change: self.changes + 1, source, now };
@@ -129,7 +129,7 @@
     pub fn merge_report(
         &mut self,
         report: EndpointReport,
-        source: Option<LinkNumber>,
+        source: Option<LinkId>,
         now: Timestamp,
     ) -> bool {
         let arrival = Arrival { change: self.changes + 1, source, now };
@@ -146,7 +146,7 @@
         &mut self,
         row: LoadRow,
         step_ms: u64,
-        source: Option<LinkNumber>,
+        source: Option<LinkId>,
         now: Timestamp,
     ) -> bool {
         let age_ms = u64::from(row.age_ms);
@@ -174,9 +174,9 @@
     /// Records and reports that `link` has to be sent, and its mark after that.
     pub fn state_since(
         &self,
-        mark: LinkMark,
-        link: LinkNumber,
-    ) -> (Vec<EntryRecord>, Vec<EndpointReport>, LinkMark) {
+        mark: LinkCursor,
+        link: LinkId,
+    ) -> (Vec<EntryRecord>, Vec<EndpointReport>, LinkCursor) {
         if mark.state == self.changes {
             return (Vec::new(), Vec::new(), mark);
         }
@@ -184,7 +184,7 @@
         let records = records.map(|kept| kept.item.clone()).collect();
         let reports = self.reports.values().filter(|kept| kept.is_due(mark.state, link));
         let reports = reports.map(|kept| kept.item.clone()).collect();
-        (records, reports, LinkMark { state: self.changes, ..mark })
+        (records, reports, LinkCursor { state: self.changes, ..mark })
     }
 
     /// Loads that `link` has to be sent, and its mark after that.
@@ -192,10 +192,10 @@
     /// Those that have waited longest go first if one message cannot hold them all.
     pub fn loads_since(
         &self,
-        mark: LinkMark,
-        link: LinkNumber,
+        mark: LinkCursor,
+        link: LinkId,
         now: Timestamp,
-    ) -> (Vec<LoadRow>, LinkMark) {
+    ) -> (Vec<LoadRow>, LinkCursor) {
         let is_due = |known: &KnownLoad| known.change > mark.loads && known.source != Some(link);
         let mut due: Vec<_> = self.loads.iter().filter(|(_, known)| is_due(known)).collect();
         due.sort_unstable_by_key(|(_, known)| known.change);
@@ -211,7 +211,7 @@
                 age_ms: age_ms as u32,
             })
         });
-        (rows.collect(), LinkMark { loads, ..mark })
+        (rows.collect(), LinkCursor { loads, ..mark })
     }
 
     /// All records.
--- a/crates/decide/src/heartbeat.rs
+++ b/crates/decide/src/heartbeat.rs
@@ -15,12 +15,12 @@
 
 /// The last whole report, and when progress alone is worth another one.
 #[derive(Debug, Clone)]
-pub struct ToldReport {
+pub struct SentReport {
     report: EndpointReport,
     progress_at: Deadline,
 }
 
-impl ToldReport {
+impl SentReport {
     /// A report that every entry has got.
     pub fn new(report: EndpointReport, now: Timestamp) -> Self {
         Self { report, progress_at: now.deadline_after(PROGRESS_TIME) }
@@ -54,12 +54,12 @@
 /// Entries of other regions send an endpoint little, and each word to them
 /// crosses a shared link; they ask for fewer.
 #[derive(Debug, Clone, Copy)]
-pub struct LoadPace {
+pub struct LoadSchedule {
     every_ms: u64,
     due_at: Deadline,
 }
 
-impl LoadPace {
+impl LoadSchedule {
     /// A load with every heartbeat.
     pub fn each_heartbeat() -> Self {
         Self { every_ms: 0, due_at: Deadline(0) }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -4,17 +4,17 @@
 //! the present moment and a random generator are arguments. The same code so
 //! runs in the processes, in seeded histories and in benches.
 
-pub mod acquaint;
+pub mod peering;
 pub mod admit;
 pub mod advice;
 pub mod affinity;
 pub mod budget;
 pub mod caller_index;
-pub mod cell;
+pub mod endpoint_tracker;
 pub mod change;
 pub mod claim;
-pub mod crash_book;
-pub mod entry_choice;
+pub mod crash_tracker;
+pub mod entry_selector;
 pub mod events;
 pub mod fencing;
 pub mod flood;
@@ -24,17 +24,17 @@
 pub mod gossip;
 pub mod heartbeat;
 pub mod holder;
-pub mod identity;
+pub mod idempotency;
 pub mod latch;
-pub mod limit_book;
+pub mod rate_limits;
 pub mod listing;
-pub mod lives;
+pub mod restarts;
 pub mod manifest_search;
 pub mod overlay;
 pub mod plan;
 pub mod preset_pull;
 pub mod rank;
-pub mod repeats;
+pub mod resync;
 pub mod retry;
 pub mod roster;
 pub mod route;
@@ -42,33 +42,33 @@
 pub mod turns;
 pub mod versions;
 
-pub use acquaint::{AgentPlace, acquaintances};
-pub use admit::{AdmitTicket, AdmitVerdict, CallerTurn, ServiceAdmission};
-pub use advice::{AdviceInput, EntryAdvice, advise};
-pub use caller_index::{CallerIndex, UnknownKey, draw_service};
-pub use cell::{EndpointCell, EndpointPace};
+pub use peering::{AgentLocation, chunk_peers};
+pub use admit::{AdmitTicket, AdmitVerdict, AdmitTier, ServiceAdmission};
+pub use advice::{EntryCandidate, EntryAdvice, advise};
+pub use caller_index::{CallerIndex, UnknownKey, pick_service};
+pub use endpoint_tracker::{EndpointTracker, EndpointPace};
 pub use change::{
     ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeVerdict, ChangeWriter, ForceRow,
 };
 pub use claim::{ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimView};
-pub use crash_book::{BAR_TIME, CrashBook, CrashVerdict};
-pub use entry_choice::EntryChoice;
+pub use crash_tracker::{BAR_DURATION, CrashTracker, CrashVerdict};
+pub use entry_selector::EntrySelector;
 pub use events::{EventError, EventSplicer};
 pub use flood::FloodFilter;
 pub use followed_rows::FollowedRows;
 pub use gate::{GateState, SwitchError};
-pub use gossip::{GossipStore, LinkMark, LinkNumber};
-pub use heartbeat::{LoadPace, ToldReport};
+pub use gossip::{GossipStore, LinkCursor, LinkId};
+pub use heartbeat::{LoadSchedule, SentReport};
 pub use holder::{Adoption, PresetHolder, StartHold};
 pub use latch::RunLatch;
-pub use limit_book::{HolderPlace, LimitBook};
+pub use rate_limits::{HolderRank, RateLimits};
 pub use listing::{EndpointListing, ListingNews};
-pub use lives::EndpointLives;
+pub use restarts::RestartDetector;
 pub use manifest_search::{ManifestSearch, SearchStep};
-pub use overlay::{EntryPlace, RowDuty, chosen_links, near_or_all, reachable_entries, row_duty};
+pub use overlay::{EntryLocation, FeedRole, links_to_dial, same_region_or_all, reachable_entries, feed_role};
 pub use preset_pull::{PresetPull, PullStep, PullView, ToldRevision};
-pub use repeats::RepeatSchedule;
-pub use retry::{AttemptEnd, RepeatGuard, RetryBudget, RetryStep, RetryTracker};
+pub use resync::ResyncSchedule;
+pub use retry::{AttemptFailure, RepeatGuard, RetryBudget, RetryStep, RetryTracker};
 pub use roster::{EndpointRoster, EntryRoster, PeerEntry};
 pub use route::{
     EndpointPath, RouteCandidate, RouteChoice, RouteQuery, RouteSnapshot, ServiceRoutes,
--- a/crates/decide/src/overlay.rs
+++ b/crates/decide/src/overlay.rs
@@ -28,7 +28,7 @@
 
 /// Address and region of an entry, the input of the choice of links.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct EntryPlace {
+pub struct EntryLocation {
     /// Where our own processes reach it.
     pub inner_addr: SocketAddr,
     /// Its region.
@@ -36,7 +36,7 @@
 }
 
 /// The entries that the one at `own` dials, of `others` that seem to run.
-pub fn chosen_links(own: &EntryPlace, others: &[EntryPlace]) -> BTreeSet<SocketAddr> {
+pub fn links_to_dial(own: &EntryLocation, others: &[EntryLocation]) -> BTreeSet<SocketAddr> {
     let mut regions: BTreeMap<&RegionName, Vec<SocketAddr>> = BTreeMap::new();
     for place in others.iter().filter(|place| place.inner_addr != own.inner_addr).chain([own]) {
         regions.entry(&place.region).or_default().push(place.inner_addr);
@@ -64,7 +64,7 @@
 
 /// The entry of `region` that `own` is joined to, if it is one of the first of its own.
 fn bridge_link(
-    own: &EntryPlace,
+    own: &EntryLocation,
     near: &[SocketAddr],
     region: &RegionName,
     far: &[SocketAddr],
@@ -84,7 +84,7 @@
 }
 
 /// The entries of `region` among `places`; all of them where it has none.
-pub fn near_or_all<'a>(
+pub fn same_region_or_all<'a>(
     region: &RegionName,
     places: impl Iterator<Item = (SocketAddr, Option<&'a RegionName>)> + Clone,
 ) -> Vec<SocketAddr> {
@@ -98,7 +98,7 @@
 
 /// What an entry does about the operators' rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RowDuty {
+pub enum FeedRole {
     /// It follows them for all.
     Follow,
     /// The table service rejects its calls but not those of others; it retries at intervals.
@@ -112,13 +112,13 @@
 /// They are followed by the first entry of each region and by the first of all, among
 /// those that the table service answers; where it answers nobody, among all. `present`
 /// are the records of the entries that can be reached, its own among them.
-pub fn row_duty(own: &InstanceId, present: &[&EntryRecord]) -> RowDuty {
+pub fn feed_role(own: &InstanceId, present: &[&EntryRecord]) -> FeedRole {
     let Some(record) = present.iter().find(|record| record.instance == *own) else {
-        return RowDuty::Follow;
+        return FeedRole::Follow;
     };
     let any_follows = present.iter().any(|other| other.follows_rows);
     if any_follows && !record.follows_rows {
-        return RowDuty::Probe;
+        return FeedRole::Probe;
     }
     let before: Vec<_> = present
         .iter()
@@ -127,8 +127,8 @@
         .collect();
     let is_first_near = before.iter().all(|other| other.region != record.region);
     match is_first_near || before.len() < FEWEST_READERS {
-        true => RowDuty::Follow,
-        false => RowDuty::Rest,
+        true => FeedRole::Follow,
+        false => FeedRole::Rest,
     }
 }
 
--- a/crates/decide/src/acquaint.rs
+++ b/crates/decide/src/peering.rs
@@ -24,7 +24,7 @@
 
 /// An agent as far as this choice needs to know it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AgentPlace<'a> {
+pub struct AgentLocation<'a> {
     /// Its instance.
     pub instance: &'a str,
     /// Where it stands.
@@ -32,7 +32,7 @@
 }
 
 /// The agents among `others` that `agent` knows; the same at every entry.
-pub fn acquaintances<'a>(agent: AgentPlace<'_>, others: &[AgentPlace<'a>]) -> Vec<&'a str> {
+pub fn chunk_peers<'a>(agent: AgentLocation<'_>, others: &[AgentLocation<'a>]) -> Vec<&'a str> {
     let mut regions: BTreeMap<&RegionName, Vec<&'a str>> = BTreeMap::new();
     for other in others.iter().filter(|other| other.instance != agent.instance) {
         regions.entry(other.region).or_default().push(other.instance);
--- a/crates/decide/src/limit_book.rs
+++ b/crates/decide/src/rate_limits.rs
@@ -18,7 +18,7 @@
 
 use cassiawheel_model::{LimitRow, LimitState, NamedLimit, Timestamp};
 
-use crate::{cell::EndpointPace, gossip::LinkNumber};
+use crate::{endpoint_tracker::EndpointPace, gossip::LinkId};
 
 /// Most entries that share a limit: each may be half a request ahead of its rate.
 const MAX_HOLDERS: usize = 3;
@@ -62,7 +62,7 @@
 
 /// Limits by the hash of the endpoint's process.
 #[derive(Debug, Default)]
-pub struct LimitBook {
+pub struct RateLimits {
     limits: HashMap<u64, KnownLimit>,
     changes: u64,
 }
@@ -75,12 +75,12 @@
     /// When an answer showed it last.
     confirmed_at: Timestamp,
     change: u64,
-    source: Option<LinkNumber>,
+    source: Option<LinkId>,
 }
 
 /// An entry's place among those that may hold a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct HolderPlace {
+pub struct HolderRank {
     /// Rank for the endpoint; zero goes first.
     pub rank: usize,
     /// Entries that may hold it.
@@ -92,7 +92,7 @@
     pub phase: f64,
 }
 
-impl LimitBook {
+impl RateLimits {
     /// Whether no limit is known.
     pub fn is_empty(&self) -> bool {
         self.limits.is_empty()
@@ -135,7 +135,7 @@
     }
 
     /// Takes in a row of a neighbour; true if it is newer than what is known.
-    pub fn note(&mut self, row: LimitRow, source: LinkNumber, now: Timestamp) -> bool {
+    pub fn note(&mut self, row: LimitRow, source: LinkId, now: Timestamp) -> bool {
         let observed_at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
         let known = self.limits.get(&row.endpoint);
         // Copies that come another way seem to be some milliseconds younger or older.
@@ -152,7 +152,7 @@
         endpoint: u64,
         state: LimitState,
         observed_at: Timestamp,
-        source: Option<LinkNumber>,
+        source: Option<LinkId>,
     ) -> bool {
         let has_room = self.limits.contains_key(&endpoint) || self.limits.len() < MAX_KEPT;
         if has_room {
@@ -166,7 +166,7 @@
     }
 
     /// How fast an entry may send to an endpoint; none if it names no limit.
-    pub fn pace(&self, endpoint: u64, place: HolderPlace, now: Timestamp) -> Option<EndpointPace> {
+    pub fn pace(&self, endpoint: u64, place: HolderRank, now: Timestamp) -> Option<EndpointPace> {
         let known = self.limits.get(&endpoint)?;
         match known.state {
             LimitState::Named(limit) => {
@@ -177,7 +177,7 @@
                     true => {
                         let rate = limit.rate().max(LEAST_RATE) / holders as f64;
                         let part = (place.rank + 1) as f64 / holders as f64;
-                        EndpointPace::of_rate(rate).starting_after(part)
+                        EndpointPace::from_rate(rate).with_first_delay(part)
                     }
                     false => EndpointPace::NOTHING,
                 })
@@ -186,14 +186,14 @@
                 let doublings = doublings(known.observed_at, now);
                 let factor = f64::from(1_u32 << doublings.min(DOUBLINGS));
                 let rate = limit.rate().max(LEAST_RETURN_RATE) * factor;
-                let pace = EndpointPace::of_rate(rate / place.entries.max(1) as f64);
-                (doublings < DOUBLINGS).then(|| pace.starting_after(place.phase))
+                let pace = EndpointPace::from_rate(rate / place.entries.max(1) as f64);
+                (doublings < DOUBLINGS).then(|| pace.with_first_delay(place.phase))
             }
         }
     }
 
     /// Limits that `link` has to be sent, and up to which change it has all of them then.
-    pub fn rows_since(&self, mark: u64, link: LinkNumber, now: Timestamp) -> (Vec<LimitRow>, u64) {
+    pub fn rows_since(&self, mark: u64, link: LinkId, now: Timestamp) -> (Vec<LimitRow>, u64) {
         if mark == self.changes {
             return (Vec::new(), mark);
         }
--- a/crates/decide/src/lives.rs
+++ b/crates/decide/src/restarts.rs
@@ -6,11 +6,11 @@
 
 /// When the present process of each endpoint started, by its own word.
 #[derive(Debug, Clone, Default)]
-pub struct EndpointLives {
+pub struct RestartDetector {
     born: HashMap<InstanceId, Timestamp>,
 }
 
-impl EndpointLives {
+impl RestartDetector {
     /// Notes the start of an endpoint's process; true if a former one ended.
     ///
     /// What was learnt of the former process does not hold for this one: its
--- a/crates/decide/src/repeats.rs
+++ b/crates/decide/src/resync.rs
@@ -17,12 +17,12 @@
 
 /// What one other agent has been told.
 #[derive(Debug, Clone, Copy)]
-pub struct RepeatSchedule {
+pub struct ResyncSchedule {
     has_missed: bool,
     repeat_at: Deadline,
 }
 
-impl RepeatSchedule {
+impl ResyncSchedule {
     /// An agent that has just been told everything.
     pub fn new(now: Timestamp) -> Self {
         Self { has_missed: false, repeat_at: now.deadline_after(REPEAT_TIME) }
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -10,7 +10,7 @@
 
 /// How an attempt ended without a whole answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum AttemptFailure {
     /// It is known not to have run.
     NotRun(NotRunReason),
     /// It may have run.
@@ -29,7 +29,7 @@
     /// Try again under the newer preset; the endpoint itself is fine.
     Reroute(Deadline),
     /// Tell the caller how the attempt ended.
-    Stop(AttemptEnd),
+    Stop(AttemptFailure),
 }
 
 /// What protects a request from a second run.
@@ -90,17 +90,17 @@
     /// Decides after an attempt that gave no whole answer.
     pub fn after(
         &mut self,
-        end: AttemptEnd,
+        end: AttemptFailure,
         budget: &RetryBudget,
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> RetryStep {
         let may_repeat = match &end {
-            AttemptEnd::NotRun(reason) => reason.is_retryable(),
-            AttemptEnd::Unknown(_) | AttemptEnd::Lost(_) => self.guard != RepeatGuard::Nothing,
-            AttemptEnd::Unanswered(_) => false,
+            AttemptFailure::NotRun(reason) => reason.is_retryable(),
+            AttemptFailure::Unknown(_) | AttemptFailure::Lost(_) => self.guard != RepeatGuard::Nothing,
+            AttemptFailure::Unanswered(_) => false,
         };
-        let stale = end == AttemptEnd::NotRun(NotRunReason::StaleRevision);
+        let stale = end == AttemptFailure::NotRun(NotRunReason::StaleRevision);
         self.note(end.clone());
         let next_at = self.next_at(now, rng);
         let exhausted = self.attempts >= self.max_attempts || next_at >= self.deadline;
@@ -110,17 +110,17 @@
         if stale { RetryStep::Reroute(next_at) } else { RetryStep::Again(next_at) }
     }
 
-    fn note(&mut self, end: AttemptEnd) {
+    fn note(&mut self, end: AttemptFailure) {
         match end {
-            AttemptEnd::Unknown(detail)
-            | AttemptEnd::Lost(detail)
-            | AttemptEnd::Unanswered(detail) => {
+            AttemptFailure::Unknown(detail)
+            | AttemptFailure::Lost(detail)
+            | AttemptFailure::Unanswered(detail) => {
                 self.unknown = Some(detail);
             }
             // That no other endpoint is left says less than why the last one
             // refused, which is what its caller can act on.
-            AttemptEnd::NotRun(NotRunReason::NoEndpoint) => {}
-            AttemptEnd::NotRun(reason) => self.refused = Some(reason),
+            AttemptFailure::NotRun(NotRunReason::NoEndpoint) => {}
+            AttemptFailure::NotRun(reason) => self.refused = Some(reason),
         }
     }
 
@@ -131,15 +131,15 @@
         now.deadline_after(Duration::from_millis(rng.random_range(0..=longest)))
     }
 
-    fn stop(&self, end: AttemptEnd) -> RetryStep {
+    fn stop(&self, end: AttemptFailure) -> RetryStep {
         // An earlier attempt may have run, so "not run" would be a lie even if
         // the last attempt was refused.
         if let Some(detail) = &self.unknown {
-            return RetryStep::Stop(AttemptEnd::Unknown(detail.clone()));
+            return RetryStep::Stop(AttemptFailure::Unknown(detail.clone()));
         }
         let end = match (end, self.refused) {
-            (AttemptEnd::NotRun(NotRunReason::NoEndpoint), Some(reason)) => {
-                AttemptEnd::NotRun(reason)
+            (AttemptFailure::NotRun(NotRunReason::NoEndpoint), Some(reason)) => {
+                AttemptFailure::NotRun(reason)
             }
             (end, _) => end,
         };
@@ -190,7 +190,7 @@
 
     /// Changes the retries that are saved up at most, as entries come and go that share
     /// them with this one. What is saved beyond that is lost.
-    pub fn set_savings(&self, savings: f64) {
+    pub fn set_burst(&self, savings: f64) {
         let savings = (savings * f64::from(PRICE)) as u32;
         if self.savings.swap(savings, Ordering::Relaxed) > savings {
             self.balance.fetch_min(savings, Ordering::Relaxed);
--- a/crates/decide/src/roster.rs
+++ b/crates/decide/src/roster.rs
@@ -9,7 +9,7 @@
 
 use cassiawheel_model::{EndpointReport, InstanceId, LoadReport, PresetRevision, Timestamp};
 
-use crate::advice::AdviceInput;
+use crate::advice::EntryCandidate;
 
 /// Time for which a word of leaving is kept after its process was last heard, in milliseconds.
 ///
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone)]
 pub struct PeerEntry {
     /// What callers may be advised.
-    pub advice: AdviceInput,
+    pub advice: EntryCandidate,
     /// Distinguishes processes that run one after another at the same instance.
     pub incarnation: u64,
     /// The highest revision that it has adopted.
@@ -162,7 +162,7 @@
     }
 
     /// Takes the platform's list of leaving instances; true if it changed.
-    pub fn list_leaving(&mut self, instances: HashSet<InstanceId>) -> bool {
+    pub fn set_platform_leaving(&mut self, instances: HashSet<InstanceId>) -> bool {
         let changed = self.marks.listed != instances;
         self.marks.listed = instances;
         changed
@@ -263,7 +263,7 @@
     }
 
     /// Takes the platform's list of leaving instances.
-    pub fn list_leaving(&mut self, instances: HashSet<InstanceId>) {
+    pub fn set_platform_leaving(&mut self, instances: HashSet<InstanceId>) {
         self.marks.listed = instances;
         self.refresh();
     }
--- a/crates/decide/src/route.rs
+++ b/crates/decide/src/route.rs
@@ -25,7 +25,7 @@
 
 use crate::{
     affinity::{PrefixRing, bounded_load},
-    cell::EndpointCell,
+    endpoint_tracker::EndpointTracker,
 };
 
 /// How requests reach an endpoint.
@@ -50,7 +50,7 @@
     /// How requests reach it.
     pub path: EndpointPath,
     /// Its load and health.
-    pub cell: Arc<EndpointCell>,
+    pub cell: Arc<EndpointTracker>,
 }
 
 /// The endpoints of one service.
@@ -87,7 +87,7 @@
     /// The only versions that may answer, where older ones may not any more.
     pub allowed: Option<&'a [ModelVersion]>,
     /// Requests beyond its limit that an endpoint may get for the sake of this one.
-    pub extra_room: u32,
+    pub extra_capacity: u32,
     /// Requests at one endpoint by the preset in force.
     pub max_in_flight: u32,
     /// The present moment.
@@ -174,7 +174,7 @@
                 limit.min(self.cell.in_flight() + u32::from(self.cell.is_due(now)))
             }
             EndpointPath::Agent => limit,
-            EndpointPath::Direct(_) => limit.saturating_sub(self.cell.recent_others(now)),
+            EndpointPath::Direct(_) => limit.saturating_sub(self.cell.recent_others_in_flight(now)),
         }
     }
 
@@ -194,7 +194,7 @@
 
     /// Requests that this entry may have in progress here for the sake of this one.
     fn room(&self, query: &RouteQuery<'_>) -> u32 {
-        self.limit(query.max_in_flight, query.now).saturating_add(query.extra_room)
+        self.limit(query.max_in_flight, query.now).saturating_add(query.extra_capacity)
     }
 
     fn has_room(&self, query: &RouteQuery<'_>) -> bool {
@@ -402,7 +402,7 @@
     ) -> Option<RouteChoice<'a>> {
         loop {
             let choice = self.choose(query, rng)?;
-            if choice.candidate.cell.begin_paced(choice.candidate.room(query), query.now) {
+            if choice.candidate.cell.try_acquire_paced(choice.candidate.room(query), query.now) {
                 return Some(choice);
             }
         }
--- a/crates/decide/tests/admit.rs
+++ b/crates/decide/tests/admit.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{AdmitTicket, AdmitVerdict, CallerTurn, ServiceAdmission};
+use cassiawheel_decide::{AdmitTicket, AdmitVerdict, AdmitTier, ServiceAdmission};
 use cassiawheel_model::{Deadline, NotRunReason, PriorityClass, Timestamp, WorkspaceId};
 
 const CAPACITY: u32 = 3;
@@ -24,7 +24,7 @@
 fn ticket(workspace: &str, priority: PriorityClass) -> AdmitTicket {
     let workspace = WorkspaceId::new(workspace).expect("a workspace");
     let deadline = Deadline(NOW.0 + 60_000);
-    AdmitTicket { workspace, priority, deadline, turn: CallerTurn::Fresh }
+    AdmitTicket { workspace, priority, deadline, turn: AdmitTier::Fresh }
 }
 
 fn wait(
@@ -49,7 +49,7 @@
             let (admission, active, most) = (admission.clone(), active.clone(), most.clone());
             std::thread::spawn(move || {
                 for _ in 0..2_000 {
-                    if !admission.admit_now(CallerTurn::Fresh, CAPACITY) {
+                    if !admission.try_admit(AdmitTier::Fresh, CAPACITY) {
                         let verdict =
                             wait(&admission, &format!("w{thread}"), PriorityClass::Normal);
                         let verdict = verdict.recv_timeout(Duration::from_secs(30));
@@ -72,7 +72,7 @@
 #[test]
 fn a_full_queue_sheds_the_least_urgent_of_the_greediest() {
     let admission = ServiceAdmission::<Handle>::new(4);
-    (0..CAPACITY).for_each(|_| assert!(admission.admit_now(CallerTurn::Fresh, CAPACITY)));
+    (0..CAPACITY).for_each(|_| assert!(admission.try_admit(AdmitTier::Fresh, CAPACITY)));
     let small = wait(&admission, "small", PriorityClass::Low);
     let urgent = wait(&admission, "large", PriorityClass::High);
     let low = wait(&admission, "large", PriorityClass::Low);
@@ -98,7 +98,7 @@
 /// Plays a minute in which a third more requests come than the places can take.
 /// Each holds its place for 100 ms; who is refused comes back once, two seconds
 /// later, and `turn_of` says what the admission is told of that.
-fn play_overload(turn_of: impl Fn(bool) -> CallerTurn) -> OverloadCount {
+fn play_overload(turn_of: impl Fn(bool) -> AdmitTier) -> OverloadCount {
     const PLACES: u32 = 16;
     const HELD_MS: u64 = 100;
     const BACK_MS: u64 = 2_000;
@@ -121,7 +121,7 @@
         arrivals.extend((0..fresh).map(|_| false));
         for is_back in arrivals {
             let turn = turn_of(is_back);
-            if admission.admit_now(turn, PLACES) {
+            if admission.try_admit(turn, PLACES) {
                 verdicts.push(((ms, is_back), AdmitVerdict::Admitted));
                 continue;
             }
@@ -156,10 +156,10 @@
 /// answered, and far more of them in time.
 #[test]
 fn fresh_requests_go_before_returning_ones_in_lasting_overload() {
-    let alike = play_overload(|_| CallerTurn::Fresh);
+    let alike = play_overload(|_| AdmitTier::Fresh);
     let told = play_overload(|is_back| match is_back {
-        true => CallerTurn::Returned,
-        false => CallerTurn::Fresh,
+        true => AdmitTier::Returned,
+        false => AdmitTier::Fresh,
     });
     let all = |count: &OverloadCount| count.in_time + count.returned;
     assert!(all(&told) * 100 >= all(&alike) * 98, "{told:?} {alike:?}");
--- a/crates/decide/tests/budget.rs
+++ b/crates/decide/tests/budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cassiawheel_decide::budget::{CallBudget, poll_wait_ms};
+use cassiawheel_decide::budget::{CallBudget, poll_backoff_ms};
 use cassiawheel_model::Timestamp;
 
 /// A process calls the table service in a loop. It must not take more than its
@@ -29,6 +29,6 @@
 /// notice its return within seconds.
 #[test]
 fn polls_back_off_to_eight_times_their_interval() {
-    let waits: Vec<_> = (0..6).map(|failures| poll_wait_ms(1_000, failures)).collect();
+    let waits: Vec<_> = (0..6).map(|failures| poll_backoff_ms(1_000, failures)).collect();
     assert_eq!(waits, [1_000, 2_000, 4_000, 8_000, 8_000, 8_000]);
 }
--- a/crates/decide/tests/caller_index.rs
+++ b/crates/decide/tests/caller_index.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use cassiawheel_decide::{CallerIndex, UnknownKey, draw_service};
+use cassiawheel_decide::{CallerIndex, UnknownKey, pick_service};
 use cassiawheel_model::{
     CallerLimits, CallerTable, RouteKind, RouteRule, RouteShare, ServiceName, WorkspaceId,
 };
@@ -75,7 +75,7 @@
 fn shares_follow_the_weights() {
     let rule = rule("a.example", "/", &[("old", 90), ("none", 0), ("new", 10)], false);
     let drawn = |name: &str| {
-        (0..1_000).filter(|point| draw_service(&rule, *point) == Some(&service(name))).count()
+        (0..1_000).filter(|point| pick_service(&rule, *point) == Some(&service(name))).count()
     };
     assert_eq!((drawn("old"), drawn("none"), drawn("new")), (900, 0, 100));
 }
--- a/crates/decide/tests/control_traffic.rs
+++ b/crates/decide/tests/control_traffic.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use cassiawheel_decide::{AgentPlace, LoadPace, RepeatSchedule, ToldReport, acquaintances};
+use cassiawheel_decide::{AgentLocation, LoadSchedule, ResyncSchedule, SentReport, chunk_peers};
 use cassiawheel_model::{
     EndpointReport, EndpointRole, EndpointState, FailureDomain, InstanceId, LoadReport,
     ManifestDigest, ModelVersion, PresetRevision, RegionName, ServiceName, StagedWeights,
@@ -52,7 +52,7 @@
 /// which the chunks themselves travel, and callers see slow answers.
 #[test]
 fn progress_alone_is_told_once_a_second() {
-    let told = ToldReport::new(report(3, 0), START);
+    let told = SentReport::new(report(3, 0), START);
     assert!(told.covers(&report(9, 5), at(200)));
     assert!(told.covers(&report(40, 5), at(900)));
     assert!(!told.covers(&report(44, 5), at(1_001)));
@@ -62,7 +62,7 @@
 /// by it, so that it is told at the next heartbeat.
 #[test]
 fn changes_that_entries_act_on_are_told_at_once() {
-    let told = ToldReport::new(report(47, 0), START);
+    let told = SentReport::new(report(47, 0), START);
     assert!(!told.covers(&report(48, 0), at(200)));
     let state = EndpointState::Switching;
     assert!(!told.covers(&EndpointReport { state, ..report(47, 0) }, at(200)));
@@ -74,16 +74,16 @@
 /// A load changes at every heartbeat and needs no whole report, however old.
 #[test]
 fn a_load_alone_needs_no_whole_report() {
-    let told = ToldReport::new(report(48, 0), START);
+    let told = SentReport::new(report(48, 0), START);
     assert!(told.covers(&report(48, 7), at(60_000)));
 }
 
 /// An entry of another region asks for fewer loads; one that asked for nothing
 /// gets one with every heartbeat.
 #[rstest]
-#[case(LoadPace::each_heartbeat(), 10)]
-#[case(LoadPace::every(600, START), 3)]
-fn loads_keep_the_pace_that_the_entry_asked_for(#[case] mut pace: LoadPace, #[case] wanted: usize) {
+#[case(LoadSchedule::each_heartbeat(), 10)]
+#[case(LoadSchedule::every(600, START), 3)]
+fn loads_keep_the_pace_that_the_entry_asked_for(#[case] mut pace: LoadSchedule, #[case] wanted: usize) {
     let heartbeats = (1..=10).map(|beat| at(beat * 200));
     assert_eq!(heartbeats.filter(|now| pace.take_due(*now)).count(), wanted);
 }
@@ -93,7 +93,7 @@
 /// enough to be taken for alive.
 #[test]
 fn a_list_is_repeated_now_and_then_if_nothing_was_missed() {
-    let mut schedule = RepeatSchedule::new(START);
+    let mut schedule = ResyncSchedule::new(START);
     schedule.note(true);
     let heartbeats = (1..=10).map(|beat| at(beat * 200));
     assert_eq!(heartbeats.filter(|now| schedule.take_due(*now)).count(), 2);
@@ -104,7 +104,7 @@
 /// version waits for it everywhere.
 #[test]
 fn a_list_is_repeated_at_once_after_a_full_queue() {
-    let mut schedule = RepeatSchedule::new(START);
+    let mut schedule = ResyncSchedule::new(START);
     schedule.note(false);
     schedule.note(true);
     assert!(schedule.take_due(at(1)));
@@ -124,8 +124,8 @@
         Self { agents: agents.collect() }
     }
 
-    fn places(&self) -> Vec<AgentPlace<'_>> {
-        let place = |(instance, region)| AgentPlace { instance, region };
+    fn places(&self) -> Vec<AgentLocation<'_>> {
+        let place = |(instance, region)| AgentLocation { instance, region };
         self.agents.iter().map(|(instance, region)| place((instance.as_str(), region))).collect()
     }
 }
@@ -138,7 +138,7 @@
     let fleet = Fleet::new(33, 3);
     let places = fleet.places();
     for agent in &places {
-        let known: BTreeSet<_> = acquaintances(*agent, &places).into_iter().collect();
+        let known: BTreeSet<_> = chunk_peers(*agent, &places).into_iter().collect();
         let near = places.iter().filter(|other| other.region == agent.region);
         for other in near.filter(|other| other.instance != agent.instance) {
             assert!(known.contains(other.instance));
@@ -155,7 +155,7 @@
     let places = fleet.places();
     let mut known_by: BTreeMap<&str, usize> = BTreeMap::new();
     for agent in &places {
-        let known = acquaintances(*agent, &places);
+        let known = chunk_peers(*agent, &places);
         let far = known
             .iter()
             .filter(|name| places.iter().any(|p| p.instance == **name && p.region != agent.region));
--- a/crates/decide/tests/crash_book.rs
+++ b/crates/decide/tests/crash_book.rs
@@ -6,7 +6,7 @@
     net::{Ipv4Addr, SocketAddr},
 };
 
-use cassiawheel_decide::{BAR_TIME, CrashBook, CrashVerdict, EntryPlace, LinkNumber, chosen_links};
+use cassiawheel_decide::{BAR_DURATION, CrashTracker, CrashVerdict, EntryLocation, LinkId, links_to_dial};
 use cassiawheel_model::{
     BarredRequest, CrashEvent, CrashRow, Deadline, InstanceId, PresetRevision, PriorityClass,
     RegionName, Repeatability, RequestDigest, RequestHead, RequestId, ServiceName, Timestamp,
@@ -44,7 +44,7 @@
     CrashRow { digest: digest(body), event, age_ms }
 }
 
-fn is_barred(book: &CrashBook, body: u64) -> bool {
+fn is_barred(book: &CrashTracker, body: u64) -> bool {
     matches!(book.verdict(digest(body)), CrashVerdict::Barred { .. })
 }
 
@@ -71,7 +71,7 @@
     #[case] event: fn(u64) -> CrashEvent,
     #[case] ends: u64,
 ) {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     for endpoint in 1..=ends {
         assert!(!is_barred(&book, 7), "barred after {} ends", endpoint - 1);
         assert!(book.note(row(7, event(endpoint), 0), None, NOW));
@@ -84,13 +84,13 @@
 /// Guards against a bar that outlasts what it was made from.
 #[test]
 fn a_bar_ends() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     for endpoint in 0..3 {
         book.note(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
     }
     let CrashVerdict::Barred { until } = book.verdict(digest(7)) else { panic!("barred") };
-    assert_eq!(until, NOW.deadline_after(BAR_TIME));
-    let later = Timestamp(NOW.0 + BAR_TIME.as_millis() as u64 + 1);
+    assert_eq!(until, NOW.deadline_after(BAR_DURATION));
+    let later = Timestamp(NOW.0 + BAR_DURATION.as_millis() as u64 + 1);
     assert!(book.expire(later));
     assert_eq!(book.verdict(digest(7)), CrashVerdict::Clear);
 }
@@ -98,7 +98,7 @@
 /// Guards against barring a request that endpoints answer, for the ends of some of them.
 #[test]
 fn a_whole_answer_clears_the_ends_before_it() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     for endpoint in 0..3 {
         book.note(row(7, CrashEvent::EndedAtStart(endpoint), 500), None, NOW);
     }
@@ -116,7 +116,7 @@
 /// Guards against a message for each answer to a request that is often asked for.
 #[test]
 fn only_an_answer_that_clears_something_is_passed_on() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     book.note(row(7, CrashEvent::EndedInAnswer(1), 0), None, NOW);
     let answers = (1..50).filter(|step| {
         let now = Timestamp(NOW.0 + step * 100);
@@ -128,20 +128,20 @@
 /// Guards against a retry that waits for the run that it follows.
 #[test]
 fn an_own_run_keeps_other_entries_waiting_and_not_this_one() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     book.note(row(7, CrashEvent::EndedAtStart(1), 500), None, NOW);
     book.note(row(7, CrashEvent::Begun, 100), None, NOW);
-    assert!(book.verdict(digest(7)).turn_at(0, 15).is_past(NOW));
-    let mut other = CrashBook::default();
+    assert!(book.verdict(digest(7)).not_before(0, 15).is_past(NOW));
+    let mut other = CrashTracker::default();
     other.note(row(7, CrashEvent::EndedAtStart(1), 500), Some(1), NOW);
     other.note(row(7, CrashEvent::Begun, 100), Some(1), NOW);
-    assert!(!other.verdict(digest(7)).turn_at(0, 15).is_past(NOW));
+    assert!(!other.verdict(digest(7)).not_before(0, 15).is_past(NOW));
 }
 
 /// Guards against a book that a caller fills with different bodies, or empties of its bars.
 #[test]
 fn many_bodies_neither_fill_the_book_nor_free_a_barred_request() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     for endpoint in 0..3 {
         book.note(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
     }
@@ -155,31 +155,31 @@
 /// Guards against bars that are lost or kept for ever where all entries have lost power.
 #[test]
 fn kept_bars_are_taken_up_again_until_they_are_over() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     for endpoint in 0..3 {
         book.note(row(7, CrashEvent::EndedAtStart(endpoint), 1_000), None, NOW);
         book.note(row(8, CrashEvent::EndedInAnswer(endpoint), 0), None, NOW);
     }
     let ended_at = Timestamp(NOW.0 - 1_000);
-    let over_at = Timestamp(NOW.0 - BAR_TIME.as_millis() as u64);
+    let over_at = Timestamp(NOW.0 - BAR_DURATION.as_millis() as u64);
     let over = BarredRequest { digest: digest(9), ended_at: over_at };
-    let bars = book.bars_to_keep(&[over], NOW).expect("one is to be added");
+    let bars = book.bars_to_persist(&[over], NOW).expect("one is to be added");
     assert_eq!(bars, [BarredRequest { digest: digest(7), ended_at }]);
-    assert_eq!(book.bars_to_keep(&bars, NOW), None);
-    let mut started = CrashBook::default();
+    assert_eq!(book.bars_to_persist(&bars, NOW), None);
+    let mut started = CrashTracker::default();
     assert!(started.note(row(7, CrashEvent::Barred, 1_000), None, NOW));
     assert_eq!(started.verdict(digest(7)), book.verdict(digest(7)));
-    assert!(!started.note(row(9, CrashEvent::Barred, BAR_TIME.as_millis() as u32), None, NOW));
+    assert!(!started.note(row(9, CrashEvent::Barred, BAR_DURATION.as_millis() as u32), None, NOW));
 }
 
 /// Guards against an entry that starts or returns and does not learn what the others know.
 #[test]
 fn a_new_link_brings_every_fact_and_an_old_one_only_news() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     for body in 0..600 {
         book.note(row(body, CrashEvent::EndedAtStart(body), 0), Some(4), NOW);
     }
-    let mut other = CrashBook::default();
+    let mut other = CrashTracker::default();
     let mut mark = 0;
     for _ in 0..3 {
         let (rows, next) = book.rows_since(mark, 5, NOW);
@@ -213,7 +213,7 @@
 /// Entries with their books, and callers with one request that ends endpoints.
 struct CrashDay {
     now: Timestamp,
-    books: Vec<CrashBook>,
+    books: Vec<CrashTracker>,
     links: Vec<BTreeMap<usize, u64>>,
     cut: BTreeSet<usize>,
     attempts: Vec<CallerAttempt>,
@@ -229,11 +229,11 @@
         };
         let region = |index: usize| RegionName::new(&format!("region-{index}")).expect("valid");
         let places: Vec<_> = (0..entries)
-            .map(|index| EntryPlace { inner_addr: addr(index), region: region(index % regions) })
+            .map(|index| EntryLocation { inner_addr: addr(index), region: region(index % regions) })
             .collect();
         let mut links = vec![BTreeMap::new(); entries];
         for (index, place) in places.iter().enumerate() {
-            for chosen in chosen_links(place, &places) {
+            for chosen in links_to_dial(place, &places) {
                 let other = places.iter().position(|p| p.inner_addr == chosen).expect("known");
                 links[index].insert(other, 0);
                 links[other].insert(index, 0);
@@ -241,7 +241,7 @@
         }
         Self {
             now: NOW,
-            books: (0..entries).map(|_| CrashBook::default()).collect(),
+            books: (0..entries).map(|_| CrashTracker::default()).collect(),
             links,
             cut: BTreeSet::new(),
             attempts: Vec::new(),
@@ -270,8 +270,8 @@
             CrashVerdict::Clear => true,
             CrashVerdict::Barred { .. } => false,
             verdict => {
-                let turn_at = verdict.turn_at(self.rank(entry), self.books.len());
-                turn_at.is_past(self.now) && others.count() == 0
+                let not_before = verdict.not_before(self.rank(entry), self.books.len());
+                not_before.is_past(self.now) && others.count() == 0
             }
         }
     }
@@ -307,13 +307,13 @@
                     continue;
                 }
                 let (rows, next) =
-                    self.books[index].rows_since(*mark, *other as LinkNumber, self.now);
+                    self.books[index].rows_since(*mark, *other as LinkId, self.now);
                 *mark = next;
                 messages.extend(rows.into_iter().map(|row| (index, *other, row)));
             }
         }
         for (from, to, row) in messages {
-            self.books[to].note(row, Some(from as LinkNumber), self.now);
+            self.books[to].note(row, Some(from as LinkId), self.now);
         }
     }
 
--- a/crates/decide/tests/direct_routing.rs
+++ b/crates/decide/tests/direct_routing.rs
@@ -7,7 +7,7 @@
 };
 
 use cassiawheel_decide::{
-    EndpointCell, EndpointPace, EndpointPath, RouteCandidate, RouteQuery, RouteSnapshot,
+    EndpointTracker, EndpointPace, EndpointPath, RouteCandidate, RouteQuery, RouteSnapshot,
     ServiceRoutes,
 };
 use cassiawheel_model::{InstanceId, LoadReport, ModelVersion, ServiceName, Timestamp};
@@ -18,7 +18,7 @@
 
 struct Endpoints {
     service: ServiceName,
-    cells: Vec<Arc<EndpointCell>>,
+    cells: Vec<Arc<EndpointTracker>>,
     routes: RouteSnapshot,
 }
 
@@ -30,8 +30,8 @@
     /// Endpoints that serve the versions with these numbers.
     fn serving(numbers: &[usize]) -> Self {
         let service = ServiceName::new("guide").expect("valid");
-        let cells: Vec<_> = numbers.iter().map(|_| Arc::new(EndpointCell::default())).collect();
-        let candidate = |(index, cell): (usize, &Arc<EndpointCell>)| {
+        let cells: Vec<_> = numbers.iter().map(|_| Arc::new(EndpointTracker::default())).collect();
+        let candidate = |(index, cell): (usize, &Arc<EndpointTracker>)| {
             cell.set_limit(SLOTS);
             RouteCandidate {
                 instance: InstanceId::new(&format!("i-{index}")).expect("valid"),
@@ -54,7 +54,7 @@
             prefix: None,
             version: None,
             allowed: None,
-            extra_room: 0,
+            extra_capacity: 0,
             max_in_flight: 1_024,
             now,
         }
@@ -103,7 +103,7 @@
     let endpoints = Endpoints::serving(&[1, 1, 1]);
     (0..3).for_each(|index| endpoints.report(index, SLOTS, NOW));
     assert_eq!(endpoints.choices(&endpoints.query(NOW)), [0, 0, 0]);
-    let repeated = RouteQuery { extra_room: 4, ..endpoints.query(NOW) };
+    let repeated = RouteQuery { extra_capacity: 4, ..endpoints.query(NOW) };
     assert_eq!(endpoints.choices(&repeated).iter().sum::<u32>(), 100);
 }
 
@@ -114,8 +114,8 @@
 fn a_slow_endpoint_is_passed_over() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
     let slow = &endpoints.cells[1];
-    slow.await_answer(NOW);
-    slow.note_delay(1_400, true, at(1_400));
+    slow.record_sent(NOW);
+    slow.record_delay(1_400, true, at(1_400));
     assert_eq!(endpoints.choices(&endpoints.query(at(1_500)))[1], 0);
 }
 
@@ -124,7 +124,7 @@
 #[test]
 fn silence_counts_as_delay() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
-    endpoints.cells[2].await_answer(NOW);
+    endpoints.cells[2].record_sent(NOW);
     assert!(endpoints.choices(&endpoints.query(at(300)))[2] > 0);
     assert_eq!(endpoints.choices(&endpoints.query(at(1_100)))[2], 0);
 }
@@ -135,13 +135,13 @@
 fn a_slow_endpoint_is_tried_again_by_one_request() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
     let slow = &endpoints.cells[1];
-    slow.await_answer(NOW);
-    slow.note_delay(1_400, true, at(1_400));
+    slow.record_sent(NOW);
+    slow.record_delay(1_400, true, at(1_400));
     let later = at(5_000);
     assert!(!slow.is_slow(later));
-    slow.await_answer(later);
+    slow.record_sent(later);
     assert!(slow.is_slow(later));
-    slow.note_delay(120, true, at(5_120));
+    slow.record_delay(120, true, at(5_120));
     assert!(!slow.is_slow(at(5_120)));
 }
 
@@ -151,8 +151,8 @@
 fn slow_endpoints_are_used_if_most_are_slow() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
     for cell in &endpoints.cells[..3] {
-        cell.await_answer(NOW);
-        cell.note_delay(1_400, true, at(1_400));
+        cell.record_sent(NOW);
+        cell.record_delay(1_400, true, at(1_400));
     }
     endpoints.report(3, SLOTS, at(1_400));
     let chosen = endpoints.choices(&endpoints.query(at(1_500)));
@@ -206,10 +206,10 @@
 fn a_slow_endpoint_with_a_limit_is_asked_now_and_then() {
     let service = Endpoints::serving(&[1, 1, 1]);
     let cell = &service.cells[0];
-    cell.set_pace(Some(EndpointPace::of_rate(1.0)), NOW);
+    cell.set_pace(Some(EndpointPace::from_rate(1.0)), NOW);
     for _ in 0..8 {
-        cell.await_answer(NOW);
-        cell.note_delay(3_000, true, NOW);
+        cell.record_sent(NOW);
+        cell.record_delay(3_000, true, NOW);
     }
     let candidates = service.routes.candidates().cloned().collect();
     let routes = ServiceRoutes::new(candidates, Arc::new(AtomicU32::new(0)));
--- a/crates/decide/tests/events.rs
+++ b/crates/decide/tests/events.rs
@@ -24,7 +24,7 @@
     let first = push(&mut splicer, &(stream(1..=3) + "id: 4\ndata: {\"te"));
     assert_eq!(first, stream(1..=3));
     assert_eq!(splicer.last_id(), Some(3));
-    splicer.break_off();
+    splicer.discard_partial();
     let second = push(&mut splicer, &stream(4..=6));
     assert_eq!(second, stream(4..=6));
     assert_eq!(splicer.finish(), Ok(()));
@@ -95,7 +95,7 @@
             let run = stream(next..=9);
             let cut = &run[..length.min(run.len())];
             passed += &push(&mut splicer, cut);
-            splicer.break_off();
+            splicer.discard_partial();
         }
         let next = splicer.last_id().unwrap_or(0) + 1;
         if next <= 9 {
--- a/crates/decide/tests/keyed_history/world.rs
+++ b/crates/decide/tests/keyed_history/world.rs
@@ -4,7 +4,7 @@
 use std::{cmp::Reverse, collections::BinaryHeap};
 
 use cassiawheel_decide::{
-    AttemptEnd, ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimView, GateState,
+    AttemptFailure, ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimView, GateState,
     RepeatGuard, RetryBudget, RetryStep, RetryTracker, RunLatch,
     claim::{ClaimGuard, RecordedAnswer, ReleaseStep, release_step},
 };
@@ -69,7 +69,7 @@
     Apply(usize, StoreCall),
     ApplyUnheard(usize, StoreCall),
     Answer(usize, StoreCall, ClaimView),
-    Word(usize, Result<String, AttemptEnd>),
+    Word(usize, Result<String, AttemptFailure>),
     Deadline(usize),
     Cancel(usize),
     Begin(Fault),
@@ -267,7 +267,7 @@
         }
         let free: Vec<_> = (0..AGENTS).filter(|a| !request.excluded.contains(a)).collect();
         let Some(agent) = free.choose(&mut self.rng).copied() else {
-            return self.after(index, AttemptEnd::NotRun(NotRunReason::NoEndpoint));
+            return self.after(index, AttemptFailure::NotRun(NotRunReason::NoEndpoint));
         };
         request.excluded.push(agent);
         request.tracker.begin();
@@ -290,7 +290,7 @@
         self.soon(Event::Dispatch(number));
     }
 
-    fn hear_word(&mut self, attempt: usize, word: Result<String, AttemptEnd>) {
+    fn hear_word(&mut self, attempt: usize, word: Result<String, AttemptFailure>) {
         let index = self.attempts[attempt].request;
         let request = &self.requests[index];
         // The answer of an abandoned attempt is late.
@@ -303,7 +303,7 @@
         }
     }
 
-    fn after(&mut self, index: usize, end: AttemptEnd) {
+    fn after(&mut self, index: usize, end: AttemptFailure) {
         let (now, request) = (self.stamp(), &mut self.requests[index]);
         let last = end.clone();
         match request.tracker.after(end, &self.budget, now, &mut self.rng) {
@@ -311,8 +311,8 @@
             RetryStep::Stop(end) => {
                 let end = if self.missing == MissingGuard::UnknownStays { last } else { end };
                 let told = match end {
-                    AttemptEnd::NotRun(reason) => Told::NotRun(reason),
-                    AttemptEnd::Unknown(_) | AttemptEnd::Lost(_) | AttemptEnd::Unanswered(_) => {
+                    AttemptFailure::NotRun(reason) => Told::NotRun(reason),
+                    AttemptFailure::Unknown(_) | AttemptFailure::Lost(_) | AttemptFailure::Unanswered(_) => {
                         Told::Unknown
                     }
                 };
@@ -325,7 +325,7 @@
         if self.requests[index].told.is_some() {
             return;
         }
-        self.after(index, AttemptEnd::Unknown("deadline".to_owned()));
+        self.after(index, AttemptFailure::Unknown("deadline".to_owned()));
         self.cancel_last(index);
     }
 
@@ -381,10 +381,10 @@
     }
 
     fn refuse(&mut self, attempt: usize, reason: NotRunReason) {
-        self.give_up(attempt, AttemptEnd::NotRun(reason));
+        self.give_up(attempt, AttemptFailure::NotRun(reason));
     }
 
-    fn give_up(&mut self, attempt: usize, end: AttemptEnd) {
+    fn give_up(&mut self, attempt: usize, end: AttemptFailure) {
         self.leave_gate(attempt);
         self.attempts[attempt].ended = true;
         self.soon(Event::Word(attempt, Err(end)));
@@ -476,7 +476,7 @@
                 self.attempts[attempt].ended = true;
                 self.soon(Event::Word(attempt, Ok(answer.body)));
             }
-            ClaimStep::Unknown(detail) => self.give_up(attempt, AttemptEnd::Unanswered(detail)),
+            ClaimStep::Unknown(detail) => self.give_up(attempt, AttemptFailure::Unanswered(detail)),
             ClaimStep::Conflict => self.refuse(attempt, NotRunReason::KeyConflict),
             ClaimStep::GiveUp => self.refuse(attempt, NotRunReason::StoreUnavailable),
         }
@@ -512,7 +512,7 @@
         if self.rng.random_bool(0.1) {
             let detail = "answer cut".to_owned();
             self.settle(attempt, ClaimState::Unanswered { detail: detail.clone() }, revision);
-            return self.soon(Event::Word(attempt, Err(AttemptEnd::Unanswered(detail))));
+            return self.soon(Event::Word(attempt, Err(AttemptFailure::Unanswered(detail))));
         }
         let key = self.requests[self.attempts[attempt].request].key;
         let body = expected_answer(key, attempt);
@@ -631,7 +631,7 @@
         for index in 0..self.attempts.len() {
             if self.attempts[index].agent == agent {
                 self.attempts[index].permit = false;
-                let lost = AttemptEnd::Unknown("connection lost".to_owned());
+                let lost = AttemptFailure::Unknown("connection lost".to_owned());
                 self.soon(Event::Word(index, Err(lost)));
             }
         }
--- a/crates/decide/tests/last_place.rs
+++ b/crates/decide/tests/last_place.rs
@@ -10,7 +10,7 @@
 };
 
 use cassiawheel_decide::{
-    EndpointCell, EndpointPath, RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes,
+    EndpointTracker, EndpointPath, RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes,
 };
 use cassiawheel_model::{InstanceId, ServiceName, Timestamp};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -26,7 +26,7 @@
 const BURSTS: usize = 2_000;
 
 fn endpoint(index: usize) -> RouteCandidate {
-    let cell = EndpointCell::default();
+    let cell = EndpointTracker::default();
     cell.set_limit(GATE);
     RouteCandidate {
         instance: InstanceId::new(&format!("i-{index}")).expect("valid"),
@@ -44,7 +44,7 @@
         prefix: None,
         version: None,
         allowed: None,
-        extra_room: 0,
+        extra_capacity: 0,
         max_in_flight: GATE,
         now: NOW,
     }
--- a/crates/decide/tests/limit_book.rs
+++ b/crates/decide/tests/limit_book.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use cassiawheel_decide::{
-    EndpointCell, EndpointPace, HolderPlace, LimitBook, LinkNumber, rank::rendezvous_weight,
+    EndpointTracker, EndpointPace, HolderRank, RateLimits, LinkId, rank::rendezvous_weight,
 };
 use cassiawheel_model::{LimitRow, LimitState, NamedLimit, Timestamp};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -21,8 +21,8 @@
     Timestamp(NOW.0 + ms)
 }
 
-fn place(rank: usize) -> HolderPlace {
-    HolderPlace { rank, candidates: 5, entries: 15, phase: 0.5 }
+fn place(rank: usize) -> HolderRank {
+    HolderRank { rank, candidates: 5, entries: 15, phase: 0.5 }
 }
 
 /// Guards against parts of a limit that add up to more than it, or that nobody holds.
@@ -33,9 +33,9 @@
 #[case(3.7)]
 #[case(60.0)]
 fn the_parts_of_a_limit_add_up_to_it(#[case] rate: f64) {
-    let mut book = LimitBook::default();
+    let mut book = RateLimits::default();
     book.hear(ENDPOINT, Some(limit(rate)), NOW);
-    let cells: Vec<_> = (0..15).map(|_| EndpointCell::default()).collect();
+    let cells: Vec<_> = (0..15).map(|_| EndpointTracker::default()).collect();
     let mut sent = 0;
     for (rank, cell) in cells.iter().enumerate() {
         cell.set_limit(16);
@@ -43,7 +43,7 @@
     }
     for ms in 0..10_000 {
         for cell in &cells {
-            if cell.begin_paced(16, later(ms)) {
+            if cell.try_acquire_paced(16, later(ms)) {
                 cell.end();
                 sent += 1;
             }
@@ -57,21 +57,21 @@
 /// Guards against an endpoint that took nothing for a while and is never asked again.
 #[test]
 fn an_endpoint_that_takes_nothing_is_asked_now_and_then() {
-    let mut book = LimitBook::default();
+    let mut book = RateLimits::default();
     book.hear(ENDPOINT, Some(limit(0.0)), NOW);
-    let cell = EndpointCell::default();
+    let cell = EndpointTracker::default();
     cell.set_limit(16);
     cell.set_pace(book.pace(ENDPOINT, place(0), NOW), NOW);
-    let sent = (0..60_000).filter(|ms| cell.begin_paced(16, later(*ms))).count();
+    let sent = (0..60_000).filter(|ms| cell.try_acquire_paced(16, later(*ms))).count();
     assert!((1..=6).contains(&sent), "{sent} sent in a minute");
 }
 
 /// Guards against a limit that never ends since its holder has lost the way to the endpoint.
 #[test]
 fn the_next_in_rank_ask_where_the_holders_are_silent() {
-    let mut book = LimitBook::default();
+    let mut book = RateLimits::default();
     book.hear(ENDPOINT, Some(limit(2.0)), NOW);
-    let sends = |book: &LimitBook, rank, ms| {
+    let sends = |book: &RateLimits, rank, ms| {
         book.pace(ENDPOINT, place(rank), later(ms)) != Some(EndpointPace::NOTHING)
     };
     assert!(sends(&book, 1, 0) && !sends(&book, 2, 0) && !sends(&book, 2, 2_900));
@@ -84,7 +84,7 @@
 /// never ends it.
 #[test]
 fn only_a_later_answer_without_a_limit_ends_it() {
-    let mut book = LimitBook::default();
+    let mut book = RateLimits::default();
     assert!(!book.hear(ENDPOINT, None, NOW));
     assert!(book.hear(ENDPOINT, Some(limit(2.0)), NOW));
     assert!(!book.hear(ENDPOINT, None, later(100)), "crossed");
@@ -101,24 +101,24 @@
 /// Guards against one more request of every entry where a limit is named anew.
 #[test]
 fn an_entry_that_holds_a_limit_no_more_sends_nothing() {
-    let cell = EndpointCell::default();
+    let cell = EndpointTracker::default();
     cell.set_limit(16);
-    cell.set_pace(Some(EndpointPace::of_rate(4.0)), NOW);
-    assert!(cell.begin_paced(16, later(250)));
+    cell.set_pace(Some(EndpointPace::from_rate(4.0)), NOW);
+    assert!(cell.try_acquire_paced(16, later(250)));
     cell.set_pace(Some(EndpointPace::NOTHING), later(400));
-    assert!(!(400..20_000).any(|ms| cell.begin_paced(16, later(ms))));
-    cell.set_pace(Some(EndpointPace::of_rate(1.0)), later(20_000));
-    assert!(!(20_000..21_000).any(|ms| cell.begin_paced(16, later(ms))), "an interval first");
-    assert!(cell.begin_paced(16, later(21_000)));
-    cell.set_pace(Some(EndpointPace::of_rate(0.5)), later(21_500));
-    assert!(!(21_500..22_500).any(|ms| cell.begin_paced(16, later(ms))), "half is left");
-    assert!(cell.begin_paced(16, later(22_500)));
+    assert!(!(400..20_000).any(|ms| cell.try_acquire_paced(16, later(ms))));
+    cell.set_pace(Some(EndpointPace::from_rate(1.0)), later(20_000));
+    assert!(!(20_000..21_000).any(|ms| cell.try_acquire_paced(16, later(ms))), "an interval first");
+    assert!(cell.try_acquire_paced(16, later(21_000)));
+    cell.set_pace(Some(EndpointPace::from_rate(0.5)), later(21_500));
+    assert!(!(21_500..22_500).any(|ms| cell.try_acquire_paced(16, later(ms))), "half is left");
+    assert!(cell.try_acquire_paced(16, later(22_500)));
 }
 
 /// Guards against a message for each answer, and against a change that nobody is told.
 #[test]
 fn neighbours_are_told_changes_and_now_and_then_that_a_limit_holds() {
-    let mut book = LimitBook::default();
+    let mut book = RateLimits::default();
     let mut told = 0;
     for step in 0..100 {
         told += u32::from(book.hear(ENDPOINT, Some(limit(2.0)), later(step * 50)));
@@ -136,7 +136,7 @@
 fn the_later_word_holds_whatever_way_it_comes() {
     let row = |state, age_ms| LimitRow { endpoint: ENDPOINT, state, age_ms };
     let (named, ended) = (LimitState::Named(limit(2.0)), LimitState::Ended(limit(2.0)));
-    let mut book = LimitBook::default();
+    let mut book = RateLimits::default();
     assert!(book.note(row(named, 0), 1, NOW));
     assert!(!book.note(row(named, 0), 2, later(30)), "a copy");
     assert!(book.note(row(ended, 0), 1, later(1_000)));
@@ -149,18 +149,18 @@
 /// Guards against entries that return to an endpoint all at the same moments.
 #[test]
 fn entries_that_return_together_do_not_send_at_the_same_moments() {
-    let mut book = LimitBook::default();
+    let mut book = RateLimits::default();
     book.hear(ENDPOINT, Some(limit(2.0)), NOW);
     book.hear(ENDPOINT, None, later(600));
-    let cells: Vec<_> = (0..149).map(|_| EndpointCell::default()).collect();
+    let cells: Vec<_> = (0..149).map(|_| EndpointTracker::default()).collect();
     let mut sent = Vec::new();
     for ms in 600..2_600 {
         for (index, cell) in cells.iter().enumerate() {
             cell.set_limit(16);
             let phase = f64::from(index as u32 + 1) / 149.0;
-            let place = HolderPlace { rank: index, candidates: 149, entries: 149, phase };
+            let place = HolderRank { rank: index, candidates: 149, entries: 149, phase };
             cell.set_pace(book.pace(ENDPOINT, place, later(ms)), later(ms));
-            if cell.begin_paced(16, later(ms)) {
+            if cell.try_acquire_paced(16, later(ms)) {
                 cell.end();
                 sent.push(ms);
             }
@@ -174,7 +174,7 @@
 /// Guards against limits of endpoints that are gone filling the memory.
 #[test]
 fn limits_of_endpoints_that_are_gone_are_forgotten() {
-    let mut book = LimitBook::default();
+    let mut book = RateLimits::default();
     book.hear(1, Some(limit(2.0)), NOW);
     book.hear(2, Some(limit(2.0)), NOW);
     book.expire(|_| false, later(1_000));
@@ -196,8 +196,8 @@
 /// Entries in a ring with chords, in front of one endpoint that names a limit.
 struct LimitDay {
     now: Timestamp,
-    books: Vec<LimitBook>,
-    cells: Vec<EndpointCell>,
+    books: Vec<RateLimits>,
+    cells: Vec<EndpointTracker>,
     links: Vec<BTreeMap<usize, u64>>,
     /// Until when an entry stands still.
     frozen: Vec<Timestamp>,
@@ -224,13 +224,13 @@
         let mut order: Vec<_> = (0..entries).collect();
         order.sort_by_key(|index| std::cmp::Reverse(weight(index)));
         let cell = |_| {
-            let cell = EndpointCell::default();
+            let cell = EndpointTracker::default();
             cell.set_limit(16);
             cell
         };
         Self {
             now: NOW,
-            books: (0..entries).map(|_| LimitBook::default()).collect(),
+            books: (0..entries).map(|_| RateLimits::default()).collect(),
             cells: (0..entries).map(cell).collect(),
             links,
             frozen: vec![Timestamp(0); entries],
@@ -275,10 +275,10 @@
             if !self.runs(entry) {
                 continue;
             }
-            let place = HolderPlace { rank, candidates: count, entries: count, phase: 1.0 };
+            let place = HolderRank { rank, candidates: count, entries: count, phase: 1.0 };
             let pace = self.books[entry].pace(ENDPOINT, place, self.now);
             self.cells[entry].set_pace(pace, self.now);
-            if rng.random_bool(load) && self.cells[entry].begin_paced(16, self.now) {
+            if rng.random_bool(load) && self.cells[entry].try_acquire_paced(16, self.now) {
                 self.sent.push(self.now);
                 self.answers.push((Timestamp(self.now.0 + ANSWER_MS), entry));
             }
@@ -298,13 +298,13 @@
                     continue;
                 }
                 let (rows, next) =
-                    self.books[index].rows_since(*mark, *other as LinkNumber, self.now);
+                    self.books[index].rows_since(*mark, *other as LinkId, self.now);
                 *mark = next;
                 messages.extend(rows.into_iter().map(|row| (index, *other, row)));
             }
         }
         for (from, to, row) in messages {
-            self.books[to].note(row, from as LinkNumber, self.now);
+            self.books[to].note(row, from as LinkId, self.now);
         }
     }
 
--- a/crates/decide/tests/lives.rs
+++ b/crates/decide/tests/lives.rs
@@ -1,6 +1,6 @@
 //! Endpoints that start again under the name that they had.
 
-use cassiawheel_decide::EndpointLives;
+use cassiawheel_decide::RestartDetector;
 use cassiawheel_model::{InstanceId, Timestamp};
 
 /// An engine fails so often that it gets no requests for half a minute, crashes
@@ -10,7 +10,7 @@
 #[test]
 fn a_later_start_under_the_same_name_is_a_new_life() {
     let engine = InstanceId::new("engine-1").expect("valid");
-    let mut lives = EndpointLives::default();
+    let mut lives = RestartDetector::default();
     assert!(!lives.begin(&engine, Some(Timestamp(1_000))), "the first life ends none");
     assert!(!lives.begin(&engine, Some(Timestamp(1_000))));
     assert!(lives.begin(&engine, Some(Timestamp(5_000))));
--- a/crates/decide/tests/manifest_search.rs
+++ b/crates/decide/tests/manifest_search.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use cassiawheel_decide::{AgentPlace, ManifestSearch, SearchStep, acquaintances};
+use cassiawheel_decide::{AgentLocation, ManifestSearch, SearchStep, chunk_peers};
 use cassiawheel_model::{Deadline, InstanceId, RegionName, Timestamp};
 use rand::{SeedableRng, rngs::SmallRng};
 use rstest::rstest;
@@ -79,13 +79,13 @@
     let names: Vec<_> = (0..agents).map(name).collect();
     let regions: Vec<_> =
         (0..regions).map(|r| RegionName::new(&format!("region-{r}")).expect("valid")).collect();
-    let place = |index: usize| AgentPlace {
+    let place = |index: usize| AgentLocation {
         instance: names[index].as_str(),
         region: &regions[index % regions.len()],
     };
     let all: Vec<_> = (0..agents).map(place).collect();
     let of = |index: usize| {
-        let chosen = acquaintances(place(index), &all).into_iter();
+        let chosen = chunk_peers(place(index), &all).into_iter();
         chosen.map(|name| InstanceId::new(name).expect("valid")).collect()
     };
     (0..agents).map(of).collect()
--- a/crates/decide/tests/overlay.rs
+++ b/crates/decide/tests/overlay.rs
@@ -6,8 +6,8 @@
 };
 
 use cassiawheel_decide::{
-    EntryChoice, EntryPlace, FloodFilter, GossipStore, LinkMark, LinkNumber, RowDuty, chosen_links,
-    rank::subject_of, reachable_entries, row_duty,
+    EntrySelector, EntryLocation, FloodFilter, GossipStore, LinkCursor, LinkId, FeedRole, links_to_dial,
+    rank::subject_of, reachable_entries, feed_role,
 };
 use cassiawheel_model::{EntryRecord, FailureDomain, InstanceId, LoadRow, RegionName, Timestamp};
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IteratorRandom};
@@ -35,14 +35,14 @@
 /// An entry with its links by their ends.
 struct Process {
     store: GossipStore,
-    links: BTreeMap<usize, LinkMark>,
+    links: BTreeMap<usize, LinkCursor>,
     sequence: u64,
     sent: u64,
 }
 
 /// All entries and the messages that are on their way.
 struct Fleet {
-    places: Vec<EntryPlace>,
+    places: Vec<EntryLocation>,
     processes: Vec<Process>,
     dead: BTreeSet<usize>,
     now: Timestamp,
@@ -53,7 +53,7 @@
 
 impl Fleet {
     fn new(entries: usize, regions: usize, seed: u64) -> Self {
-        let place = |index| EntryPlace { inner_addr: addr(index), region: region(index % regions) };
+        let place = |index| EntryLocation { inner_addr: addr(index), region: region(index % regions) };
         let process = |_| Process {
             store: GossipStore::default(),
             links: BTreeMap::new(),
@@ -78,7 +78,7 @@
             (0..self.places.len()).filter(|index| !self.dead.contains(index)).collect();
         let places: Vec<_> = living.iter().map(|index| self.places[*index].clone()).collect();
         for index in living {
-            for chosen in chosen_links(&self.places[index], &places) {
+            for chosen in links_to_dial(&self.places[index], &places) {
                 let other = self.places.iter().position(|p| p.inner_addr == chosen).expect("known");
                 self.processes[index].links.entry(other).or_default();
                 self.processes[other].links.entry(index).or_default();
@@ -125,7 +125,7 @@
             let full = self.full;
             let process = &mut self.processes[index];
             for (other, mark) in &mut process.links {
-                let link = *other as LinkNumber;
+                let link = *other as LinkId;
                 let (records, _, next) = process.store.state_since(*mark, link);
                 let (loads, next) = process.store.loads_since(next, link, self.now);
                 if self.rng.random_bool(full) {
@@ -145,11 +145,11 @@
             }
             let store = &mut self.processes[to].store;
             for record in records {
-                store.merge_record(record, Some(from as LinkNumber), self.now);
+                store.merge_record(record, Some(from as LinkId), self.now);
             }
             for row in loads {
                 let row = LoadRow { age_ms: row.age_ms + ROUND_MS as u32, ..row };
-                store.merge_load(row, ROUND_MS, Some(from as LinkNumber), self.now);
+                store.merge_load(row, ROUND_MS, Some(from as LinkId), self.now);
             }
         }
     }
@@ -314,7 +314,7 @@
     let mut held: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for agent in 0..300 {
         let subject = subject_of(&format!("agent-{agent}"));
-        let mut choice = EntryChoice::default();
+        let mut choice = EntrySelector::default();
         choice.set_candidates((0..30).map(addr).collect());
         let chosen = choice.chosen(subject, 4, Timestamp(0));
         assert_eq!(chosen.len(), 4);
@@ -337,16 +337,16 @@
     let mut records: Vec<_> = fleet.processes[0].store.records().cloned().collect();
     let duties = |records: &[EntryRecord]| -> Vec<_> {
         let present: Vec<_> = records.iter().collect();
-        records.iter().map(|record| row_duty(&record.instance, &present)).collect()
+        records.iter().map(|record| feed_role(&record.instance, &present)).collect()
     };
-    let count = |duties: &[RowDuty], duty| duties.iter().filter(|other| **other == duty).count();
+    let count = |duties: &[FeedRole], duty| duties.iter().filter(|other| **other == duty).count();
     let calm = duties(&records);
-    assert!((3..=5).contains(&count(&calm, RowDuty::Follow)), "{calm:?}");
-    let first = calm.iter().position(|duty| *duty == RowDuty::Follow).expect("one");
+    assert!((3..=5).contains(&count(&calm, FeedRole::Follow)), "{calm:?}");
+    let first = calm.iter().position(|duty| *duty == FeedRole::Follow).expect("one");
     records[first].follows_rows = false;
     let turned_away = duties(&records);
-    assert_eq!(turned_away[first], RowDuty::Probe);
-    assert!((3..=5).contains(&count(&turned_away, RowDuty::Follow)), "{turned_away:?}");
+    assert_eq!(turned_away[first], FeedRole::Probe);
+    assert!((3..=5).contains(&count(&turned_away, FeedRole::Follow)), "{turned_away:?}");
     records.iter_mut().for_each(|record| record.follows_rows = false);
     assert_eq!(duties(&records), calm, "nobody is answered, and the same entries go on");
 }
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -11,7 +11,7 @@
 };
 
 use cassiawheel_decide::{
-    AdmitTicket, AdmitVerdict, AttemptEnd, CallerTurn, EndpointCell, EndpointPath, GateState,
+    AdmitTicket, AdmitVerdict, AttemptFailure, AdmitTier, EndpointTracker, EndpointPath, GateState,
     RepeatGuard, RetryBudget, RetryStep, RetryTracker, RouteCandidate, RouteQuery, RouteSnapshot,
     ServiceAdmission, ServiceRoutes,
 };
@@ -82,7 +82,7 @@
     admission: ServiceAdmission<usize>,
     budget: RetryBudget,
     snapshot: RouteSnapshot,
-    cells: Vec<Arc<EndpointCell>>,
+    cells: Vec<Arc<EndpointTracker>>,
     total: Arc<AtomicU32>,
 }
 
@@ -105,8 +105,8 @@
 
 impl Entry {
     fn new(service: &ServiceName, names: &[InstanceId]) -> Self {
-        let cells: Vec<_> = names.iter().map(|_| Arc::new(EndpointCell::default())).collect();
-        let candidate = |(name, cell): (&InstanceId, &Arc<EndpointCell>)| RouteCandidate {
+        let cells: Vec<_> = names.iter().map(|_| Arc::new(EndpointTracker::default())).collect();
+        let candidate = |(name, cell): (&InstanceId, &Arc<EndpointTracker>)| RouteCandidate {
             instance: name.clone(),
             version: None,
             is_near: false,
@@ -216,7 +216,7 @@
         let entry = &self.entries[entry];
         entry.budget.earn();
         let capacity = entry.capacity(&self.service, now);
-        if entry.admission.admit_now(CallerTurn::Fresh, capacity) {
+        if entry.admission.try_admit(AdmitTier::Fresh, capacity) {
             self.admitted.push_back(request);
             return;
         }
@@ -224,7 +224,7 @@
             workspace: WorkspaceId::new(&format!("workspace-{workspace}")).expect("a workspace"),
             priority,
             deadline,
-            turn: CallerTurn::Fresh,
+            turn: AdmitTier::Fresh,
         };
         let admitted = &mut self.admitted;
         let notify = |request, verdict| {
@@ -245,7 +245,7 @@
             prefix: None,
             version: None,
             allowed: None,
-            extra_room: 0,
+            extra_capacity: 0,
             max_in_flight: LIMIT,
             now: stamp(self.now),
         };
@@ -275,7 +275,7 @@
     fn after(&mut self, number: usize, reason: NotRunReason) {
         let request = &mut self.requests[number];
         let budget = &self.entries[request.entry].budget;
-        let end = AttemptEnd::NotRun(reason);
+        let end = AttemptFailure::NotRun(reason);
         match request.tracker.after(end, budget, stamp(self.now), &mut self.rng) {
             RetryStep::Again(at) | RetryStep::Reroute(at) => {
                 let at = (at.0 - START).max(self.now + 1);
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -1,6 +1,6 @@
 //! Whether a failed attempt is followed by another, and what its caller is told.
 
-use cassiawheel_decide::{AttemptEnd, RepeatGuard, RetryBudget, RetryStep, RetryTracker};
+use cassiawheel_decide::{AttemptFailure, RepeatGuard, RetryBudget, RetryStep, RetryTracker};
 use cassiawheel_model::{Deadline, NotRunReason, Timestamp};
 use rand::{SeedableRng, rngs::SmallRng};
 use rstest::rstest;
@@ -20,18 +20,18 @@
         Self { tracker: RetryTracker::new(guard, DEADLINE, 3), budget: RetryBudget::default(), rng }
     }
 
-    fn after(&mut self, end: AttemptEnd) -> RetryStep {
+    fn after(&mut self, end: AttemptFailure) -> RetryStep {
         self.tracker.begin();
         self.tracker.after(end, &self.budget, NOW, &mut self.rng)
     }
 }
 
-fn unknown() -> AttemptEnd {
-    AttemptEnd::Unknown("the connection was lost".to_owned())
+fn unknown() -> AttemptFailure {
+    AttemptFailure::Unknown("the connection was lost".to_owned())
 }
 
-fn refused(reason: NotRunReason) -> AttemptEnd {
-    AttemptEnd::NotRun(reason)
+fn refused(reason: NotRunReason) -> AttemptFailure {
+    AttemptFailure::NotRun(reason)
 }
 
 /// A card charge is sent, the connection breaks, and nothing tells whether the
@@ -63,8 +63,8 @@
 #[test]
 fn a_claim_that_is_held_elsewhere_ends_the_attempts() {
     let mut tries = Tries::new(RepeatGuard::Claimed);
-    let step = tries.after(AttemptEnd::Unanswered("held".to_owned()));
-    assert!(matches!(step, RetryStep::Stop(AttemptEnd::Unknown(_))));
+    let step = tries.after(AttemptFailure::Unanswered("held".to_owned()));
+    assert!(matches!(step, RetryStep::Stop(AttemptFailure::Unknown(_))));
 }
 
 /// The only endpoint is full. "No endpoint" would send the operator to look for
@@ -113,10 +113,10 @@
 fn the_savings_of_all_entries_stay_within_the_slack() {
     let (slack, entries) = (654.0, 149);
     let budgets: Vec<_> = (0..entries).map(|_| RetryBudget::new(0.2, slack / 9.0)).collect();
-    budgets.iter().for_each(|budget| budget.set_savings(slack / f64::from(entries)));
+    budgets.iter().for_each(|budget| budget.set_burst(slack / f64::from(entries)));
     let retries = |budget: &RetryBudget| (0..1_000).take_while(|_| budget.withdraw()).count();
     let total: usize = budgets.iter().map(retries).sum();
     assert!(total as f64 <= slack, "{total} retries at once");
-    budgets[0].set_savings(slack / 9.0);
+    budgets[0].set_burst(slack / 9.0);
     assert_eq!(retries(&budgets[0]), 0, "a larger share is earned and not given");
 }
--- a/crates/decide/tests/roster.rs
+++ b/crates/decide/tests/roster.rs
@@ -5,7 +5,7 @@
     net::{IpAddr, Ipv4Addr, SocketAddr},
 };
 
-use cassiawheel_decide::{EndpointRoster, EntryRoster, PeerEntry, advice::AdviceInput};
+use cassiawheel_decide::{EndpointRoster, EntryRoster, PeerEntry, advice::EntryCandidate};
 use cassiawheel_model::{
     EndpointReport, EndpointRole, EndpointState, FailureDomain, InstanceId, LoadReport,
     PresetRevision, RegionName, ServiceName, Timestamp,
@@ -133,7 +133,7 @@
                 test.roster.forget(&instance(index), incarnation);
             }
             RosterStep::List(listed) => {
-                test.roster.list_leaving(listed.into_iter().map(instance).collect());
+                test.roster.set_platform_leaving(listed.into_iter().map(instance).collect());
             }
             RosterStep::Silence => {
                 test.roster.expire(Timestamp(test.now.0 + 1), test.now);
@@ -179,7 +179,7 @@
 
 fn peer(incarnation: u64, leaving: bool, heard_at: u64) -> PeerEntry {
     let failure_domain = FailureDomain::new("domain").expect("valid");
-    let advice = AdviceInput { caller_addr: addr(), failure_domain, in_flight: 0, leaving };
+    let advice = EntryCandidate { caller_addr: addr(), failure_domain, in_flight: 0, leaving };
     let heard_at = Timestamp(heard_at);
     PeerEntry { advice, incarnation, revision: PresetRevision(1), advised: true, heard_at }
 }
--- a/crates/decide/tests/routing.rs
+++ b/crates/decide/tests/routing.rs
@@ -10,8 +10,8 @@
 };
 
 use cassiawheel_decide::{
-    AttemptEnd, EndpointCell, EndpointPath, RepeatGuard, RetryBudget, RetryStep, RetryTracker,
-    RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes, affinity::prefix_of,
+    AttemptFailure, EndpointTracker, EndpointPath, RepeatGuard, RetryBudget, RetryStep, RetryTracker,
+    RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes, affinity::prefix_digest,
 };
 use cassiawheel_model::{
     Deadline, InstanceId, LoadReport, ModelVersion, NotRunReason, ServiceName, Timestamp,
@@ -32,7 +32,7 @@
 struct Entry {
     service: ServiceName,
     snapshot: RouteSnapshot,
-    cells: Vec<Arc<EndpointCell>>,
+    cells: Vec<Arc<EndpointTracker>>,
     total: Arc<AtomicU32>,
     names: Vec<InstanceId>,
     next: usize,
@@ -42,7 +42,7 @@
 impl Entry {
     fn new(seed: u64) -> Self {
         let service = ServiceName::new("desk").expect("a service");
-        let cells: Vec<_> = (0..ENDPOINTS).map(|_| Arc::new(EndpointCell::default())).collect();
+        let cells: Vec<_> = (0..ENDPOINTS).map(|_| Arc::new(EndpointTracker::default())).collect();
         for cell in &cells {
             let measured_at = Timestamp(START);
             cell.hear(&LoadReport { in_flight: 0, queued: 0, measured_at }, 64);
@@ -50,7 +50,7 @@
         let name = |index| InstanceId::new(&format!("endpoint-{index}")).expect("an instance");
         let names: Vec<_> = (0..ENDPOINTS).map(name).collect();
         let version = ModelVersion::new("v1").ok();
-        let candidate = |(index, cell): (usize, &Arc<EndpointCell>)| RouteCandidate {
+        let candidate = |(index, cell): (usize, &Arc<EndpointTracker>)| RouteCandidate {
             instance: names[index].clone(),
             version: version.clone(),
             is_near: index % 4 == 0,
@@ -89,7 +89,7 @@
                     prefix,
                     version: None,
                     allowed: None,
-                    extra_room: 0,
+                    extra_capacity: 0,
                     max_in_flight: 64,
                     now,
                 };
@@ -164,7 +164,7 @@
             // A square makes low ranks popular: the first tenth gets a third.
             let rank = (rng.random::<f64>().powi(2) * 240.0) as u64;
             let prompt = format!("{rank:>64}");
-            let prefix = prefix_of(prompt.as_bytes(), 64);
+            let prefix = prefix_digest(prompt.as_bytes(), 64);
             let Some(endpoint) = entry.choose(policy, prefix, &[], now) else {
                 continue;
             };
@@ -270,7 +270,7 @@
                 continue;
             }
             entry.fail(call.endpoint, now);
-            let end = AttemptEnd::NotRun(NotRunReason::ConnectFailed);
+            let end = AttemptFailure::NotRun(NotRunReason::ConnectFailed);
             let budget = &budgets[call.entry];
             match requests[call.request].tracker.after(end, budget, now, &mut rng) {
                 RetryStep::Again(at) | RetryStep::Reroute(at) => {
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -24,7 +24,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{advice::AdviceInput, advise};
+use cassiawheel_decide::{advice::EntryCandidate, advise};
 use cassiawheel_model::{OutcomeKind, Timestamp};
 use cassiawheel_runtime::http::{ReplyBody, error_reply, json_reply};
 use hyper::{Request, Response, StatusCode, body::Incoming};
@@ -92,9 +92,9 @@
 }
 
 /// This entry and those that it knows.
-fn advisable(shared: &EntryShared) -> Vec<AdviceInput> {
+fn advisable(shared: &EntryShared) -> Vec<EntryCandidate> {
     let settings = &shared.settings;
-    let own = AdviceInput {
+    let own = EntryCandidate {
         caller_addr: settings.listen.caller,
         failure_domain: settings.place.failure_domain.clone(),
         in_flight: shared.in_flight.load(Ordering::Relaxed),
@@ -114,7 +114,7 @@
     let state = routed.overlay.lock();
     let others = peers.into_iter().map(|(instance, advice)| {
         let in_flight = state.store.load_of(&instance, now).unwrap_or_default();
-        AdviceInput { in_flight, ..advice }
+        EntryCandidate { in_flight, ..advice }
     });
     entries.extend(others);
     entries
--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -110,7 +110,7 @@
     if capacity == 0 {
         return Ok(None);
     }
-    if admission.places.admit_now(request.turn, capacity) {
+    if admission.places.try_admit(request.turn, capacity) {
         return Ok(Some(AdmitPermit { admission }));
     }
     let ticket = AdmitTicket {
--- a/crates/entry/src/caller/attempts.rs
+++ b/crates/entry/src/caller/attempts.rs
@@ -6,7 +6,7 @@
 };
 
 use cassiawheel_decide::{
-    AttemptEnd, BAR_TIME, EndpointCell, EndpointPath, RepeatGuard, RetryBudget, RetryStep,
+    AttemptFailure, BAR_DURATION, EndpointTracker, EndpointPath, RepeatGuard, RetryBudget, RetryStep,
     RetryTracker, RouteQuery, RouteSnapshot,
 };
 use cassiawheel_model::{
@@ -72,20 +72,20 @@
     /// A request that was refused before any attempt.
     pub(crate) fn before_attempts(shared: &EntryShared, reason: NotRunReason) -> Self {
         let revision = shared.force.load().as_ref().map(|preset| preset.revision);
-        let outcome = final_outcome(AttemptEnd::NotRun(reason));
+        let outcome = final_outcome(AttemptFailure::NotRun(reason));
         Self { outcome, revision: revision.unwrap_or_default(), attempts: 0 }
     }
 }
 
 /// One request's count at its endpoint and its service.
 pub(crate) struct EndpointLoad {
-    cell: Arc<EndpointCell>,
+    cell: Arc<EndpointTracker>,
     service: Arc<AtomicU32>,
 }
 
 impl EndpointLoad {
     /// Takes over a request that is counted at the endpoint already.
-    fn taken(cell: Arc<EndpointCell>, service: Arc<AtomicU32>) -> Self {
+    fn taken(cell: Arc<EndpointTracker>, service: Arc<AtomicU32>) -> Self {
         service.fetch_add(1, Ordering::Relaxed);
         Self { cell, service }
     }
@@ -145,7 +145,7 @@
         loop {
             match self.try_preset().await {
                 Ok(begun) if self.may_ask_another(&begun) => {
-                    let end = AttemptEnd::Unknown(format!("answered {}", begun.status));
+                    let end = AttemptFailure::Unknown(format!("answered {}", begun.status));
                     if self.after(end).await.is_err() {
                         // The failure is the endpoint's own answer, and the
                         // last one that there will be.
@@ -172,7 +172,7 @@
         &mut self,
         cut: &BegunAnswer,
         version: Option<ModelVersion>,
-        end: AttemptEnd,
+        end: AttemptFailure,
     ) -> Result<BegunAnswer, FailedRequest> {
         self.version = version;
         let lost = LostRun { place: &cut.run, answering: cut.stream.has_data(), end: &end };
@@ -182,13 +182,13 @@
         self.begin().await
     }
 
-    async fn try_preset(&mut self) -> Result<BegunAnswer, AttemptEnd> {
+    async fn try_preset(&mut self) -> Result<BegunAnswer, AttemptFailure> {
         let preset =
-            preset_in_force(&self.shared, &self.request.head).map_err(AttemptEnd::NotRun)?;
+            preset_in_force(&self.shared, &self.request.head).map_err(AttemptFailure::NotRun)?;
         self.revision = preset.revision;
         self.suspect_run = None;
         let turn = await_turn(&self.shared, &self.request).await;
-        self.suspect_run = turn.map_err(AttemptEnd::NotRun)?;
+        self.suspect_run = turn.map_err(AttemptFailure::NotRun)?;
         self.try_once(&preset).await
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Waits until the next attempt, if one is allowed.
-    async fn after(&mut self, end: AttemptEnd) -> Result<(), FailedRequest> {
+    async fn after(&mut self, end: AttemptFailure) -> Result<(), FailedRequest> {
         let now = Timestamp::now();
         let next_at = match self.tracker.after(end, &self.budget, now, &mut rand::rng()) {
             RetryStep::Again(next_at) => next_at,
@@ -215,7 +215,7 @@
         Ok(())
     }
 
-    async fn try_once(&mut self, preset: &ForcedPreset) -> Result<BegunAnswer, AttemptEnd> {
+    async fn try_once(&mut self, preset: &ForcedPreset) -> Result<BegunAnswer, AttemptFailure> {
         let (shared, head) = (&self.shared, &self.request.head);
         let now = Timestamp::now();
         let allowed = shared.allowed_versions(&head.service, now);
@@ -227,7 +227,7 @@
             excluded: &self.excluded,
             version: self.version.as_ref(),
             allowed: allowed.as_deref(),
-            extra_room: if self.tracker.attempts() > 0 && self.request.is_direct() {
+            extra_capacity: if self.tracker.attempts() > 0 && self.request.is_direct() {
                 REPEAT_ROOM
             } else {
                 0
@@ -239,7 +239,7 @@
         let choice = routes.take(&query, &mut rand::rng());
         let (Some(choice), Some(service)) = (choice, routes.service(&head.service)) else {
             log::info!(target: "route", request:% = head.id, workspace:% = head.workspace, service:% = head.service, revision = preset.revision.0, excluded = self.excluded.len(); "No endpoint for a request.");
-            return Err(AttemptEnd::NotRun(no_endpoint(&routes, head)));
+            return Err(AttemptFailure::NotRun(no_endpoint(&routes, head)));
         };
         let candidate = choice.candidate;
         log::info!(target: "route", request:% = head.id, workspace:% = head.workspace, endpoint:% = candidate.instance, reason = choice.reason.as_str(), cost = choice.cost, near = candidate.is_near, candidates = choice.candidates, revision = preset.revision.0, attempt = self.tracker.attempts() + 1; "Chose an endpoint.");
@@ -319,25 +319,25 @@
     shared: &EntryShared,
     head: &RequestHead,
     instance: Option<&InstanceId>,
-    cell: &EndpointCell,
-    end: &AttemptEnd,
+    cell: &EndpointTracker,
+    end: &AttemptFailure,
 ) {
     let now = Timestamp::now();
     match end {
         // Another attempt with the key may be the cause, and not this endpoint.
-        AttemptEnd::Unanswered(_) => {}
-        AttemptEnd::NotRun(NotRunReason::Overloaded) => cell.refuse(now),
+        AttemptFailure::Unanswered(_) => {}
+        AttemptFailure::NotRun(NotRunReason::Overloaded) => cell.refuse(now),
         // No version was asked for, so it is the process that is another one.
         // It refuses at once and so seems to be idle; without this look it would
         // draw request after request until its row lapses.
-        AttemptEnd::NotRun(NotRunReason::VersionMismatch) if head.version.is_none() => {
+        AttemptFailure::NotRun(NotRunReason::VersionMismatch) if head.version.is_none() => {
             if let Some(instance) = instance {
                 shared.forget_listed(instance);
             }
         }
-        AttemptEnd::NotRun(NotRunReason::ConnectFailed)
-        | AttemptEnd::Unknown(_)
-        | AttemptEnd::Lost(_) => {
+        AttemptFailure::NotRun(NotRunReason::ConnectFailed)
+        | AttemptFailure::Unknown(_)
+        | AttemptFailure::Lost(_) => {
             let routes = shared.routes.load();
             let ejected =
                 routes.service(&head.service).zip(instance).is_some_and(|(s, i)| s.fail(i, now));
@@ -345,20 +345,20 @@
                 log::warn!(target: "route", endpoint:% = instance; "Ejected an endpoint that fails.");
             }
         }
-        AttemptEnd::NotRun(_) => {}
+        AttemptFailure::NotRun(_) => {}
     }
 }
 
-fn final_outcome(end: AttemptEnd) -> RequestOutcome {
+fn final_outcome(end: AttemptFailure) -> RequestOutcome {
     match end {
-        AttemptEnd::NotRun(reason) => RequestOutcome::NotRun {
+        AttemptFailure::NotRun(reason) => RequestOutcome::NotRun {
             reason,
             retry_at: match reason {
-                NotRunReason::Quarantined => Timestamp::now().deadline_after(BAR_TIME),
+                NotRunReason::Quarantined => Timestamp::now().deadline_after(BAR_DURATION),
                 _ => Deadline(Timestamp::now().0 + RETRY_AFTER_MS),
             },
         },
-        AttemptEnd::Unknown(detail) | AttemptEnd::Lost(detail) | AttemptEnd::Unanswered(detail) => {
+        AttemptFailure::Unknown(detail) | AttemptFailure::Lost(detail) | AttemptFailure::Unanswered(detail) => {
             RequestOutcome::Unknown { detail }
         }
     }
--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use cassiawheel_decide::{AttemptEnd, EndpointCell, EndpointPath, RepeatGuard};
+use cassiawheel_decide::{AttemptFailure, EndpointTracker, EndpointPath, RepeatGuard};
 use cassiawheel_edge::{EndpointLeg, ToldLoad};
 use cassiawheel_model::{
     Deadline, HeaderField, InstanceId, LoadReport, ModelVersion, NotRunReason, PresetRevision,
@@ -129,15 +129,15 @@
 
 /// Measures how long an answer takes to begin, also if nobody waits for it any more.
 struct DelayWatch<'a> {
-    cell: &'a EndpointCell,
+    cell: &'a EndpointTracker,
     started_at: Timestamp,
     answered: bool,
 }
 
 impl<'a> DelayWatch<'a> {
-    fn start(cell: &'a EndpointCell) -> Self {
+    fn start(cell: &'a EndpointTracker) -> Self {
         let started_at = Timestamp::now();
-        cell.await_answer(started_at);
+        cell.record_sent(started_at);
         Self { cell, started_at, answered: false }
     }
 }
@@ -146,7 +146,7 @@
     fn drop(&mut self) {
         let now = Timestamp::now();
         let delay_ms = now.since(self.started_at).as_millis() as u64;
-        self.cell.note_delay(delay_ms, self.answered, now);
+        self.cell.record_delay(delay_ms, self.answered, now);
     }
 }
 
@@ -155,9 +155,9 @@
     shared: &EntryShared,
     path: EndpointPath,
     sent: DispatchedRequest<'_>,
-    cell: &EndpointCell,
+    cell: &EndpointTracker,
     begin_by: Option<Deadline>,
-) -> Result<AnswerHead, AttemptEnd> {
+) -> Result<AnswerHead, AttemptFailure> {
     let mut watch = DelayWatch::start(cell);
     let beginning = begin(shared, path, &sent, cell);
     let begun = match begin_by.filter(|_| sent.head.repeat == Repeatability::Idempotent) {
@@ -165,7 +165,7 @@
         // not answer any more. It is taken back before, while others can answer.
         Some(begin_by) => {
             let late =
-                || Err(AttemptEnd::Unknown("its version may not answer any more".to_owned()));
+                || Err(AttemptFailure::Unknown("its version may not answer any more".to_owned()));
             let left = begin_by.remaining(Timestamp::now());
             timeout(left, beginning).await.unwrap_or_else(late)?
         }
@@ -180,8 +180,8 @@
     shared: &EntryShared,
     path: EndpointPath,
     sent: &DispatchedRequest<'_>,
-    cell: &EndpointCell,
-) -> Result<AnswerHead, AttemptEnd> {
+    cell: &EndpointTracker,
+) -> Result<AnswerHead, AttemptFailure> {
     let mut begun = match (path, &shared.routed) {
         (EndpointPath::Agent, _) => {
             let link = shared.links.load().get(sent.instance).cloned();
@@ -193,7 +193,7 @@
         }
         // Only the list gives such paths, and nobody follows it then.
         (EndpointPath::Direct(_), None) => {
-            return Err(AttemptEnd::NotRun(NotRunReason::NoEndpoint));
+            return Err(AttemptFailure::NotRun(NotRunReason::NoEndpoint));
         }
     };
     if sent.head.repeat == Repeatability::Idempotent {
@@ -206,8 +206,8 @@
     routed: &RoutedInterface,
     target: DirectTarget<'_>,
     sent: &DispatchedRequest<'_>,
-    cell: &EndpointCell,
-) -> Result<AnswerHead, AttemptEnd> {
+    cell: &EndpointTracker,
+) -> Result<AnswerHead, AttemptFailure> {
     let head = sent.head;
     let leg = EndpointLeg {
         request: &head.id,
@@ -241,10 +241,10 @@
     link: Option<Arc<AgentLink>>,
     routed: &RequestHead,
     body: &Bytes,
-) -> Result<AnswerHead, AttemptEnd> {
-    let link = link.ok_or(AttemptEnd::NotRun(NotRunReason::ConnectFailed))?;
+) -> Result<AnswerHead, AttemptFailure> {
+    let link = link.ok_or(AttemptFailure::NotRun(NotRunReason::ConnectFailed))?;
     let sent = link.dispatch(routed.clone(), body).await;
-    let stream = sent.map_err(AttemptEnd::NotRun)?;
+    let stream = sent.map_err(AttemptFailure::NotRun)?;
     await_head(stream, routed).await
 }
 
@@ -256,22 +256,22 @@
 async fn await_first_part(
     stream: &mut AttemptStream,
     routed: &RequestHead,
-) -> Result<(), AttemptEnd> {
+) -> Result<(), AttemptFailure> {
     let span = routed.deadline.remaining(Timestamp::now());
     match timeout(span, stream.peek()).await {
-        Some(AnswerPart::Cut(detail)) => Err(AttemptEnd::Lost(detail.clone())),
+        Some(AnswerPart::Cut(detail)) => Err(AttemptFailure::Lost(detail.clone())),
         Some(AnswerPart::Data(_) | AnswerPart::End(_)) => Ok(()),
-        None => Err(AttemptEnd::Unknown("no answer before the deadline".to_owned())),
+        None => Err(AttemptFailure::Unknown("no answer before the deadline".to_owned())),
     }
 }
 
 async fn await_head(
     mut stream: LinkStream,
     routed: &RequestHead,
-) -> Result<AnswerHead, AttemptEnd> {
+) -> Result<AnswerHead, AttemptFailure> {
     let span = routed.deadline.remaining(Timestamp::now());
     let Some(message) = timeout(span, stream.next()).await else {
-        return Err(AttemptEnd::Unknown("no answer before the deadline".to_owned()));
+        return Err(AttemptFailure::Unknown("no answer before the deadline".to_owned()));
     };
     match message {
         Some(RequestMessage::Head {
@@ -288,20 +288,20 @@
             // version would give its caller somebody else's answer. A recorded
             // answer names the version that gave it, which may have left since.
             if request != routed.id || (!replayed && version != routed.version) {
-                return Err(AttemptEnd::Unknown("the answer belongs elsewhere".to_owned()));
+                return Err(AttemptFailure::Unknown("the answer belongs elsewhere".to_owned()));
             }
             let headers = header_map(&headers, content_type.as_deref());
             let stream = AttemptStream::new(StreamKind::Link(stream));
             Ok(AnswerHead { stream, status, headers, version, revision, replayed })
         }
-        Some(RequestMessage::Refused { reason, .. }) => Err(AttemptEnd::NotRun(reason)),
+        Some(RequestMessage::Refused { reason, .. }) => Err(AttemptFailure::NotRun(reason)),
         Some(RequestMessage::Failed { detail, .. }) => Err(match RepeatGuard::of(routed) {
             // Other agents would find the same claim and let its caller wait.
-            RepeatGuard::Claimed => AttemptEnd::Unanswered(detail),
-            RepeatGuard::Idempotent | RepeatGuard::Nothing => AttemptEnd::Unknown(detail),
+            RepeatGuard::Claimed => AttemptFailure::Unanswered(detail),
+            RepeatGuard::Idempotent | RepeatGuard::Nothing => AttemptFailure::Unknown(detail),
         }),
-        Some(_) => Err(AttemptEnd::Unknown("the answer has no head".to_owned())),
-        None => Err(AttemptEnd::Unknown("the connection to the endpoint was lost".to_owned())),
+        Some(_) => Err(AttemptFailure::Unknown("the answer has no head".to_owned())),
+        None => Err(AttemptFailure::Unknown("the connection to the endpoint was lost".to_owned())),
     }
 }
 
--- a/crates/entry/src/caller/events.rs
+++ b/crates/entry/src/caller/events.rs
@@ -7,7 +7,7 @@
 use std::{io, time::Duration};
 
 use bytes::Bytes;
-use cassiawheel_decide::{AttemptEnd, EventSplicer, RepeatGuard};
+use cassiawheel_decide::{AttemptFailure, EventSplicer, RepeatGuard};
 use cassiawheel_model::{OutcomeKind, Timestamp};
 use cassiawheel_runtime::{
     http::{ReplyBody, full_body},
@@ -34,7 +34,7 @@
 enum EventStep {
     Events(Bytes),
     End,
-    Cut(AttemptEnd),
+    Cut(AttemptFailure),
     Silent,
 }
 
@@ -93,7 +93,7 @@
     /// wait on a full link. A caller whose stream is cut where nobody goes on loses
     /// what would have arrived, so it stays with the endpoint until its deadline.
     async fn resume_or_wait(&mut self) {
-        let silent = AttemptEnd::Unknown("the endpoint fell silent".to_owned());
+        let silent = AttemptFailure::Unknown("the endpoint fell silent".to_owned());
         if let Err(cause) = self.resume(silent).await {
             log::info!(target: "outcome", request:% = self.attempts.head().id, cause:% = cause; "Waits for a silent stream.");
         }
@@ -101,7 +101,7 @@
 
     /// Has another endpoint go on after the last event that was passed on; changes
     /// nothing if none does.
-    async fn resume(&mut self, end: AttemptEnd) -> Result<(), String> {
+    async fn resume(&mut self, end: AttemptFailure) -> Result<(), String> {
         self.attempts.last_event = self.splicer.last_id();
         if RepeatGuard::of(self.attempts.head()) == RepeatGuard::Idempotent {
             log::info!(target: "outcome", request:% = self.attempts.head().id, event:? = self.attempts.last_event, cause:? = end; "Resumes a stream.");
@@ -111,7 +111,7 @@
         if begun.status != self.begun.status {
             return Err(format!("another endpoint answered {}", begun.status));
         }
-        self.splicer.break_off();
+        self.splicer.discard_partial();
         self.begun = begun;
         Ok(())
     }
@@ -138,7 +138,7 @@
                         Err(error) => cut(error),
                     };
                 }
-                AnswerPart::Cut(detail) => return EventStep::Cut(AttemptEnd::Lost(detail)),
+                AnswerPart::Cut(detail) => return EventStep::Cut(AttemptFailure::Lost(detail)),
             }
         }
     }
@@ -146,5 +146,5 @@
 
 /// An answer that cannot be passed on though its connection has not ended.
 fn cut(cause: impl ToString) -> EventStep {
-    EventStep::Cut(AttemptEnd::Unknown(cause.to_string()))
+    EventStep::Cut(AttemptFailure::Unknown(cause.to_string()))
 }
--- a/crates/entry/src/caller/identify.rs
+++ b/crates/entry/src/caller/identify.rs
@@ -3,7 +3,7 @@
 use std::{sync::OnceLock, time::Duration};
 
 use bytes::Bytes;
-use cassiawheel_decide::{CallerTurn, affinity::prefix_of, identity::repeatability};
+use cassiawheel_decide::{AdmitTier, affinity::prefix_digest, idempotency::repeatability};
 use cassiawheel_edge::engine_http::end_to_end_fields;
 use cassiawheel_model::{
     Deadline, PresetRevision, PriorityClass, RequestDigest, RequestHead, RequestKey, ServiceName,
@@ -53,7 +53,7 @@
     /// The last event that the caller has.
     pub(crate) last_event: Option<u64>,
     /// Whether its caller asks for the first time, as far as that shows.
-    pub(crate) turn: CallerTurn,
+    pub(crate) turn: AdmitTier,
 }
 
 /// How an answer goes to its caller.
@@ -144,7 +144,7 @@
             message: format!("body: did not arrive within {span:?}"),
         },
     })?;
-    head.prefix = prefix_of(&body, settings.prefix_bytes);
+    head.prefix = prefix_digest(&body, settings.prefix_bytes);
     Ok(IdentifiedRequest {
         workspace: Some(head.workspace.clone()),
         admit_by: head.deadline,
@@ -155,7 +155,7 @@
         max_attempts: settings.max_attempts,
         form: AnswerForm::WithOutcome,
         last_event: None,
-        turn: CallerTurn::Fresh,
+        turn: AdmitTier::Fresh,
     })
 }
 
--- a/crates/entry/src/caller/lost.rs
+++ b/crates/entry/src/caller/lost.rs
@@ -8,7 +8,7 @@
 
 use std::{io::ErrorKind, net::SocketAddr, time::Duration};
 
-use cassiawheel_decide::{AttemptEnd, CrashVerdict, EndpointPath, rank::subject_of};
+use cassiawheel_decide::{AttemptFailure, CrashVerdict, EndpointPath, rank::subject_of};
 use cassiawheel_model::{CrashEvent, CrashRow, InstanceId, NotRunReason, RequestDigest, Timestamp};
 use cassiawheel_runtime::{dial, timeout};
 use smol::Timer;
@@ -41,7 +41,7 @@
     /// Whether some bytes of the answer had come.
     pub(super) answering: bool,
     /// How it ended.
-    pub(super) end: &'a AttemptEnd,
+    pub(super) end: &'a AttemptFailure,
 }
 
 /// Notes that an endpoint ended under a request, if that is how the run ended.
@@ -50,7 +50,7 @@
     request: &IdentifiedRequest,
     lost: LostRun<'_>,
 ) {
-    let (AttemptEnd::Lost(cause), EndpointPath::Direct(addr)) = (lost.end, lost.place.path) else {
+    let (AttemptFailure::Lost(cause), EndpointPath::Direct(addr)) = (lost.end, lost.place.path) else {
         return;
     };
     let Some(routed) = &shared.routed else {
@@ -153,7 +153,7 @@
                 refuse_barred(shared, request)?;
                 return Ok(None);
             }
-            Some(verdict) if verdict.turn_at(rank, entries).is_past(now) => {
+            Some(verdict) if verdict.not_before(rank, entries).is_past(now) => {
                 if let Some(run) = routed.crashes.begin_suspect(digest) {
                     note(routed, digest, CrashEvent::Begun, now);
                     return Ok(Some(run));
--- a/crates/entry/src/caller/relay.rs
+++ b/crates/entry/src/caller/relay.rs
@@ -8,7 +8,7 @@
 use std::io;
 
 use bytes::{Bytes, BytesMut};
-use cassiawheel_decide::AttemptEnd;
+use cassiawheel_decide::AttemptFailure;
 use cassiawheel_model::{OutcomeKind, Repeatability, RequestOutcome, Timestamp};
 use cassiawheel_runtime::{
     http::{ReplyBody, full_body},
@@ -92,7 +92,7 @@
     async fn resume(&mut self, detail: String) -> Result<AnswerStep, String> {
         let version = self.begun.version.clone();
         log::info!(target: "outcome", request:% = self.attempts.head().id, cause:% = detail, received = self.received; "Resumes a cut answer.");
-        let end = AttemptEnd::Unknown(detail);
+        let end = AttemptFailure::Unknown(detail);
         let begun = self.attempts.begin_again(&self.begun, version, end).await;
         let begun = begun.map_err(|failed| format!("{:?}", failed.outcome))?;
         let kind = |begun: &BegunAnswer| begun.headers.get(CONTENT_TYPE).cloned();
--- a/crates/entry/src/caller/routed.rs
+++ b/crates/entry/src/caller/routed.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{CallerIndex, CallerTurn, advise, draw_service};
+use cassiawheel_decide::{CallerIndex, AdmitTier, advise, pick_service};
 use cassiawheel_edge::CallerHead;
 use cassiawheel_model::{
     NotRunReason, OutcomeKind, PresetRevision, PriorityClass, Repeatability, RequestHead,
@@ -200,7 +200,7 @@
             RouteKind::Stream | RouteKind::ResumableStream => AnswerForm::Events,
         },
         last_event: caller.last_event,
-        turn: if is_first { CallerTurn::Fresh } else { CallerTurn::Returned },
+        turn: if is_first { AdmitTier::Fresh } else { AdmitTier::Returned },
     })
 }
 
@@ -224,7 +224,7 @@
         Some(workspace) => workspace.clone(),
         None => WorkspaceId::new(NO_WORKSPACE).map_err(|error| bad(&error))?,
     };
-    let service = draw_service(rule, rand::rng().random()).ok_or(CallerRefusal::NoRoute)?;
+    let service = pick_service(rule, rand::rng().random()).ok_or(CallerRefusal::NoRoute)?;
     let timeout = Duration::from_millis(rule.timeout_ms);
     let patience = caller.patience.map_or(timeout, |patience| patience.min(timeout));
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
--- a/crates/entry/src/caller/unchanged.rs
+++ b/crates/entry/src/caller/unchanged.rs
@@ -6,7 +6,7 @@
 //! connection that ends.
 
 use bytes::{Bytes, BytesMut};
-use cassiawheel_decide::AttemptEnd;
+use cassiawheel_decide::AttemptFailure;
 use cassiawheel_model::{OutcomeKind, Timestamp};
 use cassiawheel_runtime::{
     http::{ReplyBody, full_body},
@@ -66,19 +66,19 @@
 async fn read_whole(
     attempts: &RequestAttempts,
     begun: &mut BegunAnswer,
-) -> Result<Bytes, AttemptEnd> {
+) -> Result<Bytes, AttemptFailure> {
     let mut whole = BytesMut::new();
     loop {
         let span = attempts.head().deadline.remaining(Timestamp::now());
         match timeout(span, begun.stream.next()).await {
             Some(AnswerPart::Data(bytes)) => whole.extend_from_slice(&bytes),
             Some(AnswerPart::End(_)) => return Ok(whole.freeze()),
-            Some(AnswerPart::Cut(detail)) => return Err(AttemptEnd::Lost(detail)),
-            None => return Err(AttemptEnd::Unknown("the deadline was reached".to_owned())),
+            Some(AnswerPart::Cut(detail)) => return Err(AttemptFailure::Lost(detail)),
+            None => return Err(AttemptFailure::Unknown("the deadline was reached".to_owned())),
         }
         if whole.len() > WHOLE_BYTES {
             let detail = format!("the answer has more than {WHOLE_BYTES} bytes");
-            return Err(AttemptEnd::Unknown(detail));
+            return Err(AttemptFailure::Unknown(detail));
         }
     }
 }
--- a/crates/entry/src/cells.rs
+++ b/crates/entry/src/cells.rs
@@ -5,21 +5,21 @@
     sync::{Arc, atomic::AtomicU32},
 };
 
-use cassiawheel_decide::{EndpointCell, EndpointLives};
+use cassiawheel_decide::{EndpointTracker, RestartDetector};
 use cassiawheel_model::{InstanceId, ServiceName};
 
 /// The counts that an entry keeps.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointCells {
-    endpoints: HashMap<InstanceId, Arc<EndpointCell>>,
+    endpoints: HashMap<InstanceId, Arc<EndpointTracker>>,
     /// The processes whose counts the cells hold.
-    pub(crate) lives: EndpointLives,
+    pub(crate) lives: RestartDetector,
     services: HashMap<ServiceName, Arc<AtomicU32>>,
 }
 
 impl EndpointCells {
     /// The counts of an endpoint.
-    pub(crate) fn of(&mut self, instance: &InstanceId) -> Arc<EndpointCell> {
+    pub(crate) fn of(&mut self, instance: &InstanceId) -> Arc<EndpointTracker> {
         self.endpoints.entry(instance.clone()).or_default().clone()
     }
 
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{LinkNumber, PeerEntry, advice::AdviceInput, rank::subject_of, row_duty};
+use cassiawheel_decide::{LinkId, PeerEntry, advice::EntryCandidate, rank::subject_of, feed_role};
 use cassiawheel_model::{
     Deadline, EndpointReport, EntryRecord, GossipNews, InstanceId, LoadReport, LoadRow,
     PresetRevision, Timestamp,
@@ -190,7 +190,7 @@
 pub(crate) fn merge_news(
     shared: &Arc<EntryShared>,
     routed: &Arc<RoutedInterface>,
-    source: LinkNumber,
+    source: LinkId,
     news: GossipNews,
 ) {
     let own = &shared.settings.place.instance;
@@ -305,7 +305,7 @@
     let now = Timestamp::now();
     let state = routed.overlay.lock();
     let present = state.present(own);
-    routed.set_row_duty(row_duty(own, &present));
+    routed.set_row_duty(feed_role(own, &present));
     let others = present.iter().filter(|record| record.instance != *own);
     let connected = shared.links.load();
     let attached = others.clone().flat_map(|record| record.agents.iter());
@@ -320,7 +320,7 @@
 }
 
 fn peer_of(record: &EntryRecord, now: Timestamp) -> PeerEntry {
-    let advice = AdviceInput {
+    let advice = EntryCandidate {
         caller_addr: record.caller_addr,
         failure_domain: record.failure_domain.clone(),
         in_flight: 0,
--- a/crates/entry/src/control/introduce.rs
+++ b/crates/entry/src/control/introduce.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{AgentPlace, acquaintances};
+use cassiawheel_decide::{AgentLocation, chunk_peers};
 use cassiawheel_model::{Deadline, EndpointRole, InstanceId, ServiceName, Timestamp};
 use cassiawheel_wire::{ControlMessage, message::EndpointAddress};
 use smol::Timer;
@@ -121,10 +121,10 @@
 
 fn chosen_peers(agent: &EndpointAddress, agents: &[EndpointAddress]) -> Vec<EndpointAddress> {
     let places: Vec<_> = agents.iter().map(place_of).collect();
-    let chosen: HashSet<_> = acquaintances(place_of(agent), &places).into_iter().collect();
+    let chosen: HashSet<_> = chunk_peers(place_of(agent), &places).into_iter().collect();
     agents.iter().filter(|other| chosen.contains(other.instance.as_str())).cloned().collect()
 }
 
-fn place_of(agent: &EndpointAddress) -> AgentPlace<'_> {
-    AgentPlace { instance: agent.instance.as_str(), region: &agent.region }
+fn place_of(agent: &EndpointAddress) -> AgentLocation<'_> {
+    AgentLocation { instance: agent.instance.as_str(), region: &agent.region }
 }
--- a/crates/entry/src/control/links.rs
+++ b/crates/entry/src/control/links.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{EntryPlace, LinkNumber, chosen_links};
+use cassiawheel_decide::{EntryLocation, LinkId, links_to_dial};
 use cassiawheel_model::{Deadline, RegionName, Timestamp};
 use cassiawheel_runtime::{spawn, timeout};
 use cassiawheel_wire::{
@@ -150,10 +150,10 @@
 ) -> BTreeSet<SocketAddr> {
     let settings = &shared.settings;
     let own =
-        EntryPlace { inner_addr: settings.listen.inner, region: settings.place.region.clone() };
+        EntryLocation { inner_addr: settings.listen.inner, region: settings.place.region.clone() };
     let state = routed.overlay.lock();
     let candidates = state.candidates(&settings.place.instance, now);
-    let mut chosen = chosen_links(&own, &candidates);
+    let mut chosen = links_to_dial(&own, &candidates);
     if state.links.is_empty() {
         // The regions of entries from the settings are not known before they are linked.
         chosen.extend(state.unplaced().into_iter().filter(|addr| *addr != own.inner_addr));
@@ -224,7 +224,7 @@
     shared: &Arc<EntryShared>,
     routed: &Arc<RoutedInterface>,
     sender: &WireSender,
-    (number, other): (LinkNumber, &HelloMessage),
+    (number, other): (LinkId, &HelloMessage),
     message: ControlMessage,
 ) {
     match message {
--- a/crates/entry/src/control/membership.rs
+++ b/crates/entry/src/control/membership.rs
@@ -51,8 +51,8 @@
         .filter(|listed| listed.state == ListedState::Leaving)
         .map(|listed| listed.instance)
         .collect();
-    shared.peers().list_leaving(leaving.clone());
-    if shared.roster().list_leaving(leaving) {
+    shared.peers().set_platform_leaving(leaving.clone());
+    if shared.roster().set_platform_leaving(leaving) {
         shared.rebuild_routes();
     }
 }
--- a/crates/entry/src/control/operators.rs
+++ b/crates/entry/src/control/operators.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{FollowedRows, RowDuty};
+use cassiawheel_decide::{FollowedRows, FeedRole};
 use cassiawheel_edge::{FeedError, FeedPage, OperatorRow};
 use cassiawheel_model::{AgeSource, Deadline, NamedVersion, Timestamp};
 use cassiawheel_wire::ControlMessage;
@@ -40,10 +40,10 @@
     let mut probe_at = Deadline(0);
     loop {
         let began_at = Timestamp::now();
-        let is_due = match routed.row_duty() {
-            RowDuty::Follow => true,
-            RowDuty::Probe => probe_at.is_past(began_at),
-            RowDuty::Rest => followed.position.is_none(),
+        let is_due = match routed.feed_role() {
+            FeedRole::Follow => true,
+            FeedRole::Probe => probe_at.is_past(began_at),
+            FeedRole::Rest => followed.position.is_none(),
         };
         if !is_due {
             followed = FollowedRows { until: Some(began_at), by_others: true, ..followed };
--- a/crates/entry/src/control/poll.rs
+++ b/crates/entry/src/control/poll.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use cassiawheel_decide::{ForceRow, budget::poll_wait_ms};
+use cassiawheel_decide::{ForceRow, budget::poll_backoff_ms};
 use cassiawheel_edge::{StoreError, TableRow, TableStore};
 use cassiawheel_model::PresetRevision;
 use rand::Rng;
@@ -67,7 +67,7 @@
             }
         }
         shared.start_hold().heard(shared.settings.platform.table);
-        let wait_ms = poll_wait_ms(shared.settings.control.poll_ms, failures);
+        let wait_ms = poll_backoff_ms(shared.settings.control.poll_ms, failures);
         Timer::after(jittered(wait_ms)).await;
     }
 }
--- a/crates/entry/src/control/pull.rs
+++ b/crates/entry/src/control/pull.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{PullStep, PullView, RowDuty, ToldRevision};
+use cassiawheel_decide::{PullStep, PullView, FeedRole, ToldRevision};
 use cassiawheel_model::{FailureDomain, InstanceId, PresetRevision, Timestamp};
 use cassiawheel_runtime::spawn;
 use cassiawheel_wire::{ControlMessage, WireSender};
@@ -44,7 +44,7 @@
         let view = PullView {
             known: shared.known_revision(),
             follows_rows: routed.follows_rows.load(Ordering::Relaxed)
-                && routed.row_duty() == RowDuty::Follow,
+                && routed.feed_role() == FeedRole::Follow,
             near_rank: near_rank(&shared, &routed),
             now,
         };
--- a/crates/entry/src/control/quarantine.rs
+++ b/crates/entry/src/control/quarantine.rs
@@ -5,7 +5,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use cassiawheel_decide::RowDuty;
+use cassiawheel_decide::FeedRole;
 use cassiawheel_edge::{StoreError, TableGuard, TableStore, TableWrite, WriteVerdict};
 use cassiawheel_model::{BarredRequest, CrashEvent, CrashRow, Timestamp};
 use cassiawheel_runtime::timeout;
@@ -35,7 +35,7 @@
             is_due |= timeout(TRY_TIME, routed.crashes.barred()).await.is_some();
         }
         if !is_read && read_at.is_past(Timestamp::now()) {
-            is_read = routed.row_duty() != RowDuty::Follow || read_bars(&shared, &routed).await;
+            is_read = routed.feed_role() != FeedRole::Follow || read_bars(&shared, &routed).await;
         }
         if is_due {
             is_due = !add_bars(&shared, &routed).await;
@@ -81,7 +81,7 @@
 async fn try_add(shared: &EntryShared, routed: &RoutedInterface) -> Result<bool, StoreError> {
     let table = shared.table.as_ref();
     let (guard, kept) = kept_bars(table).await?;
-    let bars = routed.overlay.lock().crashes.bars_to_keep(&kept, Timestamp::now());
+    let bars = routed.overlay.lock().crashes.bars_to_persist(&kept, Timestamp::now());
     let Some(bars) = bars else {
         return Ok(true);
     };
--- a/crates/entry/src/control/spread.rs
+++ b/crates/entry/src/control/spread.rs
@@ -11,7 +11,7 @@
 
 use cassiawheel_decide::{
     ListingNews, PeerEntry,
-    advice::AdviceInput,
+    advice::EntryCandidate,
     rank::{first_ranked, subject_of},
 };
 use cassiawheel_model::{
@@ -107,7 +107,7 @@
         } => {
             note_link(shared, sender, inner_addr);
             heal(shared, sender, revision);
-            let advice = AdviceInput { caller_addr, failure_domain, in_flight, leaving };
+            let advice = EntryCandidate { caller_addr, failure_domain, in_flight, leaving };
             let heard_at = Timestamp::now();
             let peer = PeerEntry { advice, incarnation, revision, advised, heard_at };
             shared.peers().hear(&instance, peer);
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -10,7 +10,7 @@
 };
 
 use arc_swap::ArcSwap;
-use cassiawheel_decide::{CrashBook, CrashVerdict, LinkNumber, rank::rendezvous_weight};
+use cassiawheel_decide::{CrashTracker, CrashVerdict, LinkId, rank::rendezvous_weight};
 use cassiawheel_model::{CrashEvent, CrashRow, InstanceId, RequestDigest};
 use smol::channel::{Receiver, Sender, bounded};
 
@@ -57,7 +57,7 @@
 
     /// Takes up the verdicts of `book` after it has learned `rows`, from a neighbour over
     /// the link `source` or from an own run.
-    pub(crate) fn learn(&self, book: &CrashBook, rows: &[CrashRow], source: Option<LinkNumber>) {
+    pub(crate) fn learn(&self, book: &CrashTracker, rows: &[CrashRow], source: Option<LinkId>) {
         if rows.is_empty() {
             return;
         }
@@ -72,7 +72,7 @@
     }
 
     /// Takes up the verdicts of `book`.
-    pub(crate) fn renew(&self, book: &CrashBook) {
+    pub(crate) fn renew(&self, book: &CrashTracker) {
         self.verdicts.store(Arc::new(book.verdicts()));
     }
 
@@ -87,7 +87,7 @@
     }
 }
 
-fn log_row(row: &CrashRow, verdict: CrashVerdict, source: Option<LinkNumber>) {
+fn log_row(row: &CrashRow, verdict: CrashVerdict, source: Option<LinkId>) {
     let learned = if source.is_some() { "neighbour" } else { "own run" };
     match (row.event, verdict) {
         (CrashEvent::Begun, _) => {
--- a/crates/entry/src/direct.rs
+++ b/crates/entry/src/direct.rs
@@ -10,7 +10,7 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use bytes::Bytes;
-use cassiawheel_decide::AttemptEnd;
+use cassiawheel_decide::AttemptFailure;
 use cassiawheel_edge::{AnswerMarks, EndpointLeg, EndpointProtocol};
 use cassiawheel_model::{InstanceId, NotRunReason, Repeatability, RequestHead, Timestamp};
 use cassiawheel_runtime::{spawn, timeout};
@@ -86,7 +86,7 @@
         fields: &HeaderMap,
         body: &Bytes,
         leg: &EndpointLeg<'_>,
-    ) -> Result<DirectAnswer, AttemptEnd> {
+    ) -> Result<DirectAnswer, AttemptFailure> {
         let request = self.request(head, fields, body, leg)?;
         let (reply, connection) = self.exchange(target, head, request).await?;
         let (parts, body) = reply.into_parts();
@@ -104,7 +104,7 @@
         match check_head(head, &parts, &marks) {
             Ok(()) => Ok(DirectAnswer { parts, marks, stream }),
             Err(end) => {
-                if matches!(end, AttemptEnd::NotRun(_)) {
+                if matches!(end, AttemptFailure::NotRun(_)) {
                     stream.reclaim();
                 }
                 Err(end)
@@ -118,11 +118,11 @@
         fields: &HeaderMap,
         body: &Bytes,
         leg: &EndpointLeg<'_>,
-    ) -> Result<Request<Full<Bytes>>, AttemptEnd> {
+    ) -> Result<Request<Full<Bytes>>, AttemptFailure> {
         let request = Request::builder().method(head.method.as_str()).uri(head.path.as_str());
         let mut request = request.body(Full::new(body.clone())).map_err(|error| {
             log::error!(target: "direct", request:% = head.id, cause:% = error; "A request cannot be written.");
-            AttemptEnd::NotRun(NotRunReason::ConnectFailed)
+            AttemptFailure::NotRun(NotRunReason::ConnectFailed)
         })?;
         *request.headers_mut() = fields.clone();
         self.protocol.write_leg(request.headers_mut(), leg);
@@ -139,7 +139,7 @@
         target: DirectTarget<'_>,
         head: &RequestHead,
         mut request: Request<Full<Bytes>>,
-    ) -> Result<(Response<Incoming>, EndpointConnection), AttemptEnd> {
+    ) -> Result<(Response<Incoming>, EndpointConnection), AttemptFailure> {
         if head.repeat == Repeatability::Idempotent {
             while let Some(mut connection) = self.pool.take(target.instance, Timestamp::now()) {
                 match connection.send(request, head.deadline).await {
@@ -153,12 +153,12 @@
         }
         let mut connection = pool::connect(target, head.deadline).await.map_err(|detail| {
             log::info!(target: "direct", request:% = head.id, endpoint:% = target.instance, cause:% = detail; "Cannot connect to an endpoint.");
-            AttemptEnd::NotRun(NotRunReason::ConnectFailed)
+            AttemptFailure::NotRun(NotRunReason::ConnectFailed)
         })?;
         match connection.send(request, head.deadline).await {
             Ok(reply) => Ok((reply, connection)),
             Err(failure) if failure.unsent.is_some() => {
-                Err(AttemptEnd::NotRun(NotRunReason::ConnectFailed))
+                Err(AttemptFailure::NotRun(NotRunReason::ConnectFailed))
             }
             Err(failure) => Err(failure.into_end()),
         }
@@ -166,22 +166,22 @@
 }
 
 /// Whether the answer is one to this request, and the endpoint's own.
-fn check_head(head: &RequestHead, parts: &Parts, marks: &AnswerMarks) -> Result<(), AttemptEnd> {
+fn check_head(head: &RequestHead, parts: &Parts, marks: &AnswerMarks) -> Result<(), AttemptFailure> {
     // Answers can arrive crossed: an endpoint may send a second answer to an
     // earlier request, and it would be taken for the next one's. The id that
     // every endpoint repeats tells them apart.
     if marks.request.as_deref() != Some(head.id.as_str()) {
-        return Err(AttemptEnd::Unknown("the answer belongs to another request".to_owned()));
+        return Err(AttemptFailure::Unknown("the answer belongs to another request".to_owned()));
     }
     if marks.not_run {
         let reason = match parts.status {
             StatusCode::MISDIRECTED_REQUEST => NotRunReason::VersionMismatch,
             _ => NotRunReason::Overloaded,
         };
-        return Err(AttemptEnd::NotRun(reason));
+        return Err(AttemptFailure::NotRun(reason));
     }
     if parts.status.is_success() && !marks.is_signed {
-        return Err(AttemptEnd::Unknown("the answer is not signed".to_owned()));
+        return Err(AttemptFailure::Unknown("the answer is not signed".to_owned()));
     }
     Ok(())
 }
--- a/crates/entry/src/direct/pool.rs
+++ b/crates/entry/src/direct/pool.rs
@@ -7,7 +7,7 @@
 };
 
 use bytes::Bytes;
-use cassiawheel_decide::AttemptEnd;
+use cassiawheel_decide::AttemptFailure;
 use cassiawheel_model::{Deadline, InstanceId, Timestamp};
 use cassiawheel_runtime::{dial, reset_on_close, spawn, timeout};
 use http_body_util::Full;
@@ -63,10 +63,10 @@
 
 impl SendFailure {
     /// How the attempt ended, of a request that may have been sent.
-    pub(super) fn into_end(self) -> AttemptEnd {
+    pub(super) fn into_end(self) -> AttemptFailure {
         match self.ended {
-            true => AttemptEnd::Lost(self.detail),
-            false => AttemptEnd::Unknown(self.detail),
+            true => AttemptFailure::Lost(self.detail),
+            false => AttemptFailure::Unknown(self.detail),
         }
     }
 }
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -12,7 +12,7 @@
 };
 
 use cassiawheel_decide::{
-    HolderPlace, LimitBook,
+    HolderRank, RateLimits,
     rank::{rendezvous_weight, subject_of},
 };
 use cassiawheel_model::{EntryRecord, FailureDomain, InstanceId, LimitRow, NamedLimit, Timestamp};
@@ -25,7 +25,7 @@
 
 /// Limits that endpoints name.
 pub(crate) struct LimitWatch {
-    book: Mutex<LimitBook>,
+    book: Mutex<RateLimits>,
     is_known: AtomicBool,
     /// When paces were set last, in milliseconds.
     renewed_at: AtomicU64,
@@ -51,7 +51,7 @@
     }
 
     /// The limits.
-    pub(crate) fn book(&self) -> MutexGuard<'_, LimitBook> {
+    pub(crate) fn book(&self) -> MutexGuard<'_, RateLimits> {
         self.book.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
@@ -148,7 +148,7 @@
     domain: Option<&FailureDomain>,
     own: &InstanceId,
     present: &[&EntryRecord],
-) -> HolderPlace {
+) -> HolderRank {
     let is_beside = |record: &&&EntryRecord| Some(&record.failure_domain) == domain;
     let has_beside = present.iter().any(|record| is_beside(&record));
     let candidates = present.iter().filter(|record| !has_beside || is_beside(record));
@@ -160,5 +160,5 @@
         false => usize::MAX,
     };
     let phase = own_weight as f64 / u64::MAX as f64;
-    HolderPlace { rank, candidates: candidates.len(), entries: present.len(), phase }
+    HolderRank { rank, candidates: candidates.len(), entries: present.len(), phase }
 }
--- a/crates/entry/src/overlay.rs
+++ b/crates/entry/src/overlay.rs
@@ -8,7 +8,7 @@
 };
 
 use cassiawheel_decide::{
-    CrashBook, EntryPlace, FloodFilter, GossipStore, LinkMark, LinkNumber, near_or_all,
+    CrashTracker, EntryLocation, FloodFilter, GossipStore, LinkCursor, LinkId, same_region_or_all,
     reachable_entries,
 };
 use cassiawheel_model::{Deadline, EntryRecord, InstanceId, RegionName, Timestamp};
@@ -30,7 +30,7 @@
     /// Records, reports and loads.
     pub(crate) store: GossipStore,
     /// Requests under which endpoints have ended.
-    pub(crate) crashes: CrashBook,
+    pub(crate) crashes: CrashTracker,
     /// Links that are up.
     pub(crate) links: Vec<OverlayLink>,
     /// Entries that may run, with their regions where these are known.
@@ -41,13 +41,13 @@
     pub(crate) renewed_at: Option<Timestamp>,
     flooded: FloodFilter,
     flood_number: u64,
-    link_number: LinkNumber,
+    link_number: LinkId,
 }
 
 /// A link to another entry.
 pub(crate) struct OverlayLink {
     /// Names the link within this process.
-    pub(crate) number: LinkNumber,
+    pub(crate) number: LinkId,
     /// Messages to the other end.
     pub(crate) sender: WireSender,
     /// The entry at the other end.
@@ -55,7 +55,7 @@
     /// Where it was dialled, if this end did so.
     pub(crate) dialled: Option<SocketAddr>,
     /// What the other end has been sent.
-    pub(crate) mark: LinkMark,
+    pub(crate) mark: LinkCursor,
     /// When loads are due.
     pub(crate) loads_at: Deadline,
     /// Up to which change the other end has been sent ends of endpoints under requests.
@@ -111,7 +111,7 @@
     }
 
     /// Passes a message on; false if that was done already.
-    pub(crate) fn relay(&self, message: &FloodMessage, source: LinkNumber) -> bool {
+    pub(crate) fn relay(&self, message: &FloodMessage, source: LinkId) -> bool {
         let mut state = self.lock();
         let is_news = state.flooded.note(&message.origin, message.incarnation, message.number);
         if is_news {
@@ -122,7 +122,7 @@
 }
 
 impl OverlayState {
-    fn pass_on(&self, message: &FloodMessage, source: Option<LinkNumber>) {
+    fn pass_on(&self, message: &FloodMessage, source: Option<LinkId>) {
         for link in self.links.iter().filter(|link| Some(link.number) != source) {
             let message = ControlMessage::Flood(Box::new(message.clone()));
             if let Ok(false) = link.sender.try_send(message) {
@@ -132,7 +132,7 @@
     }
 
     /// Whether the entry at the other end of a link stands in another region than `own`.
-    pub(crate) fn is_far(&self, number: LinkNumber, own: &RegionName) -> bool {
+    pub(crate) fn is_far(&self, number: LinkId, own: &RegionName) -> bool {
         let link = self.links.iter().find(|link| link.number == number);
         link.is_some_and(|link| is_far(&self.store, &link.instance, own))
     }
@@ -143,10 +143,10 @@
         sender: WireSender,
         instance: InstanceId,
         dialled: Option<SocketAddr>,
-    ) -> LinkNumber {
+    ) -> LinkId {
         self.link_number += 1;
         let number = self.link_number;
-        let (mark, loads_at) = (LinkMark::default(), Deadline(0));
+        let (mark, loads_at) = (LinkCursor::default(), Deadline(0));
         let (crash_mark, limit_mark) = (0, 0);
         let link = OverlayLink {
             number,
@@ -163,7 +163,7 @@
     }
 
     /// Removes a link that has ended.
-    pub(crate) fn remove_link(&mut self, number: LinkNumber) {
+    pub(crate) fn remove_link(&mut self, number: LinkId) {
         self.links.retain(|link| link.number != number);
     }
 
@@ -204,7 +204,7 @@
     }
 
     /// Entries that links may be made to.
-    pub(crate) fn candidates(&self, own: &InstanceId, now: Timestamp) -> Vec<EntryPlace> {
+    pub(crate) fn candidates(&self, own: &InstanceId, now: Timestamp) -> Vec<EntryLocation> {
         let present = self.present(own);
         let reached: HashMap<_, _> =
             present.iter().map(|record| (record.inner_addr, record)).collect();
@@ -215,7 +215,7 @@
         let reached = present.iter().filter(|record| !record.leaving);
         let reached = reached.map(|record| (record.inner_addr, record.region.clone()));
         let places = reached.chain(placed);
-        places.map(|(inner_addr, region)| EntryPlace { inner_addr, region }).collect()
+        places.map(|(inner_addr, region)| EntryLocation { inner_addr, region }).collect()
     }
 
     /// The records of the entries that can be reached.
@@ -249,5 +249,5 @@
 /// Those of its region; all of them where it has none.
 pub(crate) fn entries_for(present: &[&EntryRecord], region: &RegionName) -> Vec<SocketAddr> {
     let staying = present.iter().filter(|record| !record.leaving);
-    near_or_all(region, staying.map(|record| (record.inner_addr, Some(&record.region))))
+    same_region_or_all(region, staying.map(|record| (record.inner_addr, Some(&record.region))))
 }
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -13,7 +13,7 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use cassiawheel_decide::{
-    CallerIndex, EndpointCell, EndpointListing, PresetPull, RetryBudget, RowDuty, VersionBook,
+    CallerIndex, EndpointTracker, EndpointListing, PresetPull, RetryBudget, FeedRole, VersionBook,
     plan::PlanPace,
 };
 use cassiawheel_edge::{
@@ -74,7 +74,7 @@
     pub(crate) manifests: ManifestCache,
     /// Whether the last call for the operators' rows was answered.
     pub(crate) follows_rows: AtomicBool,
-    row_duty: Mutex<RowDuty>,
+    feed_role: Mutex<FeedRole>,
     versions_changed: (Sender<()>, Receiver<()>),
     listing: Mutex<EndpointListing>,
     pull: Mutex<PresetPull<WireSender>>,
@@ -85,7 +85,7 @@
     /// Requests under which endpoints have ended.
     pub(crate) crashes: Arc<CrashWatch>,
     /// Cells of endpoints by the hashes of their agents; read without a lock.
-    pub(crate) load_cells: ArcSwap<HashMap<u64, Arc<EndpointCell>>>,
+    pub(crate) load_cells: ArcSwap<HashMap<u64, Arc<EndpointTracker>>>,
     budgets: ArcSwap<HashMap<ServiceName, Arc<RetryBudget>>>,
     /// Longest patience of a caller by the name of its route, in milliseconds.
     patience: ArcSwap<HashMap<String, Arc<AtomicU64>>>,
@@ -126,7 +126,7 @@
             versions: ArcSwap::default(),
             manifests: ManifestCache::default(),
             follows_rows: AtomicBool::new(true),
-            row_duty: Mutex::new(RowDuty::Follow),
+            feed_role: Mutex::new(FeedRole::Follow),
             pull: Mutex::default(),
             versions_changed: bounded(1),
             overlay,
@@ -149,13 +149,13 @@
     }
 
     /// What this entry does about the operators' rows.
-    pub(crate) fn row_duty(&self) -> RowDuty {
-        *self.row_duty.lock().unwrap_or_else(|poison| poison.into_inner())
+    pub(crate) fn feed_role(&self) -> FeedRole {
+        *self.feed_role.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
     /// Changes what this entry does about the operators' rows.
-    pub(crate) fn set_row_duty(&self, duty: RowDuty) {
-        *self.row_duty.lock().unwrap_or_else(|poison| poison.into_inner()) = duty;
+    pub(crate) fn set_row_duty(&self, duty: FeedRole) {
+        *self.feed_role.lock().unwrap_or_else(|poison| poison.into_inner()) = duty;
     }
 
     /// Takes up the routes and keys of the preset that is in force from now on.
@@ -236,7 +236,7 @@
     pub(crate) fn retry_budget(&self, service: &ServiceName, entries: usize) -> Arc<RetryBudget> {
         let savings = self.settings.retry_slack / entries.max(FEWEST_ENTRIES) as f64;
         if let Some(budget) = self.budgets.load().get(service) {
-            budget.set_savings(savings);
+            budget.set_burst(savings);
             return budget.clone();
         }
         let fresh = Arc::new(RetryBudget::new(self.settings.retry_ratio, savings));
