--- a/crates/decide/benches/route.rs
+++ b/crates/decide/benches/route.rs
@@ -20,8 +20,8 @@
             let cell = Arc::new(EndpointTracker::default());
             let measured_at = Timestamp(NOW.0 - rng.random_range(0..500));
             let load = LoadReport { in_flight: rng.random_range(0..20), queued: 0, measured_at };
-            cell.hear(&load, 32);
-            (0..rng.random_range(0..8)).for_each(|_| cell.begin());
+            cell.apply_report(&load, 32);
+            (0..rng.random_range(0..8)).for_each(|_| cell.acquire());
             cell
         })
         .collect()
@@ -34,7 +34,7 @@
         version: Some(version.clone()),
         is_near: index % 8 == 0,
         path: EndpointPath::Agent,
-        cell: cell.clone(),
+        tracker: cell.clone(),
     };
     let candidates = cells.iter().enumerate().map(candidate).collect();
     let routes = ServiceRoutes::new(candidates, Arc::default());
--- a/crates/decide/src/endpoint_tracker.rs
+++ b/crates/decide/src/endpoint_tracker.rs
@@ -109,7 +109,7 @@
     }
 
     /// Counts a request.
-    pub fn begin(&self) {
+    pub fn acquire(&self) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Counts a request no more.
-    pub fn end(&self) {
+    pub fn release(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 
@@ -190,19 +190,19 @@
         }
         let is_taken = self.take_pace(now);
         if !is_taken {
-            self.end();
+            self.release();
         }
         is_taken
     }
 
     /// Takes the endpoint's own report of its load and the limit of its gate.
-    pub fn hear(&self, load: &LoadReport, limit: u32) {
+    pub fn apply_report(&self, load: &LoadReport, limit: u32) {
         // The report counts our own requests too; what is left is the others'.
         let others = (load.in_flight + load.queued).saturating_sub(self.in_flight());
         let moment = load.measured_at.0 & ((1 << MOMENT_BITS) - 1);
         let others = u64::from(others.min(u32::from(u16::MAX)));
         self.report.store(others << MOMENT_BITS | moment, Ordering::Relaxed);
-        self.set_limit(limit);
+        self.set_hard_limit(limit);
     }
 
     /// Most requests that the endpoint takes, as it told.
@@ -211,7 +211,7 @@
     }
 
     /// Takes the most requests that the endpoint takes, without a word of its load.
-    pub fn set_limit(&self, limit: u32) {
+    pub fn set_hard_limit(&self, limit: u32) {
         if self.hard_limit.swap(limit, Ordering::Relaxed) != limit {
             self.limit.store(limit.saturating_mul(UNIT), Ordering::Relaxed);
         }
@@ -224,11 +224,11 @@
 
     /// Own requests, and others' by the last report, discounted by its age.
     pub fn load(&self, now: Timestamp) -> u32 {
-        self.in_flight() + self.others(now)
+        self.in_flight() + self.others_in_flight(now)
     }
 
     /// Requests of others by the last report, discounted by its age.
-    pub fn others(&self, now: Timestamp) -> u32 {
+    pub fn others_in_flight(&self, now: Timestamp) -> u32 {
         self.others_after(now, 0)
     }
 
@@ -301,7 +301,7 @@
     }
 
     /// Notes an answer: raises the limit by one per round of full use.
-    pub fn succeed(&self) {
+    pub fn record_success(&self) {
         if self.failures.load(Ordering::Relaxed) != 0 {
             self.failures.store(0, Ordering::Relaxed);
         }
@@ -315,7 +315,7 @@
     }
 
     /// Notes a refusal for overload: lowers the limit by an eighth.
-    pub fn refuse(&self, now: Timestamp) {
+    pub fn record_refusal(&self, now: Timestamp) {
         let cut_at = self.cut_at.load(Ordering::Relaxed);
         if now.0 < cut_at + CUT_MS {
             return;
@@ -328,7 +328,7 @@
     }
 
     /// Notes a failure; true if there were enough in a row for an ejection.
-    pub fn fail(&self) -> bool {
+    pub fn record_failure(&self) -> bool {
         self.failures.fetch_add(1, Ordering::Relaxed) + 1 >= EJECT_FAILURES
     }
 
--- a/crates/decide/src/route.rs
+++ b/crates/decide/src/route.rs
@@ -50,7 +50,7 @@
     /// How requests reach it.
     pub path: EndpointPath,
     /// Its load and health.
-    pub cell: Arc<EndpointTracker>,
+    pub tracker: Arc<EndpointTracker>,
 }
 
 /// The endpoints of one service.
@@ -168,13 +168,13 @@
     /// No gate stands before an endpoint that is reached directly, so that what
     /// the other entries have there is taken off.
     fn limit(&self, max_in_flight: u32, now: Timestamp) -> u32 {
-        let limit = self.cell.limit().min(max_in_flight);
+        let limit = self.tracker.limit().min(max_in_flight);
         match self.path {
-            _ if self.cell.is_paced() => {
-                limit.min(self.cell.in_flight() + u32::from(self.cell.is_due(now)))
+            _ if self.tracker.is_paced() => {
+                limit.min(self.tracker.in_flight() + u32::from(self.tracker.is_due(now)))
             }
             EndpointPath::Agent => limit,
-            EndpointPath::Direct(_) => limit.saturating_sub(self.cell.recent_others_in_flight(now)),
+            EndpointPath::Direct(_) => limit.saturating_sub(self.tracker.recent_others_in_flight(now)),
         }
     }
 
@@ -182,14 +182,14 @@
     fn is_slow(&self, now: Timestamp) -> bool {
         match self.path {
             EndpointPath::Agent => false,
-            EndpointPath::Direct(_) => self.cell.is_slow(now),
+            EndpointPath::Direct(_) => self.tracker.is_slow(now),
         }
     }
 
     fn cost(&self, now: Timestamp) -> u32 {
         let distance = if self.is_near { 0 } else { FAR_COST };
-        let delay = self.cell.delay_ms(now).saturating_sub(USUAL_DELAY_MS) / DELAY_UNIT_MS;
-        self.cell.load(now) * LOAD_COST + distance + delay
+        let delay = self.tracker.delay_ms(now).saturating_sub(USUAL_DELAY_MS) / DELAY_UNIT_MS;
+        self.tracker.load(now) * LOAD_COST + distance + delay
     }
 
     /// Requests that this entry may have in progress here for the sake of this one.
@@ -202,15 +202,15 @@
         let is_allowed = query.allowed.is_none_or(|allowed| {
             self.version.as_ref().is_none_or(|version| allowed.contains(version))
         });
-        self.cell.in_flight() < self.room(query)
-            && self.cell.is_due(query.now)
+        self.tracker.in_flight() < self.room(query)
+            && self.tracker.is_due(query.now)
             && is_wanted
             && is_allowed
             && !query.excluded.contains(&self.instance)
     }
 
     fn is_usable(&self, query: &RouteQuery<'_>) -> bool {
-        self.has_room(query) && !self.cell.is_ejected(query.now) && !self.is_slow(query.now)
+        self.has_room(query) && !self.tracker.is_ejected(query.now) && !self.is_slow(query.now)
     }
 }
 
@@ -219,7 +219,7 @@
     pub fn new(candidates: Vec<RouteCandidate>, in_flight: Arc<AtomicU32>) -> Self {
         let near = candidates.iter().enumerate().filter(|(_, c)| c.is_near);
         let near = near.map(|(position, _)| position as u32).collect();
-        let paced = candidates.iter().enumerate().filter(|(_, c)| c.cell.is_paced());
+        let paced = candidates.iter().enumerate().filter(|(_, c)| c.tracker.is_paced());
         let paced = paced.map(|(position, _)| position as u32).collect();
         let positions =
             candidates.iter().enumerate().map(|(p, c)| (c.instance.clone(), p)).collect();
@@ -234,22 +234,22 @@
     /// Requests that this entry may have in progress at all endpoints.
     pub fn capacity(&self, max_in_flight: u32, now: Timestamp) -> u32 {
         let usable = self.candidates.iter();
-        let usable = usable.filter(|c| !c.cell.is_ejected(now) && !c.is_slow(now));
+        let usable = usable.filter(|c| !c.tracker.is_ejected(now) && !c.is_slow(now));
         usable.map(|c| c.limit(max_in_flight, now)).sum()
     }
 
     /// Notes a failed attempt at `instance`; true if it was ejected.
-    pub fn fail(&self, instance: &InstanceId, now: Timestamp) -> bool {
+    pub fn record_failure(&self, instance: &InstanceId, now: Timestamp) -> bool {
         let Some(position) = self.positions.get(instance) else {
             return false;
         };
-        let cell = &self.candidates[*position].cell;
-        if !cell.fail() || cell.is_ejected(now) {
+        let cell = &self.candidates[*position].tracker;
+        if !cell.record_failure() || cell.is_ejected(now) {
             return false;
         }
         // When most endpoints fail, the cause is elsewhere, and to send all
         // requests to the few that are left would take these down as well.
-        let ejected = self.candidates.iter().filter(|c| c.cell.is_ejected(now)).count();
+        let ejected = self.candidates.iter().filter(|c| c.tracker.is_ejected(now)).count();
         if (ejected + 1) * 2 > self.candidates.len() {
             return false;
         }
@@ -293,7 +293,7 @@
         let names = || self.candidates.iter().map(|c| c.instance.as_str());
         let ring = self.ring.get_or_init(|| PrefixRing::new(names()));
         let mut owners = ring.positions(prefix).map(|position| &self.candidates[position]);
-        owners.find(|c| c.cell.in_flight() < bound && c.is_usable(query))
+        owners.find(|c| c.tracker.in_flight() < bound && c.is_usable(query))
     }
 
     /// An endpoint that names a limit and takes a request now, unless it costs much more
@@ -310,8 +310,8 @@
         let mut paced = self.paced.iter().map(|position| &self.candidates[*position as usize]);
         paced.find(|c| {
             let is_wanted = c.is_usable(query) && c.cost(query.now) <= most;
-            let is_overdue = c.cell.is_overdue(query.now) && !c.cell.is_ejected(query.now);
-            c.cell.is_paced() && c.has_room(query) && (is_wanted || is_overdue)
+            let is_overdue = c.tracker.is_overdue(query.now) && !c.tracker.is_ejected(query.now);
+            c.tracker.is_paced() && c.has_room(query) && (is_wanted || is_overdue)
         })
     }
 
@@ -395,14 +395,14 @@
     /// to send, the endpoint's gate would refuse one of them, its limit here would
     /// be lowered for an overload that it never had, and the requests that were
     /// admitted for the places so lost would find none.
-    pub fn take<'a>(
+    pub fn acquire<'a>(
         &'a self,
         query: &RouteQuery<'_>,
         rng: &mut impl Rng,
     ) -> Option<RouteChoice<'a>> {
         loop {
             let choice = self.choose(query, rng)?;
-            if choice.candidate.cell.try_acquire_paced(choice.candidate.room(query), query.now) {
+            if choice.candidate.tracker.try_acquire_paced(choice.candidate.room(query), query.now) {
                 return Some(choice);
             }
         }
--- a/crates/decide/tests/direct_routing.rs
+++ b/crates/decide/tests/direct_routing.rs
@@ -32,13 +32,13 @@
         let service = ServiceName::new("guide").expect("valid");
         let cells: Vec<_> = numbers.iter().map(|_| Arc::new(EndpointTracker::default())).collect();
         let candidate = |(index, cell): (usize, &Arc<EndpointTracker>)| {
-            cell.set_limit(SLOTS);
+            cell.set_hard_limit(SLOTS);
             RouteCandidate {
                 instance: InstanceId::new(&format!("i-{index}")).expect("valid"),
                 version: Some(version(numbers[index])),
                 is_near: index % 2 == 0,
                 path: EndpointPath::Direct("10.0.0.1:8001".parse().expect("valid")),
-                cell: cell.clone(),
+                tracker: cell.clone(),
             }
         };
         let candidates = cells.iter().enumerate().map(candidate).collect();
@@ -75,7 +75,7 @@
 
     fn report(&self, index: usize, in_flight: u32, measured_at: Timestamp) {
         let load = LoadReport { in_flight, queued: 0, measured_at };
-        self.cells[index].hear(&load, SLOTS);
+        self.cells[index].apply_report(&load, SLOTS);
     }
 }
 
--- a/crates/decide/tests/last_place.rs
+++ b/crates/decide/tests/last_place.rs
@@ -27,13 +27,13 @@
 
 fn endpoint(index: usize) -> RouteCandidate {
     let cell = EndpointTracker::default();
-    cell.set_limit(GATE);
+    cell.set_hard_limit(GATE);
     RouteCandidate {
         instance: InstanceId::new(&format!("i-{index}")).expect("valid"),
         version: None,
         is_near: index == 0,
         path: EndpointPath::Agent,
-        cell: Arc::new(cell),
+        tracker: Arc::new(cell),
     }
 }
 
@@ -64,7 +64,7 @@
 fn two_threads_do_not_take_the_same_last_place() {
     let service = ServiceName::new("ledger").expect("valid");
     let candidates: Vec<_> = (0..2).map(endpoint).collect();
-    let cells: Vec<_> = candidates.iter().map(|c| c.cell.clone()).collect();
+    let cells: Vec<_> = candidates.iter().map(|c| c.tracker.clone()).collect();
     let routes = ServiceRoutes::new(candidates, Arc::new(AtomicU32::new(0)));
     let routes = RouteSnapshot::new(HashMap::from([(service.clone(), routes)]));
     let (begin, end) = (Barrier::new(THREADS as usize), Barrier::new(THREADS as usize));
@@ -78,15 +78,15 @@
                 for _ in 0..BURSTS {
                     begin.wait();
                     let mut taken = Vec::new();
-                    while let Some(choice) = routes.take(&query(service), &mut rng) {
-                        taken.push(choice.candidate.cell.clone());
+                    while let Some(choice) = routes.acquire(&query(service), &mut rng) {
+                        taken.push(choice.candidate.tracker.clone());
                     }
                     end.wait();
                     if cells.iter().any(|cell| cell.in_flight() != GATE) {
                         overfull.store(true, Ordering::Relaxed);
                     }
                     begin.wait();
-                    taken.iter().for_each(|cell| cell.end());
+                    taken.iter().for_each(|cell| cell.release());
                     end.wait();
                 }
             });
--- a/crates/decide/tests/limit_book.rs
+++ b/crates/decide/tests/limit_book.rs
@@ -38,13 +38,13 @@
     let cells: Vec<_> = (0..15).map(|_| EndpointTracker::default()).collect();
     let mut sent = 0;
     for (rank, cell) in cells.iter().enumerate() {
-        cell.set_limit(16);
+        cell.set_hard_limit(16);
         cell.set_pace(book.pace(ENDPOINT, place(rank), NOW), NOW);
     }
     for ms in 0..10_000 {
         for cell in &cells {
             if cell.try_acquire_paced(16, later(ms)) {
-                cell.end();
+                cell.release();
                 sent += 1;
             }
         }
@@ -60,7 +60,7 @@
     let mut book = RateLimits::default();
     book.hear(ENDPOINT, Some(limit(0.0)), NOW);
     let cell = EndpointTracker::default();
-    cell.set_limit(16);
+    cell.set_hard_limit(16);
     cell.set_pace(book.pace(ENDPOINT, place(0), NOW), NOW);
     let sent = (0..60_000).filter(|ms| cell.try_acquire_paced(16, later(*ms))).count();
     assert!((1..=6).contains(&sent), "{sent} sent in a minute");
@@ -102,7 +102,7 @@
 #[test]
 fn an_entry_that_holds_a_limit_no_more_sends_nothing() {
     let cell = EndpointTracker::default();
-    cell.set_limit(16);
+    cell.set_hard_limit(16);
     cell.set_pace(Some(EndpointPace::from_rate(4.0)), NOW);
     assert!(cell.try_acquire_paced(16, later(250)));
     cell.set_pace(Some(EndpointPace::NOTHING), later(400));
@@ -156,12 +156,12 @@
     let mut sent = Vec::new();
     for ms in 600..2_600 {
         for (index, cell) in cells.iter().enumerate() {
-            cell.set_limit(16);
+            cell.set_hard_limit(16);
             let phase = f64::from(index as u32 + 1) / 149.0;
             let place = HolderRank { rank: index, candidates: 149, entries: 149, phase };
             cell.set_pace(book.pace(ENDPOINT, place, later(ms)), later(ms));
             if cell.try_acquire_paced(16, later(ms)) {
-                cell.end();
+                cell.release();
                 sent.push(ms);
             }
         }
@@ -225,7 +225,7 @@
         order.sort_by_key(|index| std::cmp::Reverse(weight(index)));
         let cell = |_| {
             let cell = EndpointTracker::default();
-            cell.set_limit(16);
+            cell.set_hard_limit(16);
             cell
         };
         Self {
@@ -264,7 +264,7 @@
     fn step(&mut self, load: f64, rng: &mut SmallRng) {
         let due: Vec<_> = self.answers.extract_if(.., |(at, _)| *at <= self.now).collect();
         for (_, entry) in due {
-            self.cells[entry].end();
+            self.cells[entry].release();
             if self.runs(entry) {
                 self.books[entry].hear(ENDPOINT, self.named, self.now);
             }
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -111,7 +111,7 @@
             version: None,
             is_near: false,
             path: EndpointPath::Agent,
-            cell: cell.clone(),
+            tracker: cell.clone(),
         };
         let candidates = names.iter().zip(&cells).map(candidate).collect();
         let total = Arc::new(AtomicU32::new(0));
@@ -187,7 +187,7 @@
             let in_flight = gate.in_progress();
             let load = LoadReport { in_flight, queued: 0, measured_at: stamp(self.now) };
             for entry in &self.entries {
-                entry.cells[endpoint].hear(&load, LIMIT);
+                entry.cells[endpoint].apply_report(&load, LIMIT);
             }
         }
     }
@@ -259,14 +259,14 @@
         self.outcome.attempts += 1;
         match self.gates[endpoint].enter(PresetRevision(1), None) {
             Ok(_) => {
-                entry.cells[endpoint].begin();
+                entry.cells[endpoint].acquire();
                 entry.total.fetch_add(1, Ordering::Relaxed);
                 let work = self.rng.random_range(WORK_MS - 80..=WORK_MS + 80);
                 let done = Event::Done { request: number, endpoint };
                 self.events.push(Reverse((self.now + work, done)));
             }
             Err(reason) => {
-                entry.cells[endpoint].refuse(stamp(self.now));
+                entry.cells[endpoint].record_refusal(stamp(self.now));
                 self.after(number, reason);
             }
         }
@@ -288,8 +288,8 @@
     fn done(&mut self, number: usize, endpoint: usize) {
         self.gates[endpoint].leave();
         let entry = &self.entries[self.requests[number].entry];
-        entry.cells[endpoint].succeed();
-        entry.cells[endpoint].end();
+        entry.cells[endpoint].record_success();
+        entry.cells[endpoint].release();
         entry.total.fetch_sub(1, Ordering::Relaxed);
         if self.now <= self.requests[number].arrived + DEADLINE_MS {
             self.count(number, |counts| counts.in_time += 1.0);
--- a/crates/decide/tests/routing.rs
+++ b/crates/decide/tests/routing.rs
@@ -45,7 +45,7 @@
         let cells: Vec<_> = (0..ENDPOINTS).map(|_| Arc::new(EndpointTracker::default())).collect();
         for cell in &cells {
             let measured_at = Timestamp(START);
-            cell.hear(&LoadReport { in_flight: 0, queued: 0, measured_at }, 64);
+            cell.apply_report(&LoadReport { in_flight: 0, queued: 0, measured_at }, 64);
         }
         let name = |index| InstanceId::new(&format!("endpoint-{index}")).expect("an instance");
         let names: Vec<_> = (0..ENDPOINTS).map(name).collect();
@@ -55,7 +55,7 @@
             version: version.clone(),
             is_near: index % 4 == 0,
             path: EndpointPath::Agent,
-            cell: cell.clone(),
+            tracker: cell.clone(),
         };
         let candidates = cells.iter().enumerate().map(candidate).collect();
         let total = Arc::new(AtomicU32::new(0));
@@ -100,18 +100,18 @@
     }
 
     fn begin(&self, endpoint: usize) {
-        self.cells[endpoint].begin();
+        self.cells[endpoint].acquire();
         self.total.fetch_add(1, Ordering::Relaxed);
     }
 
     fn end(&self, endpoint: usize) {
-        self.cells[endpoint].end();
+        self.cells[endpoint].release();
         self.total.fetch_sub(1, Ordering::Relaxed);
     }
 
     fn fail(&self, endpoint: usize, now: Timestamp) {
         let routes = self.snapshot.service(&self.service).expect("the service");
-        routes.fail(&self.names[endpoint], now);
+        routes.record_failure(&self.names[endpoint], now);
     }
 }
 
@@ -265,7 +265,7 @@
             let entry = &entries[call.entry];
             entry.end(call.endpoint);
             if call.endpoint != 0 || bad != BadEndpoint::FailsAtOnce {
-                entry.cells[call.endpoint].succeed();
+                entry.cells[call.endpoint].record_success();
                 done += 1;
                 continue;
             }
--- a/crates/entry/src/caller/attempts.rs
+++ b/crates/entry/src/caller/attempts.rs
@@ -93,7 +93,7 @@
 
 impl Drop for EndpointLoad {
     fn drop(&mut self) {
-        self.cell.end();
+        self.cell.release();
         self.service.fetch_sub(1, Ordering::Relaxed);
     }
 }
@@ -236,14 +236,14 @@
             max_in_flight: target.map_or(0, |target| target.max_in_flight),
             now,
         };
-        let choice = routes.take(&query, &mut rand::rng());
+        let choice = routes.acquire(&query, &mut rand::rng());
         let (Some(choice), Some(service)) = (choice, routes.service(&head.service)) else {
             log::info!(target: "route", request:% = head.id, workspace:% = head.workspace, service:% = head.service, revision = preset.revision.0, excluded = self.excluded.len(); "No endpoint for a request.");
             return Err(AttemptFailure::NotRun(no_endpoint(&routes, head)));
         };
         let candidate = choice.candidate;
         log::info!(target: "route", request:% = head.id, workspace:% = head.workspace, endpoint:% = candidate.instance, reason = choice.reason.as_str(), cost = choice.cost, near = candidate.is_near, candidates = choice.candidates, revision = preset.revision.0, attempt = self.tracker.attempts() + 1; "Chose an endpoint.");
-        let load = EndpointLoad::taken(candidate.cell.clone(), service.in_flight().clone());
+        let load = EndpointLoad::taken(candidate.tracker.clone(), service.in_flight().clone());
         let (instance, path) = (candidate.instance.clone(), candidate.path);
         let candidate_version = candidate.version.clone();
         let version = match path {
@@ -273,7 +273,7 @@
                 return Err(end);
             }
         };
-        load.cell.succeed();
+        load.cell.record_success();
         let delay_ms = Timestamp::now().since(now).as_millis() as u64;
         log::info!(target: "answer", request:% = self.request.head.id, endpoint:% = instance, status = begun.status, delay_ms = delay_ms; "An answer begins.");
         Ok(BegunAnswer {
@@ -326,7 +326,7 @@
     match end {
         // Another attempt with the key may be the cause, and not this endpoint.
         AttemptFailure::Unanswered(_) => {}
-        AttemptFailure::NotRun(NotRunReason::Overloaded) => cell.refuse(now),
+        AttemptFailure::NotRun(NotRunReason::Overloaded) => cell.record_refusal(now),
         // No version was asked for, so it is the process that is another one.
         // It refuses at once and so seems to be idle; without this look it would
         // draw request after request until its row lapses.
@@ -340,7 +340,7 @@
         | AttemptFailure::Lost(_) => {
             let routes = shared.routes.load();
             let ejected =
-                routes.service(&head.service).zip(instance).is_some_and(|(s, i)| s.fail(i, now));
+                routes.service(&head.service).zip(instance).is_some_and(|(s, i)| s.record_failure(i, now));
             if let (true, Some(instance)) = (ejected, instance) {
                 log::warn!(target: "route", endpoint:% = instance; "Ejected an endpoint that fails.");
             }
--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -221,7 +221,7 @@
     let (fields, body) = (&sent.request.fields, &sent.request.body);
     let answer = routed.direct.send(target, head, fields, body, &leg).await?;
     if let Some(load) = answer.marks.load {
-        cell.hear(&load_report(load), cell.hard_limit());
+        cell.apply_report(&load_report(load), cell.hard_limit());
     }
     Ok(AnswerHead {
         status: answer.parts.status.as_u16(),
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -256,7 +256,7 @@
         if let Some(cell) = cells.get(&row.subject) {
             let measured_at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
             let load = LoadReport { in_flight: row.load, queued: 0, measured_at };
-            cell.hear(&load, cell.hard_limit());
+            cell.apply_report(&load, cell.hard_limit());
         }
     }
 }
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -110,16 +110,16 @@
     for candidate in routes.candidates() {
         let subject = subject_of(candidate.instance.as_str());
         if !book.knows(subject) {
-            is_change |= candidate.cell.is_paced();
-            candidate.cell.set_pace(None, now);
+            is_change |= candidate.tracker.is_paced();
+            candidate.tracker.set_pace(None, now);
             continue;
         }
         let listed = listing.endpoints().find(|listed| listed.instance == candidate.instance);
         let domain = listed.map(|listed| &listed.failure_domain);
         let place = place_for(subject, domain, own, &present);
         let pace = book.pace(subject, place, now);
-        is_change |= pace.is_some() != candidate.cell.is_paced();
-        candidate.cell.set_pace(pace, now);
+        is_change |= pace.is_some() != candidate.tracker.is_paced();
+        candidate.tracker.set_pace(pace, now);
     }
     shared.metrics.limited.set(book.named() as i64);
     drop((book, listing, state));
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -364,7 +364,7 @@
         // The clocks of two machines differ; only the own one tells an age.
         let load = LoadReport { measured_at: Timestamp::now(), ..*load };
         let Some(routed) = &self.routed else {
-            self.cells().of(agent).hear(&load, limit);
+            self.cells().of(agent).apply_report(&load, limit);
             return;
         };
         let roster = self.roster();
@@ -378,7 +378,7 @@
         };
         drop((listing, roster));
         let cell = self.cells().of(&instance);
-        cell.hear(&load, cell.hard_limit());
+        cell.apply_report(&load, cell.hard_limit());
     }
 
     /// Takes an endpoint out at whose address another process answers.
@@ -427,14 +427,14 @@
             };
             let cell = cells.of(&report.instance);
             if cell.limit() == 0 {
-                cell.hear(&report.load, report.limit);
+                cell.apply_report(&report.load, report.limit);
             }
             services.entry(report.service.clone()).or_default().push(RouteCandidate {
                 instance: report.instance.clone(),
                 version: version.clone(),
                 is_near: report.failure_domain == *own_domain,
                 path: EndpointPath::Agent,
-                cell,
+                tracker: cell,
             });
         }
         services
@@ -461,7 +461,7 @@
                 routed.direct.keep_only(|instance| *instance != listed.instance);
             }
             let cell = cells.of(&listed.instance);
-            cell.set_limit(candidate.limit);
+            cell.set_hard_limit(candidate.limit);
             if let Some(report) = reports.get(&listed.addr) {
                 load_cells.insert(subject_of(report.instance.as_str()), cell.clone());
             }
@@ -470,7 +470,7 @@
                 version: candidate.version,
                 is_near: routed.settings.near_domains.contains(&listed.failure_domain),
                 path: EndpointPath::Direct(listed.addr),
-                cell,
+                tracker: cell,
             });
         }
         let listed: HashSet<_> = listing.endpoints().map(|listed| &listed.instance).collect();
