--- a/crates/agent/src/endpoint.rs
+++ b/crates/agent/src/endpoint.rs
@@ -9,7 +9,9 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{EntrySelector, GateState, LoadSchedule, PresetHolder, StartHold, SentReport};
+use cassiawheel_decide::{
+    EntrySelector, GateState, LoadSchedule, PresetHolder, SentReport, StartHold,
+};
 use cassiawheel_edge::{ModelEngine, TableStore, WeightSource};
 use cassiawheel_model::{EndpointState, LoadReport, Timestamp, settings::AgentSettings};
 use cassiawheel_runtime::timeout;
--- a/crates/agent/src/entry_choice.rs
+++ b/crates/agent/src/entry_choice.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
-use cassiawheel_decide::{same_region_or_all, rank::subject_of};
+use cassiawheel_decide::{rank::subject_of, same_region_or_all};
 use cassiawheel_edge::{ENTRY_ROWS, EntryRow, StoreError};
 use cassiawheel_model::Timestamp;
 use cassiawheel_runtime::{spawn, timeout};
@@ -33,7 +33,7 @@
             find_entries(&shared).await;
         }
         let count = shared.settings.entry_links;
-        let chosen = shared.entry_choice().chosen(subject, count, Timestamp::now());
+        let chosen = shared.entry_choice().select(subject, count, Timestamp::now());
         if chosen.is_empty() {
             // No candidate can be reached; others may run by now.
             shared.entry_choice().clear();
--- a/crates/agent/src/entry_link.rs
+++ b/crates/agent/src/entry_link.rs
@@ -75,7 +75,7 @@
     if let Err(error) = sender.send(shared.hello()).await {
         return error;
     }
-    let pace = LoadSchedule::each_heartbeat();
+    let pace = LoadSchedule::every_heartbeat();
     shared.entries().push(EntryLink { addr, sender: sender.clone(), pace });
     shared.note_entries_changed();
     // An entry that restarted with the table service down may know no preset.
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -137,7 +137,9 @@
             };
             within(head.deadline.remaining(Timestamp::now()), run).await
         }
-        RepeatGuard::Nothing => within(longest_run(head), run_once(shared, link, head, body)).await,
+        RepeatGuard::Unprotected => {
+            within(longest_run(head), run_once(shared, link, head, body)).await
+        }
     }
 }
 
--- a/crates/agent/src/transfer/watchers.rs
+++ b/crates/agent/src/transfer/watchers.rs
@@ -43,7 +43,7 @@
         let Ok(queued) = self.sender.try_send(message.clone()) else {
             return false;
         };
-        self.schedule.note(queued);
+        self.schedule.record_send(queued);
         true
     }
 }
--- a/crates/decide/benches/route.rs
+++ b/crates/decide/benches/route.rs
@@ -4,7 +4,7 @@
 use std::{collections::HashMap, hint::black_box, sync::Arc};
 
 use cassiawheel_decide::{
-    EndpointTracker, EndpointPath, RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes,
+    EndpointPath, EndpointTracker, RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes,
 };
 use cassiawheel_model::{InstanceId, LoadReport, ModelVersion, ServiceName, Timestamp};
 use criterion::{BenchmarkId, Criterion};
--- a/crates/decide/src/admit.rs
+++ b/crates/decide/src/admit.rs
@@ -32,7 +32,7 @@
     /// When its answer is of no more use.
     pub deadline: Deadline,
     /// Whether its caller asks for the first time.
-    pub turn: AdmitTier,
+    pub tier: AdmitTier,
 }
 
 /// Whether a caller asks for the first time; the first goes before the second.
@@ -101,7 +101,7 @@
 
 impl QueueKey {
     fn of(ticket: &AdmitTicket) -> Self {
-        Self { turn: ticket.turn, workspace: ticket.workspace.clone() }
+        Self { turn: ticket.tier, workspace: ticket.workspace.clone() }
     }
 }
 
@@ -152,7 +152,7 @@
     }
 
     /// Lets a request wait; `notify` tells verdicts and whether they were heard.
-    pub fn wait(
+    pub fn enqueue(
         &self,
         ticket: &AdmitTicket,
         handle: T,
@@ -252,8 +252,8 @@
         let own = self.workspaces.get(&QueueKey::of(ticket));
         let own = own.map_or(0, |queue| queue.ahead_of(ticket.priority));
         let others = self.workspaces.iter().filter(|(key, _)| key.workspace != ticket.workspace);
-        let earlier = self.workspaces.iter().filter(|(key, _)| key.turn < ticket.turn);
-        let others = others.filter(|(key, _)| key.turn == ticket.turn);
+        let earlier = self.workspaces.iter().filter(|(key, _)| key.turn < ticket.tier);
+        let others = others.filter(|(key, _)| key.turn == ticket.tier);
         own + earlier.map(|(_, queue)| queue.length).sum::<usize>()
             + others.map(|(_, queue)| queue.length.min(own + 1)).sum::<usize>()
     }
--- a/crates/decide/src/crash_tracker.rs
+++ b/crates/decide/src/crash_tracker.rs
@@ -64,7 +64,7 @@
     /// Endpoints have ended under it; at most one run at a time should try it further.
     Suspect {
         /// Whether the only end was seen by this entry.
-        is_own: bool,
+        is_local: bool,
         /// When what other entries have seen until now is known here, and the last run
         /// that has begun has shown what it does.
         settled_at: Deadline,
@@ -106,8 +106,8 @@
             Self::Clear => Deadline(0),
             // The request of a caller whose endpoint has ended is at this entry alone,
             // unless it is one that comes again and again.
-            Self::Suspect { is_own: true, settled_at } => settled_at,
-            Self::Suspect { is_own: false, settled_at } => {
+            Self::Suspect { is_local: true, settled_at } => settled_at,
+            Self::Suspect { is_local: false, settled_at } => {
                 let wait_ms = SPREAD_TIME.as_millis() as usize * rank / entries.max(1);
                 Deadline(settled_at.0 + wait_ms as u64)
             }
@@ -191,7 +191,7 @@
             0 | ANSWER_WEIGHT => CrashVerdict::Clear,
             BARRED_WEIGHT.. => CrashVerdict::Barred { until: last.deadline_after(BAR_DURATION) },
             _ => CrashVerdict::Suspect {
-                is_own: self.counted().count() == 1
+                is_local: self.counted().count() == 1
                     && self.counted().all(|end| end.source.is_none()),
                 settled_at: self.settled_at(),
             },
@@ -217,7 +217,7 @@
     ///
     /// Beginnings and whole answers are of use only for a request under which endpoints
     /// have ended.
-    pub fn note(&mut self, row: CrashRow, source: Option<LinkId>, now: Timestamp) -> bool {
+    pub fn record(&mut self, row: CrashRow, source: Option<LinkId>, now: Timestamp) -> bool {
         let at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
         if at.deadline_after(BAR_DURATION).is_past(now) {
             return false;
--- a/crates/decide/src/endpoint_tracker.rs
+++ b/crates/decide/src/endpoint_tracker.rs
@@ -64,7 +64,7 @@
 
 impl EndpointPace {
     /// No request at all.
-    pub const NOTHING: Self = Self { interval_us: u64::MAX, first_us: u64::MAX };
+    pub const ZERO: Self = Self { interval_us: u64::MAX, first_us: u64::MAX };
 
     /// `rate` requests a second.
     pub fn from_rate(rate: f64) -> Self {
--- a/crates/decide/src/entry_selector.rs
+++ b/crates/decide/src/entry_selector.rs
@@ -45,7 +45,7 @@
     }
 
     /// The `count` entries to be connected to.
-    pub fn chosen(&mut self, subject: u64, count: usize, now: Timestamp) -> Vec<SocketAddr> {
+    pub fn select(&mut self, subject: u64, count: usize, now: Timestamp) -> Vec<SocketAddr> {
         self.avoided.retain(|_, until| !until.is_past(now));
         let open = self.candidates.iter().filter(|addr| !self.avoided.contains_key(addr));
         let names: Vec<_> = open.map(ToString::to_string).collect();
--- a/crates/decide/src/flood.rs
+++ b/crates/decide/src/flood.rs
@@ -25,7 +25,7 @@
     /// Notes a message; true if it is seen for the first time.
     ///
     /// A message that lies further behind the newest than the window counts as a duplicate.
-    pub fn note(&mut self, origin: &InstanceId, incarnation: u64, number: u64) -> bool {
+    pub fn insert(&mut self, origin: &InstanceId, incarnation: u64, number: u64) -> bool {
         let fresh = SeenNumbers { incarnation, newest: number, bits: 1 };
         let Some(seen) = self.seen.get_mut(origin) else {
             self.seen.insert(origin.clone(), fresh);
--- a/crates/decide/src/heartbeat.rs
+++ b/crates/decide/src/heartbeat.rs
@@ -61,7 +61,7 @@
 
 impl LoadSchedule {
     /// A load with every heartbeat.
-    pub fn each_heartbeat() -> Self {
+    pub fn every_heartbeat() -> Self {
         Self { every_ms: 0, due_at: Deadline(0) }
     }
 
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -4,16 +4,15 @@
 //! the present moment and a random generator are arguments. The same code so
 //! runs in the processes, in seeded histories and in benches.
 
-pub mod peering;
 pub mod admit;
 pub mod advice;
 pub mod affinity;
 pub mod budget;
 pub mod caller_index;
-pub mod endpoint_tracker;
 pub mod change;
 pub mod claim;
 pub mod crash_tracker;
+pub mod endpoint_tracker;
 pub mod entry_selector;
 pub mod events;
 pub mod fencing;
@@ -26,14 +25,15 @@
 pub mod holder;
 pub mod idempotency;
 pub mod latch;
-pub mod rate_limits;
 pub mod listing;
-pub mod restarts;
 pub mod manifest_search;
 pub mod overlay;
+pub mod peering;
 pub mod plan;
 pub mod preset_pull;
 pub mod rank;
+pub mod rate_limits;
+pub mod restarts;
 pub mod resync;
 pub mod retry;
 pub mod roster;
@@ -42,16 +42,15 @@
 pub mod turns;
 pub mod versions;
 
-pub use peering::{AgentLocation, chunk_peers};
-pub use admit::{AdmitTicket, AdmitVerdict, AdmitTier, ServiceAdmission};
-pub use advice::{EntryCandidate, EntryAdvice, advise};
+pub use admit::{AdmitTicket, AdmitTier, AdmitVerdict, ServiceAdmission};
+pub use advice::{EntryAdvice, EntryCandidate, advise};
 pub use caller_index::{CallerIndex, UnknownKey, pick_service};
-pub use endpoint_tracker::{EndpointTracker, EndpointPace};
 pub use change::{
     ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeVerdict, ChangeWriter, ForceRow,
 };
 pub use claim::{ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimView};
 pub use crash_tracker::{BAR_DURATION, CrashTracker, CrashVerdict};
+pub use endpoint_tracker::{EndpointPace, EndpointTracker};
 pub use entry_selector::EntrySelector;
 pub use events::{EventError, EventSplicer};
 pub use flood::FloodFilter;
@@ -61,12 +60,15 @@
 pub use heartbeat::{LoadSchedule, SentReport};
 pub use holder::{Adoption, PresetHolder, StartHold};
 pub use latch::RunLatch;
-pub use rate_limits::{HolderRank, RateLimits};
 pub use listing::{EndpointListing, ListingNews};
-pub use restarts::RestartDetector;
 pub use manifest_search::{ManifestSearch, SearchStep};
-pub use overlay::{EntryLocation, FeedRole, links_to_dial, same_region_or_all, reachable_entries, feed_role};
+pub use overlay::{
+    EntryLocation, FeedRole, feed_role, links_to_dial, reachable_entries, same_region_or_all,
+};
+pub use peering::{AgentLocation, chunk_peers};
 pub use preset_pull::{PresetPull, PullStep, PullView, ToldRevision};
+pub use rate_limits::{HolderRank, RateLimits};
+pub use restarts::RestartDetector;
 pub use resync::ResyncSchedule;
 pub use retry::{AttemptFailure, RepeatGuard, RetryBudget, RetryStep, RetryTracker};
 pub use roster::{EndpointRoster, EntryRoster, PeerEntry};
--- a/crates/decide/src/overlay.rs
+++ b/crates/decide/src/overlay.rs
@@ -104,7 +104,7 @@
     /// The table service rejects its calls but not those of others; it retries at intervals.
     Probe,
     /// Others follow them.
-    Rest,
+    Standby,
 }
 
 /// What the entry at `own` does about the operators' rows.
@@ -128,7 +128,7 @@
     let is_first_near = before.iter().all(|other| other.region != record.region);
     match is_first_near || before.len() < FEWEST_READERS {
         true => FeedRole::Follow,
-        false => FeedRole::Rest,
+        false => FeedRole::Standby,
     }
 }
 
--- a/crates/decide/src/rate_limits.rs
+++ b/crates/decide/src/rate_limits.rs
@@ -99,18 +99,18 @@
     }
 
     /// Endpoints that name a limit.
-    pub fn named(&self) -> usize {
+    pub fn advertised_count(&self) -> usize {
         let named = |known: &&KnownLimit| matches!(known.state, LimitState::Named(_));
         self.limits.values().filter(named).count()
     }
 
     /// Whether `endpoint` names a limit, or did so a moment ago.
-    pub fn knows(&self, endpoint: u64) -> bool {
+    pub fn contains(&self, endpoint: u64) -> bool {
         self.limits.contains_key(&endpoint)
     }
 
     /// Takes in the limit of an answer; true if neighbours have to be sent it.
-    pub fn hear(&mut self, endpoint: u64, limit: Option<NamedLimit>, now: Timestamp) -> bool {
+    pub fn observe(&mut self, endpoint: u64, limit: Option<NamedLimit>, now: Timestamp) -> bool {
         let state = match (limit, self.limits.get_mut(&endpoint)) {
             (None, None) => return false,
             (None, Some(known)) => {
@@ -135,7 +135,7 @@
     }
 
     /// Takes in a row of a neighbour; true if it is newer than what is known.
-    pub fn note(&mut self, row: LimitRow, source: LinkId, now: Timestamp) -> bool {
+    pub fn merge(&mut self, row: LimitRow, source: LinkId, now: Timestamp) -> bool {
         let observed_at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
         let known = self.limits.get(&row.endpoint);
         // Copies that come another way seem to be some milliseconds younger or older.
@@ -179,7 +179,7 @@
                         let part = (place.rank + 1) as f64 / holders as f64;
                         EndpointPace::from_rate(rate).with_first_delay(part)
                     }
-                    false => EndpointPace::NOTHING,
+                    false => EndpointPace::ZERO,
                 })
             }
             LimitState::Ended(limit) => {
--- a/crates/decide/src/restarts.rs
+++ b/crates/decide/src/restarts.rs
@@ -16,7 +16,7 @@
     /// What was learnt of the former process does not hold for this one: its
     /// failures would keep requests away from an engine that is idle, its loads
     /// would send it more or less than it can take, and its connections are gone.
-    pub fn begin(&mut self, instance: &InstanceId, born_at: Option<Timestamp>) -> bool {
+    pub fn observe_start(&mut self, instance: &InstanceId, born_at: Option<Timestamp>) -> bool {
         let Some(born_at) = born_at else {
             return false;
         };
--- a/crates/decide/src/resync.rs
+++ b/crates/decide/src/resync.rs
@@ -29,7 +29,7 @@
     }
 
     /// Notes that a word to it went out, or that its queue was full.
-    pub fn note(&mut self, queued: bool) {
+    pub fn record_send(&mut self, queued: bool) {
         self.has_missed |= !queued;
     }
 
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RetryStep {
     /// Try another endpoint at this moment.
-    Again(Deadline),
+    Retry(Deadline),
     /// Try again under the newer preset; the endpoint itself is fine.
     Reroute(Deadline),
     /// Tell the caller how the attempt ended.
@@ -40,7 +40,7 @@
     /// The claim on its key lets one attempt run, whoever sends others.
     Claimed,
     /// Nothing does: it is not sent again after a possible run.
-    Nothing,
+    Unprotected,
 }
 
 impl RepeatGuard {
@@ -49,7 +49,7 @@
         match (head.repeat, &head.key) {
             (Repeatability::Idempotent, _) => Self::Idempotent,
             (Repeatability::AtMostOnce, Some(_)) => Self::Claimed,
-            (Repeatability::AtMostOnce, None) => Self::Nothing,
+            (Repeatability::AtMostOnce, None) => Self::Unprotected,
         }
     }
 }
@@ -78,7 +78,7 @@
     }
 
     /// Notes that an attempt starts.
-    pub fn begin(&mut self) {
+    pub fn begin_attempt(&mut self) {
         self.attempts += 1;
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Decides after an attempt that gave no whole answer.
-    pub fn after(
+    pub fn next_step(
         &mut self,
         end: AttemptFailure,
         budget: &RetryBudget,
@@ -97,7 +97,9 @@
     ) -> RetryStep {
         let may_repeat = match &end {
             AttemptFailure::NotRun(reason) => reason.is_retryable(),
-            AttemptFailure::Unknown(_) | AttemptFailure::Lost(_) => self.guard != RepeatGuard::Nothing,
+            AttemptFailure::Unknown(_) | AttemptFailure::Lost(_) => {
+                self.guard != RepeatGuard::Unprotected
+            }
             AttemptFailure::Unanswered(_) => false,
         };
         let stale = end == AttemptFailure::NotRun(NotRunReason::StaleRevision);
@@ -107,7 +109,7 @@
         if !may_repeat || exhausted || !budget.withdraw() {
             return self.stop(end);
         }
-        if stale { RetryStep::Reroute(next_at) } else { RetryStep::Again(next_at) }
+        if stale { RetryStep::Reroute(next_at) } else { RetryStep::Retry(next_at) }
     }
 
     fn note(&mut self, end: AttemptFailure) {
@@ -198,7 +200,7 @@
     }
 
     /// Notes a request.
-    pub fn earn(&self) {
+    pub fn deposit(&self) {
         let most = self.savings.load(Ordering::Relaxed);
         let earned = |balance: u32| (balance < most).then(|| (balance + self.earned).min(most));
         let _ = self.balance.fetch_update(Ordering::Relaxed, Ordering::Relaxed, earned);
--- a/crates/decide/src/roster.rs
+++ b/crates/decide/src/roster.rs
@@ -34,7 +34,7 @@
     /// Its last report.
     pub report: EndpointReport,
     /// When the report arrived.
-    pub heard_at: Timestamp,
+    pub last_seen: Timestamp,
 }
 
 /// The other entries that one entry knows.
@@ -56,7 +56,7 @@
     /// Whether it has what it needs to serve callers.
     pub advised: bool,
     /// When it was last heard.
-    pub heard_at: Timestamp,
+    pub last_seen: Timestamp,
 }
 
 /// Who leaves, by its own word or the platform's.
@@ -97,7 +97,7 @@
 
 impl EndpointRoster {
     /// Takes a heartbeat; false if a later process at the instance is known.
-    pub fn hear(&mut self, report: EndpointReport, now: Timestamp) -> bool {
+    pub fn apply_report(&mut self, report: EndpointReport, now: Timestamp) -> bool {
         let known = self.members.get(&report.instance).map(|member| member.report.incarnation);
         if known.is_some_and(|incarnation| incarnation > report.incarnation) {
             return false;
@@ -105,13 +105,13 @@
         if known != Some(report.incarnation) {
             self.changes += 1;
         }
-        let member = RosterMember { heard_at: now, report };
+        let member = RosterMember { last_seen: now, report };
         self.members.insert(member.report.instance.clone(), member);
         true
     }
 
     /// Takes the endpoints whose agents are connected to some entry; true if they changed.
-    pub fn attach(&mut self, instances: HashSet<InstanceId>) -> bool {
+    pub fn set_attached(&mut self, instances: HashSet<InstanceId>) -> bool {
         let changed = self.attached.as_ref() != Some(&instances);
         if changed {
             self.changes += 1;
@@ -140,7 +140,7 @@
     ///
     /// `None` if there is no such report, as after a pause in which the
     /// endpoint was dropped; only a whole report makes it a member again.
-    pub fn beat(
+    pub fn apply_load(
         &mut self,
         instance: &InstanceId,
         incarnation: u64,
@@ -151,13 +151,13 @@
         if member.report.incarnation != incarnation {
             return None;
         }
-        member.heard_at = now;
+        member.last_seen = now;
         member.report.load = load;
         Some(&member.report)
     }
 
     /// Notes an endpoint's own word that it leaves.
-    pub fn leave(&mut self, instance: &InstanceId, incarnation: u64, now: Timestamp) {
+    pub fn mark_leaving(&mut self, instance: &InstanceId, incarnation: u64, now: Timestamp) {
         self.marks.note(instance, incarnation, now);
     }
 
@@ -172,7 +172,7 @@
     ///
     /// Its word of leaving stays: the same process may report over another
     /// connection a moment later.
-    pub fn forget(&mut self, instance: &InstanceId, incarnation: u64) {
+    pub fn remove(&mut self, instance: &InstanceId, incarnation: u64) {
         let known = self.members.get(instance).map(|member| member.report.incarnation);
         if known == Some(incarnation) {
             self.changes += 1;
@@ -185,7 +185,7 @@
         let silent: Vec<_> = self
             .members
             .iter()
-            .filter(|(_, member)| member.heard_at < oldest)
+            .filter(|(_, member)| member.last_seen < oldest)
             .map(|(instance, _)| instance.clone())
             .collect();
         self.changes += silent.len() as u64;
@@ -215,13 +215,13 @@
 
 impl EntryRoster {
     /// Takes a heartbeat; one of an earlier process at the instance is ignored.
-    pub fn hear(&mut self, instance: &InstanceId, mut peer: PeerEntry) {
+    pub fn apply_heartbeat(&mut self, instance: &InstanceId, mut peer: PeerEntry) {
         let known = self.peers.get(instance).map(|known| known.incarnation);
         if known.is_some_and(|incarnation| incarnation > peer.incarnation) {
             return;
         }
         if peer.advice.leaving {
-            self.marks.note(instance, peer.incarnation, peer.heard_at);
+            self.marks.note(instance, peer.incarnation, peer.last_seen);
         }
         peer.advice.leaving = !peer.advised || self.marks.has(instance, peer.incarnation);
         self.peers.insert(instance.clone(), peer);
@@ -231,7 +231,7 @@
     pub fn replace(&mut self, peers: Vec<(InstanceId, PeerEntry)>, now: Timestamp) {
         self.peers.clear();
         for (instance, peer) in peers {
-            self.hear(&instance, peer);
+            self.apply_heartbeat(&instance, peer);
         }
         let peers = &self.peers;
         self.marks.expire(now, |instance| peers.contains_key(instance));
@@ -240,7 +240,7 @@
     /// Takes a short heartbeat: the last whole one of this process holds but for
     /// the requests in progress. The revision in that one, or `None` if there is
     /// no such heartbeat.
-    pub fn alive(
+    pub fn apply_alive(
         &mut self,
         instance: &InstanceId,
         incarnation: u64,
@@ -251,13 +251,13 @@
         if peer.incarnation != incarnation {
             return None;
         }
-        peer.heard_at = now;
+        peer.last_seen = now;
         peer.advice.in_flight = in_flight;
         Some(peer.revision)
     }
 
     /// Notes an entry's own word that it leaves.
-    pub fn leave(&mut self, instance: &InstanceId, incarnation: u64, now: Timestamp) {
+    pub fn mark_leaving(&mut self, instance: &InstanceId, incarnation: u64, now: Timestamp) {
         self.marks.note(instance, incarnation, now);
         self.refresh();
     }
@@ -270,7 +270,7 @@
 
     /// Forgets entries that have not been heard since `oldest`.
     pub fn expire(&mut self, oldest: Timestamp, now: Timestamp) {
-        self.peers.retain(|_, peer| peer.heard_at >= oldest);
+        self.peers.retain(|_, peer| peer.last_seen >= oldest);
         let peers = &self.peers;
         self.marks.expire(now, |instance| peers.contains_key(instance));
     }
--- a/crates/decide/tests/admit.rs
+++ b/crates/decide/tests/admit.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{AdmitTicket, AdmitVerdict, AdmitTier, ServiceAdmission};
+use cassiawheel_decide::{AdmitTicket, AdmitTier, AdmitVerdict, ServiceAdmission};
 use cassiawheel_model::{Deadline, NotRunReason, PriorityClass, Timestamp, WorkspaceId};
 
 const CAPACITY: u32 = 3;
@@ -24,7 +24,7 @@
 fn ticket(workspace: &str, priority: PriorityClass) -> AdmitTicket {
     let workspace = WorkspaceId::new(workspace).expect("a workspace");
     let deadline = Deadline(NOW.0 + 60_000);
-    AdmitTicket { workspace, priority, deadline, turn: AdmitTier::Fresh }
+    AdmitTicket { workspace, priority, deadline, tier: AdmitTier::Fresh }
 }
 
 fn wait(
@@ -33,7 +33,7 @@
     priority: PriorityClass,
 ) -> Receiver<AdmitVerdict> {
     let (handle, verdict) = sync_channel(1);
-    admission.wait(&ticket(workspace, priority), handle, CAPACITY, NOW, tell);
+    admission.enqueue(&ticket(workspace, priority), handle, CAPACITY, NOW, tell);
     verdict
 }
 
@@ -97,8 +97,8 @@
 
 /// Plays a minute in which a third more requests come than the places can take.
 /// Each holds its place for 100 ms; who is refused comes back once, two seconds
-/// later, and `turn_of` says what the admission is told of that.
-fn play_overload(turn_of: impl Fn(bool) -> AdmitTier) -> OverloadCount {
+/// later, and `tier_of` says what the admission is told of that.
+fn play_overload(tier_of: impl Fn(bool) -> AdmitTier) -> OverloadCount {
     const PLACES: u32 = 16;
     const HELD_MS: u64 = 100;
     const BACK_MS: u64 = 2_000;
@@ -120,15 +120,15 @@
         let mut arrivals = due.remove(&ms).unwrap_or_default();
         arrivals.extend((0..fresh).map(|_| false));
         for is_back in arrivals {
-            let turn = turn_of(is_back);
-            if admission.try_admit(turn, PLACES) {
+            let tier = tier_of(is_back);
+            if admission.try_admit(tier, PLACES) {
                 verdicts.push(((ms, is_back), AdmitVerdict::Admitted));
                 continue;
             }
             let name = format!("w{}", ms % 5);
             let deadline = Deadline(now.0 + 200);
-            let ticket = AdmitTicket { deadline, turn, ..ticket(&name, PriorityClass::Normal) };
-            admission.wait(&ticket, (ms, is_back), PLACES, now, |handle, verdict| {
+            let ticket = AdmitTicket { deadline, tier, ..ticket(&name, PriorityClass::Normal) };
+            admission.enqueue(&ticket, (ms, is_back), PLACES, now, |handle, verdict| {
                 verdicts.push((handle, verdict));
                 true
             });
--- a/crates/decide/tests/control_traffic.rs
+++ b/crates/decide/tests/control_traffic.rs
@@ -81,9 +81,12 @@
 /// An entry of another region asks for fewer loads; one that asked for nothing
 /// gets one with every heartbeat.
 #[rstest]
-#[case(LoadSchedule::each_heartbeat(), 10)]
+#[case(LoadSchedule::every_heartbeat(), 10)]
 #[case(LoadSchedule::every(600, START), 3)]
-fn loads_keep_the_pace_that_the_entry_asked_for(#[case] mut pace: LoadSchedule, #[case] wanted: usize) {
+fn loads_keep_the_pace_that_the_entry_asked_for(
+    #[case] mut pace: LoadSchedule,
+    #[case] wanted: usize,
+) {
     let heartbeats = (1..=10).map(|beat| at(beat * 200));
     assert_eq!(heartbeats.filter(|now| pace.take_due(*now)).count(), wanted);
 }
@@ -94,7 +97,7 @@
 #[test]
 fn a_list_is_repeated_now_and_then_if_nothing_was_missed() {
     let mut schedule = ResyncSchedule::new(START);
-    schedule.note(true);
+    schedule.record_send(true);
     let heartbeats = (1..=10).map(|beat| at(beat * 200));
     assert_eq!(heartbeats.filter(|now| schedule.take_due(*now)).count(), 2);
 }
@@ -105,8 +108,8 @@
 #[test]
 fn a_list_is_repeated_at_once_after_a_full_queue() {
     let mut schedule = ResyncSchedule::new(START);
-    schedule.note(false);
-    schedule.note(true);
+    schedule.record_send(false);
+    schedule.record_send(true);
     assert!(schedule.take_due(at(1)));
     assert!(!schedule.take_due(at(2)));
 }
--- a/crates/decide/tests/crash_book.rs
+++ b/crates/decide/tests/crash_book.rs
@@ -6,7 +6,9 @@
     net::{Ipv4Addr, SocketAddr},
 };
 
-use cassiawheel_decide::{BAR_DURATION, CrashTracker, CrashVerdict, EntryLocation, LinkId, links_to_dial};
+use cassiawheel_decide::{
+    BAR_DURATION, CrashTracker, CrashVerdict, EntryLocation, LinkId, links_to_dial,
+};
 use cassiawheel_model::{
     BarredRequest, CrashEvent, CrashRow, Deadline, InstanceId, PresetRevision, PriorityClass,
     RegionName, Repeatability, RequestDigest, RequestHead, RequestId, ServiceName, Timestamp,
@@ -74,8 +76,8 @@
     let mut book = CrashTracker::default();
     for endpoint in 1..=ends {
         assert!(!is_barred(&book, 7), "barred after {} ends", endpoint - 1);
-        assert!(book.note(row(7, event(endpoint), 0), None, NOW));
-        assert!(!book.note(row(7, event(endpoint), 50), Some(1), NOW), "one end counts once");
+        assert!(book.record(row(7, event(endpoint), 0), None, NOW));
+        assert!(!book.record(row(7, event(endpoint), 50), Some(1), NOW), "one end counts once");
     }
     assert!(is_barred(&book, 7));
     assert!(!is_barred(&book, 8));
@@ -86,7 +88,7 @@
 fn a_bar_ends() {
     let mut book = CrashTracker::default();
     for endpoint in 0..3 {
-        book.note(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
+        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
     }
     let CrashVerdict::Barred { until } = book.verdict(digest(7)) else { panic!("barred") };
     assert_eq!(until, NOW.deadline_after(BAR_DURATION));
@@ -100,15 +102,15 @@
 fn a_whole_answer_clears_the_ends_before_it() {
     let mut book = CrashTracker::default();
     for endpoint in 0..3 {
-        book.note(row(7, CrashEvent::EndedAtStart(endpoint), 500), None, NOW);
+        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 500), None, NOW);
     }
-    assert!(book.note(row(7, CrashEvent::Answered, 0), Some(2), NOW));
+    assert!(book.record(row(7, CrashEvent::Answered, 0), Some(2), NOW));
     assert_eq!(book.verdict(digest(7)), CrashVerdict::Clear);
-    assert!(!book.note(row(7, CrashEvent::EndedAtStart(1), 495), Some(3), NOW), "a late copy");
+    assert!(!book.record(row(7, CrashEvent::EndedAtStart(1), 495), Some(3), NOW), "a late copy");
     assert_eq!(book.verdict(digest(7)), CrashVerdict::Clear);
     let later = Timestamp(NOW.0 + 100);
     for endpoint in 5..8 {
-        book.note(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, later);
+        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, later);
     }
     assert!(is_barred(&book, 7), "ends after the answer count");
 }
@@ -117,10 +119,10 @@
 #[test]
 fn only_an_answer_that_clears_something_is_passed_on() {
     let mut book = CrashTracker::default();
-    book.note(row(7, CrashEvent::EndedInAnswer(1), 0), None, NOW);
+    book.record(row(7, CrashEvent::EndedInAnswer(1), 0), None, NOW);
     let answers = (1..50).filter(|step| {
         let now = Timestamp(NOW.0 + step * 100);
-        book.note(row(7, CrashEvent::Answered, 0), None, now)
+        book.record(row(7, CrashEvent::Answered, 0), None, now)
     });
     assert_eq!(answers.count(), 1);
 }
@@ -129,12 +131,12 @@
 #[test]
 fn an_own_run_keeps_other_entries_waiting_and_not_this_one() {
     let mut book = CrashTracker::default();
-    book.note(row(7, CrashEvent::EndedAtStart(1), 500), None, NOW);
-    book.note(row(7, CrashEvent::Begun, 100), None, NOW);
+    book.record(row(7, CrashEvent::EndedAtStart(1), 500), None, NOW);
+    book.record(row(7, CrashEvent::Begun, 100), None, NOW);
     assert!(book.verdict(digest(7)).not_before(0, 15).is_past(NOW));
     let mut other = CrashTracker::default();
-    other.note(row(7, CrashEvent::EndedAtStart(1), 500), Some(1), NOW);
-    other.note(row(7, CrashEvent::Begun, 100), Some(1), NOW);
+    other.record(row(7, CrashEvent::EndedAtStart(1), 500), Some(1), NOW);
+    other.record(row(7, CrashEvent::Begun, 100), Some(1), NOW);
     assert!(!other.verdict(digest(7)).not_before(0, 15).is_past(NOW));
 }
 
@@ -143,10 +145,10 @@
 fn many_bodies_neither_fill_the_book_nor_free_a_barred_request() {
     let mut book = CrashTracker::default();
     for endpoint in 0..3 {
-        book.note(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
+        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
     }
     for body in 100..20_000 {
-        book.note(row(body, CrashEvent::EndedAtStart(body), 0), None, NOW);
+        book.record(row(body, CrashEvent::EndedAtStart(body), 0), None, NOW);
     }
     assert!(book.verdicts().len() <= 4_096);
     assert!(is_barred(&book, 7));
@@ -157,8 +159,8 @@
 fn kept_bars_are_taken_up_again_until_they_are_over() {
     let mut book = CrashTracker::default();
     for endpoint in 0..3 {
-        book.note(row(7, CrashEvent::EndedAtStart(endpoint), 1_000), None, NOW);
-        book.note(row(8, CrashEvent::EndedInAnswer(endpoint), 0), None, NOW);
+        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 1_000), None, NOW);
+        book.record(row(8, CrashEvent::EndedInAnswer(endpoint), 0), None, NOW);
     }
     let ended_at = Timestamp(NOW.0 - 1_000);
     let over_at = Timestamp(NOW.0 - BAR_DURATION.as_millis() as u64);
@@ -167,9 +169,13 @@
     assert_eq!(bars, [BarredRequest { digest: digest(7), ended_at }]);
     assert_eq!(book.bars_to_persist(&bars, NOW), None);
     let mut started = CrashTracker::default();
-    assert!(started.note(row(7, CrashEvent::Barred, 1_000), None, NOW));
+    assert!(started.record(row(7, CrashEvent::Barred, 1_000), None, NOW));
     assert_eq!(started.verdict(digest(7)), book.verdict(digest(7)));
-    assert!(!started.note(row(9, CrashEvent::Barred, BAR_DURATION.as_millis() as u32), None, NOW));
+    assert!(!started.record(
+        row(9, CrashEvent::Barred, BAR_DURATION.as_millis() as u32),
+        None,
+        NOW
+    ));
 }
 
 /// Guards against an entry that starts or returns and does not learn what the others know.
@@ -177,14 +183,14 @@
 fn a_new_link_brings_every_fact_and_an_old_one_only_news() {
     let mut book = CrashTracker::default();
     for body in 0..600 {
-        book.note(row(body, CrashEvent::EndedAtStart(body), 0), Some(4), NOW);
+        book.record(row(body, CrashEvent::EndedAtStart(body), 0), Some(4), NOW);
     }
     let mut other = CrashTracker::default();
     let mut mark = 0;
     for _ in 0..3 {
         let (rows, next) = book.rows_since(mark, 5, NOW);
         assert!(rows.len() <= 256, "a message of bounded size");
-        rows.into_iter().for_each(|row| assert!(other.note(row, Some(1), NOW)));
+        rows.into_iter().for_each(|row| assert!(other.record(row, Some(1), NOW)));
         mark = next;
     }
     assert_eq!(other.verdicts().len(), 600);
@@ -283,7 +289,7 @@
                 self.attempts[index].ends_at = None;
                 self.ends.push(self.now);
                 let event = CrashEvent::EndedAtStart(self.ends.len() as u64);
-                self.books[entry].note(row(7, event, 0), None, self.now);
+                self.books[entry].record(row(7, event, 0), None, self.now);
             }
             let attempt = &self.attempts[index];
             let is_idle = attempt.ends_at.is_none() && attempt.runs < MAX_ATTEMPTS;
@@ -292,7 +298,7 @@
                 attempt.runs += 1;
                 attempt.ends_at = Some(Timestamp(self.now.0 + RUN_MS));
                 self.sends.push(self.now);
-                self.books[entry].note(row(7, CrashEvent::Begun, 0), None, self.now);
+                self.books[entry].record(row(7, CrashEvent::Begun, 0), None, self.now);
             }
         }
         self.pass_on();
@@ -306,14 +312,13 @@
                 if self.cut.contains(&index) || self.cut.contains(other) {
                     continue;
                 }
-                let (rows, next) =
-                    self.books[index].rows_since(*mark, *other as LinkId, self.now);
+                let (rows, next) = self.books[index].rows_since(*mark, *other as LinkId, self.now);
                 *mark = next;
                 messages.extend(rows.into_iter().map(|row| (index, *other, row)));
             }
         }
         for (from, to, row) in messages {
-            self.books[to].note(row, Some(from as LinkId), self.now);
+            self.books[to].record(row, Some(from as LinkId), self.now);
         }
     }
 
--- a/crates/decide/tests/direct_routing.rs
+++ b/crates/decide/tests/direct_routing.rs
@@ -7,7 +7,7 @@
 };
 
 use cassiawheel_decide::{
-    EndpointTracker, EndpointPace, EndpointPath, RouteCandidate, RouteQuery, RouteSnapshot,
+    EndpointPace, EndpointPath, EndpointTracker, RouteCandidate, RouteQuery, RouteSnapshot,
     ServiceRoutes,
 };
 use cassiawheel_model::{InstanceId, LoadReport, ModelVersion, ServiceName, Timestamp};
--- a/crates/decide/tests/keyed_history/world.rs
+++ b/crates/decide/tests/keyed_history/world.rs
@@ -270,7 +270,7 @@
             return self.after(index, AttemptFailure::NotRun(NotRunReason::NoEndpoint));
         };
         request.excluded.push(agent);
-        request.tracker.begin();
+        request.tracker.begin_attempt();
         let number = self.attempts.len();
         request.attempts.push(number);
         let nonce = AttemptNonce::new(&format!("attempt-{number}")).expect("a nonce");
@@ -306,15 +306,15 @@
     fn after(&mut self, index: usize, end: AttemptFailure) {
         let (now, request) = (self.stamp(), &mut self.requests[index]);
         let last = end.clone();
-        match request.tracker.after(end, &self.budget, now, &mut self.rng) {
-            RetryStep::Again(at) | RetryStep::Reroute(at) => self.at(at.0, Event::Try(index)),
+        match request.tracker.next_step(end, &self.budget, now, &mut self.rng) {
+            RetryStep::Retry(at) | RetryStep::Reroute(at) => self.at(at.0, Event::Try(index)),
             RetryStep::Stop(end) => {
                 let end = if self.missing == MissingGuard::UnknownStays { last } else { end };
                 let told = match end {
                     AttemptFailure::NotRun(reason) => Told::NotRun(reason),
-                    AttemptFailure::Unknown(_) | AttemptFailure::Lost(_) | AttemptFailure::Unanswered(_) => {
-                        Told::Unknown
-                    }
+                    AttemptFailure::Unknown(_)
+                    | AttemptFailure::Lost(_)
+                    | AttemptFailure::Unanswered(_) => Told::Unknown,
                 };
                 self.tell(index, told);
             }
--- a/crates/decide/tests/last_place.rs
+++ b/crates/decide/tests/last_place.rs
@@ -10,7 +10,7 @@
 };
 
 use cassiawheel_decide::{
-    EndpointTracker, EndpointPath, RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes,
+    EndpointPath, EndpointTracker, RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes,
 };
 use cassiawheel_model::{InstanceId, ServiceName, Timestamp};
 use rand::{SeedableRng, rngs::SmallRng};
--- a/crates/decide/tests/limit_book.rs
+++ b/crates/decide/tests/limit_book.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use cassiawheel_decide::{
-    EndpointTracker, EndpointPace, HolderRank, RateLimits, LinkId, rank::rendezvous_weight,
+    EndpointPace, EndpointTracker, HolderRank, LinkId, RateLimits, rank::rendezvous_weight,
 };
 use cassiawheel_model::{LimitRow, LimitState, NamedLimit, Timestamp};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -34,7 +34,7 @@
 #[case(60.0)]
 fn the_parts_of_a_limit_add_up_to_it(#[case] rate: f64) {
     let mut book = RateLimits::default();
-    book.hear(ENDPOINT, Some(limit(rate)), NOW);
+    book.observe(ENDPOINT, Some(limit(rate)), NOW);
     let cells: Vec<_> = (0..15).map(|_| EndpointTracker::default()).collect();
     let mut sent = 0;
     for (rank, cell) in cells.iter().enumerate() {
@@ -58,7 +58,7 @@
 #[test]
 fn an_endpoint_that_takes_nothing_is_asked_now_and_then() {
     let mut book = RateLimits::default();
-    book.hear(ENDPOINT, Some(limit(0.0)), NOW);
+    book.observe(ENDPOINT, Some(limit(0.0)), NOW);
     let cell = EndpointTracker::default();
     cell.set_hard_limit(16);
     cell.set_pace(book.pace(ENDPOINT, place(0), NOW), NOW);
@@ -70,13 +70,13 @@
 #[test]
 fn the_next_in_rank_ask_where_the_holders_are_silent() {
     let mut book = RateLimits::default();
-    book.hear(ENDPOINT, Some(limit(2.0)), NOW);
+    book.observe(ENDPOINT, Some(limit(2.0)), NOW);
     let sends = |book: &RateLimits, rank, ms| {
-        book.pace(ENDPOINT, place(rank), later(ms)) != Some(EndpointPace::NOTHING)
+        book.pace(ENDPOINT, place(rank), later(ms)) != Some(EndpointPace::ZERO)
     };
     assert!(sends(&book, 1, 0) && !sends(&book, 2, 0) && !sends(&book, 2, 2_900));
     assert!(sends(&book, 2, 3_100) && !sends(&book, 3, 3_100) && sends(&book, 3, 6_100));
-    book.hear(ENDPOINT, Some(limit(2.0)), later(6_200));
+    book.observe(ENDPOINT, Some(limit(2.0)), later(6_200));
     assert!(!sends(&book, 2, 6_300), "the holders have been heard");
 }
 
@@ -85,17 +85,17 @@
 #[test]
 fn only_a_later_answer_without_a_limit_ends_it() {
     let mut book = RateLimits::default();
-    assert!(!book.hear(ENDPOINT, None, NOW));
-    assert!(book.hear(ENDPOINT, Some(limit(2.0)), NOW));
-    assert!(!book.hear(ENDPOINT, None, later(100)), "crossed");
-    assert_eq!(book.pace(ENDPOINT, place(9), later(100)), Some(EndpointPace::NOTHING));
-    assert!(book.hear(ENDPOINT, None, later(600)));
+    assert!(!book.observe(ENDPOINT, None, NOW));
+    assert!(book.observe(ENDPOINT, Some(limit(2.0)), NOW));
+    assert!(!book.observe(ENDPOINT, None, later(100)), "crossed");
+    assert_eq!(book.pace(ENDPOINT, place(9), later(100)), Some(EndpointPace::ZERO));
+    assert!(book.observe(ENDPOINT, None, later(600)));
     let returns = book.pace(ENDPOINT, place(9), later(600)).expect("step by step");
-    assert_ne!(returns, EndpointPace::NOTHING);
+    assert_ne!(returns, EndpointPace::ZERO);
     assert_ne!(book.pace(ENDPOINT, place(9), later(1_700)), Some(returns), "faster");
     assert_eq!(book.pace(ENDPOINT, place(9), later(5_000)), None);
-    assert!(book.hear(ENDPOINT, Some(limit(1.0)), later(700)), "named again");
-    assert_eq!(book.pace(ENDPOINT, place(9), later(700)), Some(EndpointPace::NOTHING));
+    assert!(book.observe(ENDPOINT, Some(limit(1.0)), later(700)), "named again");
+    assert_eq!(book.pace(ENDPOINT, place(9), later(700)), Some(EndpointPace::ZERO));
 }
 
 /// Guards against one more request of every entry where a limit is named anew.
@@ -105,7 +105,7 @@
     cell.set_hard_limit(16);
     cell.set_pace(Some(EndpointPace::from_rate(4.0)), NOW);
     assert!(cell.try_acquire_paced(16, later(250)));
-    cell.set_pace(Some(EndpointPace::NOTHING), later(400));
+    cell.set_pace(Some(EndpointPace::ZERO), later(400));
     assert!(!(400..20_000).any(|ms| cell.try_acquire_paced(16, later(ms))));
     cell.set_pace(Some(EndpointPace::from_rate(1.0)), later(20_000));
     assert!(!(20_000..21_000).any(|ms| cell.try_acquire_paced(16, later(ms))), "an interval first");
@@ -121,10 +121,10 @@
     let mut book = RateLimits::default();
     let mut told = 0;
     for step in 0..100 {
-        told += u32::from(book.hear(ENDPOINT, Some(limit(2.0)), later(step * 50)));
+        told += u32::from(book.observe(ENDPOINT, Some(limit(2.0)), later(step * 50)));
     }
     assert!((3..=6).contains(&told), "told {told} times in 5 s");
-    assert!(book.hear(ENDPOINT, Some(limit(1.0)), later(5_010)));
+    assert!(book.observe(ENDPOINT, Some(limit(1.0)), later(5_010)));
     let (rows, mark) = book.rows_since(0, 3, later(5_020));
     let state = LimitState::Named(limit(1.0));
     assert_eq!(rows, [LimitRow { endpoint: ENDPOINT, state, age_ms: 10 }]);
@@ -137,21 +137,21 @@
     let row = |state, age_ms| LimitRow { endpoint: ENDPOINT, state, age_ms };
     let (named, ended) = (LimitState::Named(limit(2.0)), LimitState::Ended(limit(2.0)));
     let mut book = RateLimits::default();
-    assert!(book.note(row(named, 0), 1, NOW));
-    assert!(!book.note(row(named, 0), 2, later(30)), "a copy");
-    assert!(book.note(row(ended, 0), 1, later(1_000)));
-    assert!(!book.note(row(named, 1_100), 2, later(1_100)), "an old word");
-    assert!(book.note(row(named, 0), 2, later(1_500)));
-    assert!(!book.note(row(ended, 600), 3, later(1_510)), "an old word");
-    assert_eq!(book.pace(ENDPOINT, place(9), later(1_510)), Some(EndpointPace::NOTHING));
+    assert!(book.merge(row(named, 0), 1, NOW));
+    assert!(!book.merge(row(named, 0), 2, later(30)), "a copy");
+    assert!(book.merge(row(ended, 0), 1, later(1_000)));
+    assert!(!book.merge(row(named, 1_100), 2, later(1_100)), "an old word");
+    assert!(book.merge(row(named, 0), 2, later(1_500)));
+    assert!(!book.merge(row(ended, 600), 3, later(1_510)), "an old word");
+    assert_eq!(book.pace(ENDPOINT, place(9), later(1_510)), Some(EndpointPace::ZERO));
 }
 
 /// Guards against entries that return to an endpoint all at the same moments.
 #[test]
 fn entries_that_return_together_do_not_send_at_the_same_moments() {
     let mut book = RateLimits::default();
-    book.hear(ENDPOINT, Some(limit(2.0)), NOW);
-    book.hear(ENDPOINT, None, later(600));
+    book.observe(ENDPOINT, Some(limit(2.0)), NOW);
+    book.observe(ENDPOINT, None, later(600));
     let cells: Vec<_> = (0..149).map(|_| EndpointTracker::default()).collect();
     let mut sent = Vec::new();
     for ms in 600..2_600 {
@@ -175,8 +175,8 @@
 #[test]
 fn limits_of_endpoints_that_are_gone_are_forgotten() {
     let mut book = RateLimits::default();
-    book.hear(1, Some(limit(2.0)), NOW);
-    book.hear(2, Some(limit(2.0)), NOW);
+    book.observe(1, Some(limit(2.0)), NOW);
+    book.observe(2, Some(limit(2.0)), NOW);
     book.expire(|_| false, later(1_000));
     assert!(!book.is_empty());
     book.expire(|endpoint| endpoint == 1, later(70_000));
@@ -266,7 +266,7 @@
         for (_, entry) in due {
             self.cells[entry].release();
             if self.runs(entry) {
-                self.books[entry].hear(ENDPOINT, self.named, self.now);
+                self.books[entry].observe(ENDPOINT, self.named, self.now);
             }
         }
         let ranked = self.ranked();
@@ -297,14 +297,13 @@
                 if self.now < self.frozen[*other] {
                     continue;
                 }
-                let (rows, next) =
-                    self.books[index].rows_since(*mark, *other as LinkId, self.now);
+                let (rows, next) = self.books[index].rows_since(*mark, *other as LinkId, self.now);
                 *mark = next;
                 messages.extend(rows.into_iter().map(|row| (index, *other, row)));
             }
         }
         for (from, to, row) in messages {
-            self.books[to].note(row, from as LinkId, self.now);
+            self.books[to].merge(row, from as LinkId, self.now);
         }
     }
 
--- a/crates/decide/tests/lives.rs
+++ b/crates/decide/tests/lives.rs
@@ -11,12 +11,15 @@
 fn a_later_start_under_the_same_name_is_a_new_life() {
     let engine = InstanceId::new("engine-1").expect("valid");
     let mut lives = RestartDetector::default();
-    assert!(!lives.begin(&engine, Some(Timestamp(1_000))), "the first life ends none");
-    assert!(!lives.begin(&engine, Some(Timestamp(1_000))));
-    assert!(lives.begin(&engine, Some(Timestamp(5_000))));
-    assert!(!lives.begin(&engine, Some(Timestamp(1_000))), "a late word of the former life");
-    assert!(!lives.begin(&engine, Some(Timestamp(5_000))));
-    assert!(!lives.begin(&engine, None), "a list that tells no start");
+    assert!(!lives.observe_start(&engine, Some(Timestamp(1_000))), "the first life ends none");
+    assert!(!lives.observe_start(&engine, Some(Timestamp(1_000))));
+    assert!(lives.observe_start(&engine, Some(Timestamp(5_000))));
+    assert!(
+        !lives.observe_start(&engine, Some(Timestamp(1_000))),
+        "a late word of the former life"
+    );
+    assert!(!lives.observe_start(&engine, Some(Timestamp(5_000))));
+    assert!(!lives.observe_start(&engine, None), "a list that tells no start");
     lives.keep_only(|_| false);
-    assert!(!lives.begin(&engine, Some(Timestamp(9_000))), "it was not listed in between");
+    assert!(!lives.observe_start(&engine, Some(Timestamp(9_000))), "it was not listed in between");
 }
--- a/crates/decide/tests/overlay.rs
+++ b/crates/decide/tests/overlay.rs
@@ -6,8 +6,8 @@
 };
 
 use cassiawheel_decide::{
-    EntrySelector, EntryLocation, FloodFilter, GossipStore, LinkCursor, LinkId, FeedRole, links_to_dial,
-    rank::subject_of, reachable_entries, feed_role,
+    EntryLocation, EntrySelector, FeedRole, FloodFilter, GossipStore, LinkCursor, LinkId,
+    feed_role, links_to_dial, rank::subject_of, reachable_entries,
 };
 use cassiawheel_model::{EntryRecord, FailureDomain, InstanceId, LoadRow, RegionName, Timestamp};
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IteratorRandom};
@@ -53,7 +53,8 @@
 
 impl Fleet {
     fn new(entries: usize, regions: usize, seed: u64) -> Self {
-        let place = |index| EntryLocation { inner_addr: addr(index), region: region(index % regions) };
+        let place =
+            |index| EntryLocation { inner_addr: addr(index), region: region(index % regions) };
         let process = |_| Process {
             store: GossipStore::default(),
             links: BTreeMap::new(),
@@ -283,14 +284,14 @@
 fn a_message_is_passed_on_once() {
     let origin = name(1);
     let mut filter = FloodFilter::default();
-    assert!(filter.note(&origin, 5, 10));
-    assert!(!filter.note(&origin, 5, 10), "a repetition");
-    assert!(filter.note(&origin, 5, 8), "overtaken by a later one");
-    assert!(!filter.note(&origin, 5, 8));
-    assert!(!filter.note(&origin, 4, 11), "of a former process");
-    assert!(filter.note(&origin, 5, 200));
-    assert!(!filter.note(&origin, 5, 12), "too old to be told apart");
-    assert!(filter.note(&origin, 6, 1), "of a process that started since");
+    assert!(filter.insert(&origin, 5, 10));
+    assert!(!filter.insert(&origin, 5, 10), "a repetition");
+    assert!(filter.insert(&origin, 5, 8), "overtaken by a later one");
+    assert!(!filter.insert(&origin, 5, 8));
+    assert!(!filter.insert(&origin, 4, 11), "of a former process");
+    assert!(filter.insert(&origin, 5, 200));
+    assert!(!filter.insert(&origin, 5, 12), "too old to be told apart");
+    assert!(filter.insert(&origin, 6, 1), "of a process that started since");
 }
 
 /// Guards against a load that comes back over another way and counts as new.
@@ -316,12 +317,12 @@
         let subject = subject_of(&format!("agent-{agent}"));
         let mut choice = EntrySelector::default();
         choice.set_candidates((0..30).map(addr).collect());
-        let chosen = choice.chosen(subject, 4, Timestamp(0));
+        let chosen = choice.select(subject, 4, Timestamp(0));
         assert_eq!(chosen.len(), 4);
         choice.avoid(chosen[0], Timestamp(0));
-        let next = choice.chosen(subject, 4, Timestamp(10));
+        let next = choice.select(subject, 4, Timestamp(10));
         assert_eq!(next[..3], chosen[1..], "the next in rank takes the place");
-        assert_eq!(choice.chosen(subject, 4, Timestamp(9_000)), chosen, "it is tried again");
+        assert_eq!(choice.select(subject, 4, Timestamp(9_000)), chosen, "it is tried again");
         chosen.into_iter().for_each(|addr| *held.entry(addr).or_default() += 1);
     }
     let most = held.values().max().expect("some");
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -11,7 +11,7 @@
 };
 
 use cassiawheel_decide::{
-    AdmitTicket, AdmitVerdict, AttemptFailure, AdmitTier, EndpointTracker, EndpointPath, GateState,
+    AdmitTicket, AdmitTier, AdmitVerdict, AttemptFailure, EndpointPath, EndpointTracker, GateState,
     RepeatGuard, RetryBudget, RetryStep, RetryTracker, RouteCandidate, RouteQuery, RouteSnapshot,
     ServiceAdmission, ServiceRoutes,
 };
@@ -207,14 +207,14 @@
             workspace,
             priority,
             arrived: self.now,
-            tracker: RetryTracker::new(RepeatGuard::Nothing, deadline, 3),
+            tracker: RetryTracker::new(RepeatGuard::Unprotected, deadline, 3),
             excluded: Vec::new(),
         });
         self.count(self.requests.len() - 1, |counts| counts.arrived += 1.0);
         self.outcome.requests += 1;
         let (request, now) = (self.requests.len() - 1, stamp(self.now));
         let entry = &self.entries[entry];
-        entry.budget.earn();
+        entry.budget.deposit();
         let capacity = entry.capacity(&self.service, now);
         if entry.admission.try_admit(AdmitTier::Fresh, capacity) {
             self.admitted.push_back(request);
@@ -224,7 +224,7 @@
             workspace: WorkspaceId::new(&format!("workspace-{workspace}")).expect("a workspace"),
             priority,
             deadline,
-            turn: AdmitTier::Fresh,
+            tier: AdmitTier::Fresh,
         };
         let admitted = &mut self.admitted;
         let notify = |request, verdict| {
@@ -233,7 +233,7 @@
             }
             true
         };
-        entry.admission.wait(&ticket, request, capacity, now, notify);
+        entry.admission.enqueue(&ticket, request, capacity, now, notify);
     }
 
     fn try_once(&mut self, number: usize) {
@@ -255,7 +255,7 @@
         let name = choice.candidate.instance.clone();
         let endpoint = self.names.iter().position(|n| *n == name).expect("an endpoint");
         request.excluded.push(name);
-        request.tracker.begin();
+        request.tracker.begin_attempt();
         self.outcome.attempts += 1;
         match self.gates[endpoint].enter(PresetRevision(1), None) {
             Ok(_) => {
@@ -276,8 +276,8 @@
         let request = &mut self.requests[number];
         let budget = &self.entries[request.entry].budget;
         let end = AttemptFailure::NotRun(reason);
-        match request.tracker.after(end, budget, stamp(self.now), &mut self.rng) {
-            RetryStep::Again(at) | RetryStep::Reroute(at) => {
+        match request.tracker.next_step(end, budget, stamp(self.now), &mut self.rng) {
+            RetryStep::Retry(at) | RetryStep::Reroute(at) => {
                 let at = (at.0 - START).max(self.now + 1);
                 self.events.push(Reverse((at, Event::Try { request: number })));
             }
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -21,8 +21,8 @@
     }
 
     fn after(&mut self, end: AttemptFailure) -> RetryStep {
-        self.tracker.begin();
-        self.tracker.after(end, &self.budget, NOW, &mut self.rng)
+        self.tracker.begin_attempt();
+        self.tracker.next_step(end, &self.budget, NOW, &mut self.rng)
     }
 }
 
@@ -38,7 +38,7 @@
 /// card was charged. A second attempt could charge it twice.
 #[test]
 fn a_request_without_key_is_not_sent_again_after_a_possible_run() {
-    let mut tries = Tries::new(RepeatGuard::Nothing);
+    let mut tries = Tries::new(RepeatGuard::Unprotected);
     assert_eq!(tries.after(unknown()), RetryStep::Stop(unknown()));
 }
 
@@ -50,9 +50,9 @@
 #[case(NotRunReason::StoreUnavailable)]
 fn a_refusal_after_a_possible_run_stays_unknown(#[case] reason: NotRunReason) {
     let mut tries = Tries::new(RepeatGuard::Claimed);
-    assert!(matches!(tries.after(unknown()), RetryStep::Again(_)));
+    assert!(matches!(tries.after(unknown()), RetryStep::Retry(_)));
     let mut step = tries.after(refused(reason));
-    while let RetryStep::Again(_) = step {
+    while let RetryStep::Retry(_) = step {
         step = tries.after(refused(reason));
     }
     assert_eq!(step, RetryStep::Stop(unknown()));
@@ -72,7 +72,7 @@
 #[test]
 fn the_last_refusal_is_told_and_not_that_no_other_endpoint_is_left() {
     let mut tries = Tries::new(RepeatGuard::Idempotent);
-    assert!(matches!(tries.after(refused(NotRunReason::Overloaded)), RetryStep::Again(_)));
+    assert!(matches!(tries.after(refused(NotRunReason::Overloaded)), RetryStep::Retry(_)));
     let step = tries.after(refused(NotRunReason::NoEndpoint));
     assert_eq!(step, RetryStep::Stop(refused(NotRunReason::Overloaded)));
 }
@@ -81,7 +81,7 @@
 /// healthy and may be the only one; it is asked again under the newer preset.
 #[test]
 fn a_stale_revision_is_routed_anew() {
-    let mut tries = Tries::new(RepeatGuard::Nothing);
+    let mut tries = Tries::new(RepeatGuard::Unprotected);
     let step = tries.after(refused(NotRunReason::StaleRevision));
     assert!(matches!(step, RetryStep::Reroute(_)));
 }
@@ -95,12 +95,12 @@
     let mut attempts = 0;
     for _ in 0..10_000 {
         let mut tracker = RetryTracker::new(RepeatGuard::Idempotent, DEADLINE, 3);
-        budget.earn();
+        budget.deposit();
         loop {
-            tracker.begin();
+            tracker.begin_attempt();
             attempts += 1;
             let end = refused(NotRunReason::Overloaded);
-            if let RetryStep::Stop(_) = tracker.after(end, &budget, NOW, &mut rng) {
+            if let RetryStep::Stop(_) = tracker.next_step(end, &budget, NOW, &mut rng) {
                 break;
             }
         }
--- a/crates/decide/tests/roster.rs
+++ b/crates/decide/tests/roster.rs
@@ -124,13 +124,13 @@
         test.now = Timestamp(test.now.0 + 10);
         match step {
             RosterStep::Hear { index, incarnation } => {
-                test.roster.hear(report(index, incarnation), test.now);
+                test.roster.apply_report(report(index, incarnation), test.now);
             }
             RosterStep::Leave { index, incarnation } => {
-                test.roster.leave(&instance(index), incarnation, test.now);
+                test.roster.mark_leaving(&instance(index), incarnation, test.now);
             }
             RosterStep::Forget { index, incarnation } => {
-                test.roster.forget(&instance(index), incarnation);
+                test.roster.remove(&instance(index), incarnation);
             }
             RosterStep::List(listed) => {
                 test.roster.set_platform_leaving(listed.into_iter().map(instance).collect());
@@ -177,11 +177,11 @@
     fn leaving_wins_and_ends_with_the_process(sequential 1..40 => RosterTest);
 }
 
-fn peer(incarnation: u64, leaving: bool, heard_at: u64) -> PeerEntry {
+fn peer(incarnation: u64, leaving: bool, last_seen: u64) -> PeerEntry {
     let failure_domain = FailureDomain::new("domain").expect("valid");
     let advice = EntryCandidate { caller_addr: addr(), failure_domain, in_flight: 0, leaving };
-    let heard_at = Timestamp(heard_at);
-    PeerEntry { advice, incarnation, revision: PresetRevision(1), advised: true, heard_at }
+    let last_seen = Timestamp(last_seen);
+    PeerEntry { advice, incarnation, revision: PresetRevision(1), advised: true, last_seen }
 }
 
 fn is_advised(roster: &EntryRoster) -> bool {
@@ -194,12 +194,12 @@
 fn a_restarted_entry_is_advised_again() {
     let mut roster = EntryRoster::default();
     let entry = instance(0);
-    roster.hear(&entry, peer(1, false, 10));
-    roster.leave(&entry, 1, Timestamp(20));
+    roster.apply_heartbeat(&entry, peer(1, false, 10));
+    roster.mark_leaving(&entry, 1, Timestamp(20));
     assert!(!is_advised(&roster));
-    roster.hear(&entry, peer(1, false, 30));
+    roster.apply_heartbeat(&entry, peer(1, false, 30));
     assert!(!is_advised(&roster), "a heartbeat that was overtaken brought it back");
-    roster.hear(&entry, peer(2, false, 40));
+    roster.apply_heartbeat(&entry, peer(2, false, 40));
     assert!(is_advised(&roster));
 }
 
@@ -208,7 +208,7 @@
 #[test]
 fn a_heartbeat_repeats_the_word_of_leaving() {
     let mut roster = EntryRoster::default();
-    roster.hear(&instance(0), peer(1, true, 10));
+    roster.apply_heartbeat(&instance(0), peer(1, true, 10));
     assert!(!is_advised(&roster));
 }
 
@@ -217,9 +217,9 @@
 #[test]
 fn an_entry_that_is_not_ready_is_not_advised() {
     let mut roster = EntryRoster::default();
-    roster.hear(&instance(0), PeerEntry { advised: false, ..peer(1, false, 10) });
+    roster.apply_heartbeat(&instance(0), PeerEntry { advised: false, ..peer(1, false, 10) });
     assert!(!is_advised(&roster));
-    roster.hear(&instance(0), peer(1, false, 20));
+    roster.apply_heartbeat(&instance(0), peer(1, false, 20));
     assert!(is_advised(&roster));
 }
 
@@ -229,10 +229,10 @@
 fn a_beat_alone_makes_no_member() {
     let mut roster = EndpointRoster::default();
     let load = LoadReport { in_flight: 3, queued: 1, measured_at: Timestamp(5) };
-    assert!(roster.beat(&instance(0), 1, load, Timestamp(5)).is_none());
-    roster.hear(report(0, 1), Timestamp(6));
-    assert!(roster.beat(&instance(0), 2, load, Timestamp(7)).is_none());
-    let known = roster.beat(&instance(0), 1, load, Timestamp(8)).map(|report| report.load);
+    assert!(roster.apply_load(&instance(0), 1, load, Timestamp(5)).is_none());
+    roster.apply_report(report(0, 1), Timestamp(6));
+    assert!(roster.apply_load(&instance(0), 2, load, Timestamp(7)).is_none());
+    let known = roster.apply_load(&instance(0), 1, load, Timestamp(8)).map(|report| report.load);
     assert_eq!(known, Some(load));
 }
 
@@ -240,9 +240,9 @@
 #[test]
 fn beats_keep_a_member() {
     let mut roster = EndpointRoster::default();
-    roster.hear(report(0, 1), Timestamp(0));
+    roster.apply_report(report(0, 1), Timestamp(0));
     let load = LoadReport { in_flight: 0, queued: 0, measured_at: Timestamp(50) };
-    roster.beat(&instance(0), 1, load, Timestamp(50));
+    roster.apply_load(&instance(0), 1, load, Timestamp(50));
     assert!(roster.expire(Timestamp(40), Timestamp(60)).is_empty());
     assert_eq!(roster.expire(Timestamp(51), Timestamp(61)), [instance(0)]);
 }
@@ -252,10 +252,10 @@
 #[test]
 fn a_short_heartbeat_alone_makes_no_entry() {
     let mut roster = EntryRoster::default();
-    assert_eq!(roster.alive(&instance(0), 1, 4, Timestamp(5)), None);
-    roster.hear(&instance(0), peer(2, false, 10));
-    assert_eq!(roster.alive(&instance(0), 1, 4, Timestamp(20)), None);
-    assert_eq!(roster.alive(&instance(0), 2, 4, Timestamp(30)), Some(PresetRevision(1)));
+    assert_eq!(roster.apply_alive(&instance(0), 1, 4, Timestamp(5)), None);
+    roster.apply_heartbeat(&instance(0), peer(2, false, 10));
+    assert_eq!(roster.apply_alive(&instance(0), 1, 4, Timestamp(20)), None);
+    assert_eq!(roster.apply_alive(&instance(0), 2, 4, Timestamp(30)), Some(PresetRevision(1)));
     roster.expire(Timestamp(25), Timestamp(40));
     assert_eq!(roster.values().map(|peer| peer.advice.in_flight).collect::<Vec<_>>(), [4]);
 }
@@ -268,12 +268,12 @@
     let names = |roster: &EndpointRoster| -> Vec<_> {
         roster.members().map(|member| member.report.instance.clone()).collect()
     };
-    assert!(roster.hear(report(0, 1), Timestamp(10)));
-    assert!(roster.hear(report(1, 1), Timestamp(10)));
-    assert!(roster.attach(HashSet::from([instance(0)])));
+    assert!(roster.apply_report(report(0, 1), Timestamp(10)));
+    assert!(roster.apply_report(report(1, 1), Timestamp(10)));
+    assert!(roster.set_attached(HashSet::from([instance(0)])));
     assert_eq!(names(&roster), [instance(0)]);
-    assert!(!roster.attach(HashSet::from([instance(0)])), "no change");
-    assert!(roster.attach(HashSet::from([instance(0), instance(1)])));
+    assert!(!roster.set_attached(HashSet::from([instance(0)])), "no change");
+    assert!(roster.set_attached(HashSet::from([instance(0), instance(1)])));
     assert_eq!(names(&roster), [instance(0), instance(1)], "its report was kept");
     roster.keep_only(|name| *name == instance(1), Timestamp(20));
     assert_eq!(names(&roster), [instance(1)]);
--- a/crates/decide/tests/routing.rs
+++ b/crates/decide/tests/routing.rs
@@ -10,8 +10,9 @@
 };
 
 use cassiawheel_decide::{
-    AttemptFailure, EndpointTracker, EndpointPath, RepeatGuard, RetryBudget, RetryStep, RetryTracker,
-    RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes, affinity::prefix_digest,
+    AttemptFailure, EndpointPath, EndpointTracker, RepeatGuard, RetryBudget, RetryStep,
+    RetryTracker, RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes,
+    affinity::prefix_digest,
 };
 use cassiawheel_model::{
     Deadline, InstanceId, LoadReport, ModelVersion, NotRunReason, ServiceName, Timestamp,
@@ -236,7 +237,7 @@
                 let tracker =
                     RetryTracker::new(RepeatGuard::Idempotent, Deadline(now.0 + 5_000), 3);
                 requests.push(Request { entry, tracker, excluded: Vec::new() });
-                budget.earn();
+                budget.deposit();
                 waiting.push_back((tick, requests.len() - 1));
             }
         }
@@ -248,7 +249,7 @@
             let chosen = entry.choose(policy, None, &request.excluded, now);
             let endpoint = chosen.expect("there is room");
             request.excluded.push(entry.names[endpoint].clone());
-            request.tracker.begin();
+            request.tracker.begin_attempt();
             attempts += 1;
             entry.begin(endpoint);
             let work = match (endpoint, bad) {
@@ -272,8 +273,8 @@
             entry.fail(call.endpoint, now);
             let end = AttemptFailure::NotRun(NotRunReason::ConnectFailed);
             let budget = &budgets[call.entry];
-            match requests[call.request].tracker.after(end, budget, now, &mut rng) {
-                RetryStep::Again(at) | RetryStep::Reroute(at) => {
+            match requests[call.request].tracker.next_step(end, budget, now, &mut rng) {
+                RetryStep::Retry(at) | RetryStep::Reroute(at) => {
                     waiting.push_back((at.0 - START, call.request));
                 }
                 RetryStep::Stop(_) => {
--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -117,11 +117,11 @@
         workspace: head.workspace.clone(),
         priority: head.priority,
         deadline: admit_by,
-        turn: request.turn,
+        tier: request.turn,
     };
     let (sender, verdict) = bounded(1);
     let place = WaitingPlace { admission: admission.clone(), verdict };
-    admission.places.wait(&ticket, sender, capacity, now, tell);
+    admission.places.enqueue(&ticket, sender, capacity, now, tell);
     let half: Duration = admit_by.remaining(now) / 2;
     let verdict = timeout(half, place.verdict.recv()).await;
     let refused = match verdict {
--- a/crates/entry/src/caller/attempts.rs
+++ b/crates/entry/src/caller/attempts.rs
@@ -6,8 +6,8 @@
 };
 
 use cassiawheel_decide::{
-    AttemptFailure, BAR_DURATION, EndpointTracker, EndpointPath, RepeatGuard, RetryBudget, RetryStep,
-    RetryTracker, RouteQuery, RouteSnapshot,
+    AttemptFailure, BAR_DURATION, EndpointPath, EndpointTracker, RepeatGuard, RetryBudget,
+    RetryStep, RetryTracker, RouteQuery, RouteSnapshot,
 };
 use cassiawheel_model::{
     Deadline, ForcedPreset, InstanceId, ModelVersion, NotRunReason, PresetRevision, Repeatability,
@@ -121,7 +121,7 @@
         let head = &request.head;
         let tracker = RetryTracker::new(RepeatGuard::of(head), head.deadline, request.max_attempts);
         let budget = shared.retry_budget(&head.service);
-        budget.earn();
+        budget.deposit();
         Self {
             shared,
             last_event: request.last_event,
@@ -200,8 +200,8 @@
     /// Waits until the next attempt, if one is allowed.
     async fn after(&mut self, end: AttemptFailure) -> Result<(), FailedRequest> {
         let now = Timestamp::now();
-        let next_at = match self.tracker.after(end, &self.budget, now, &mut rand::rng()) {
-            RetryStep::Again(next_at) => next_at,
+        let next_at = match self.tracker.next_step(end, &self.budget, now, &mut rand::rng()) {
+            RetryStep::Retry(next_at) => next_at,
             RetryStep::Reroute(next_at) => {
                 self.excluded.pop();
                 next_at
@@ -253,7 +253,7 @@
         };
         drop(routes);
         self.excluded.push(instance.clone());
-        self.tracker.begin();
+        self.tracker.begin_attempt();
         shared.metrics.attempts.inc();
         let routed = RequestHead { revision: preset.revision, version, ..head.clone() };
         let sent = DispatchedRequest {
@@ -339,8 +339,10 @@
         | AttemptFailure::Unknown(_)
         | AttemptFailure::Lost(_) => {
             let routes = shared.routes.load();
-            let ejected =
-                routes.service(&head.service).zip(instance).is_some_and(|(s, i)| s.record_failure(i, now));
+            let ejected = routes
+                .service(&head.service)
+                .zip(instance)
+                .is_some_and(|(s, i)| s.record_failure(i, now));
             if let (true, Some(instance)) = (ejected, instance) {
                 log::warn!(target: "route", endpoint:% = instance; "Ejected an endpoint that fails.");
             }
@@ -358,8 +360,8 @@
                 _ => Deadline(Timestamp::now().0 + RETRY_AFTER_MS),
             },
         },
-        AttemptFailure::Unknown(detail) | AttemptFailure::Lost(detail) | AttemptFailure::Unanswered(detail) => {
-            RequestOutcome::Unknown { detail }
-        }
+        AttemptFailure::Unknown(detail)
+        | AttemptFailure::Lost(detail)
+        | AttemptFailure::Unanswered(detail) => RequestOutcome::Unknown { detail },
     }
 }
--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use cassiawheel_decide::{AttemptFailure, EndpointTracker, EndpointPath, RepeatGuard};
+use cassiawheel_decide::{AttemptFailure, EndpointPath, EndpointTracker, RepeatGuard};
 use cassiawheel_edge::{EndpointLeg, ToldLoad};
 use cassiawheel_model::{
     Deadline, HeaderField, InstanceId, LoadReport, ModelVersion, NotRunReason, PresetRevision,
@@ -298,7 +298,7 @@
         Some(RequestMessage::Failed { detail, .. }) => Err(match RepeatGuard::of(routed) {
             // Other agents would find the same claim and let its caller wait.
             RepeatGuard::Claimed => AttemptFailure::Unanswered(detail),
-            RepeatGuard::Idempotent | RepeatGuard::Nothing => AttemptFailure::Unknown(detail),
+            RepeatGuard::Idempotent | RepeatGuard::Unprotected => AttemptFailure::Unknown(detail),
         }),
         Some(_) => Err(AttemptFailure::Unknown("the answer has no head".to_owned())),
         None => Err(AttemptFailure::Unknown("the connection to the endpoint was lost".to_owned())),
--- a/crates/entry/src/caller/lost.rs
+++ b/crates/entry/src/caller/lost.rs
@@ -50,7 +50,8 @@
     request: &IdentifiedRequest,
     lost: LostRun<'_>,
 ) {
-    let (AttemptFailure::Lost(cause), EndpointPath::Direct(addr)) = (lost.end, lost.place.path) else {
+    let (AttemptFailure::Lost(cause), EndpointPath::Direct(addr)) = (lost.end, lost.place.path)
+    else {
         return;
     };
     let Some(routed) = &shared.routed else {
@@ -86,7 +87,7 @@
     let now = Timestamp::now();
     let row = CrashRow { digest, event, age_ms: now.since(at).as_millis() as u32 };
     let mut state = routed.overlay.lock();
-    if state.crashes.note(row, None, now) {
+    if state.crashes.record(row, None, now) {
         routed.crashes.learn(&state.crashes, &[row], None);
         drop(state);
         routed.overlay.note_change();
--- a/crates/entry/src/caller/routed.rs
+++ b/crates/entry/src/caller/routed.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{CallerIndex, AdmitTier, advise, pick_service};
+use cassiawheel_decide::{AdmitTier, CallerIndex, advise, pick_service};
 use cassiawheel_edge::CallerHead;
 use cassiawheel_model::{
     NotRunReason, OutcomeKind, PresetRevision, PriorityClass, Repeatability, RequestHead,
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{LinkId, PeerEntry, advice::EntryCandidate, rank::subject_of, feed_role};
+use cassiawheel_decide::{LinkId, PeerEntry, advice::EntryCandidate, feed_role, rank::subject_of};
 use cassiawheel_model::{
     Deadline, EndpointReport, EntryRecord, GossipNews, InstanceId, LoadReport, LoadRow,
     PresetRevision, Timestamp,
@@ -215,7 +215,7 @@
     let mut loads = news.loads;
     loads.retain(|row| state.store.merge_load(*row, step_ms, Some(source), now));
     let mut crashes = news.crashes;
-    crashes.retain(|row| state.crashes.note(*row, Some(source), now));
+    crashes.retain(|row| state.crashes.record(*row, Some(source), now));
     routed.crashes.learn(&state.crashes, &crashes, Some(source));
     drop(state);
     let mut limits = news.limits;
@@ -240,7 +240,7 @@
     for report in reports {
         let known = roster.member(&report.instance).map(|member| &member.report.state);
         let is_change = known != Some(&report.state);
-        changed |= roster.hear(report, now) && is_change;
+        changed |= roster.apply_report(report, now) && is_change;
     }
     drop(roster);
     shared.plan_stale.store(true, Ordering::Release);
@@ -313,7 +313,7 @@
     let peers = others.map(|record| (record.instance.clone(), peer_of(record, now))).collect();
     shared.peers().replace(peers, now);
     drop(state);
-    if shared.roster().attach(attached) {
+    if shared.roster().set_attached(attached) {
         shared.plan_stale.store(true, Ordering::Release);
         shared.rebuild_routes();
     }
@@ -331,6 +331,6 @@
         incarnation: record.incarnation,
         revision: PresetRevision::default(),
         advised: record.advised,
-        heard_at: now,
+        last_seen: now,
     }
 }
--- a/crates/entry/src/control/operators.rs
+++ b/crates/entry/src/control/operators.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{FollowedRows, FeedRole};
+use cassiawheel_decide::{FeedRole, FollowedRows};
 use cassiawheel_edge::{FeedError, FeedPage, OperatorRow};
 use cassiawheel_model::{AgeSource, Deadline, NamedVersion, Timestamp};
 use cassiawheel_wire::ControlMessage;
@@ -43,7 +43,7 @@
         let is_due = match routed.feed_role() {
             FeedRole::Follow => true,
             FeedRole::Probe => probe_at.is_past(began_at),
-            FeedRole::Rest => followed.position.is_none(),
+            FeedRole::Standby => followed.position.is_none(),
         };
         if !is_due {
             followed = FollowedRows { until: Some(began_at), by_others: true, ..followed };
--- a/crates/entry/src/control/quarantine.rs
+++ b/crates/entry/src/control/quarantine.rs
@@ -60,7 +60,7 @@
     });
     let mut rows: Vec<_> = rows.collect();
     let mut state = routed.overlay.lock();
-    rows.retain(|row| state.crashes.note(*row, None, now));
+    rows.retain(|row| state.crashes.record(*row, None, now));
     routed.crashes.learn(&state.crashes, &rows, None);
     drop(state);
     routed.overlay.note_change();
--- a/crates/entry/src/control/spread.rs
+++ b/crates/entry/src/control/spread.rs
@@ -108,9 +108,9 @@
             note_link(shared, sender, inner_addr);
             heal(shared, sender, revision);
             let advice = EntryCandidate { caller_addr, failure_domain, in_flight, leaving };
-            let heard_at = Timestamp::now();
-            let peer = PeerEntry { advice, incarnation, revision, advised, heard_at };
-            shared.peers().hear(&instance, peer);
+            let last_seen = Timestamp::now();
+            let peer = PeerEntry { advice, incarnation, revision, advised, last_seen };
+            shared.peers().apply_heartbeat(&instance, peer);
         }
         ControlMessage::ReportWanted => {
             let _ = sender.try_send(beat_message(shared));
@@ -147,10 +147,10 @@
 /// Marks an entry or an agent as leaving.
 fn take_leaving(shared: &EntryShared, instance: &InstanceId, incarnation: u64) {
     let now = Timestamp::now();
-    shared.peers().leave(instance, incarnation, now);
+    shared.peers().mark_leaving(instance, incarnation, now);
     log::info!(target: "roster", instance:% = instance; "A process leaves.");
     if shared.routed.is_some() {
-        shared.roster().leave(instance, incarnation, now);
+        shared.roster().mark_leaving(instance, incarnation, now);
         shared.rebuild_routes();
     }
 }
@@ -309,8 +309,9 @@
     in_flight: u32,
 ) {
     let now = Timestamp::now();
-    let known = other
-        .and_then(|other| shared.peers().alive(&other.instance, other.incarnation, in_flight, now));
+    let known = other.and_then(|other| {
+        shared.peers().apply_alive(&other.instance, other.incarnation, in_flight, now)
+    });
     match known {
         Some(revision) => heal(shared, sender, revision),
         None => {
--- a/crates/entry/src/direct.rs
+++ b/crates/entry/src/direct.rs
@@ -166,7 +166,11 @@
 }
 
 /// Whether the answer is one to this request, and the endpoint's own.
-fn check_head(head: &RequestHead, parts: &Parts, marks: &AnswerMarks) -> Result<(), AttemptFailure> {
+fn check_head(
+    head: &RequestHead,
+    parts: &Parts,
+    marks: &AnswerMarks,
+) -> Result<(), AttemptFailure> {
     // Answers can arrive crossed: an endpoint may send a second answer to an
     // earlier request, and it would be taken for the next one's. The id that
     // every endpoint repeats tells them apart.
--- a/crates/entry/src/inner.rs
+++ b/crates/entry/src/inner.rs
@@ -144,7 +144,7 @@
         }
         ControlMessage::Beat(load) => take_beat(shared, link, load),
         ControlMessage::Leaving { instance, incarnation } if instance == link.instance => {
-            shared.roster().leave(&instance, incarnation, Timestamp::now());
+            shared.roster().mark_leaving(&instance, incarnation, Timestamp::now());
             shared.rebuild_routes();
             if shared.routed.is_some() {
                 spread::send_to_peers(
@@ -184,7 +184,7 @@
 /// Takes a heartbeat that tells only the load.
 fn take_beat(shared: &EntryShared, link: &AgentLink, load: LoadReport) {
     let mut roster = shared.roster();
-    let known = roster.beat(&link.instance, link.incarnation, load, Timestamp::now());
+    let known = roster.apply_load(&link.instance, link.incarnation, load, Timestamp::now());
     let known = known.map(|report| (report.revision, report.limit));
     drop(roster);
     let Some((revision, limit)) = known else {
@@ -211,7 +211,7 @@
     let known = roster.member(&instance).map(|member| member.report.state.clone());
     let changed = known.as_ref() != Some(&report.state);
     let told = shared.routed.is_some().then(|| report.clone());
-    if !roster.hear(report, Timestamp::now()) {
+    if !roster.apply_report(report, Timestamp::now()) {
         return;
     }
     drop(roster);
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -60,7 +60,7 @@
         if limit.is_none() && !self.is_known.load(Ordering::Relaxed) {
             return;
         }
-        let is_news = self.book().hear(subject_of(instance.as_str()), limit, Timestamp::now());
+        let is_news = self.book().observe(subject_of(instance.as_str()), limit, Timestamp::now());
         if is_news {
             self.note_change();
             match limit {
@@ -77,9 +77,9 @@
     /// Takes in a row of a neighbour; true if it is newer than what is known.
     pub(crate) fn note(&self, row: LimitRow, source: u64, now: Timestamp) -> bool {
         let mut book = self.book();
-        let before = book.named();
-        let is_news = book.note(row, source, now);
-        let named = book.named();
+        let before = book.advertised_count();
+        let is_news = book.merge(row, source, now);
+        let named = book.advertised_count();
         drop(book);
         if is_news {
             self.note_change();
@@ -109,7 +109,7 @@
     let mut is_change = false;
     for candidate in routes.candidates() {
         let subject = subject_of(candidate.instance.as_str());
-        if !book.knows(subject) {
+        if !book.contains(subject) {
             is_change |= candidate.tracker.is_paced();
             candidate.tracker.set_pace(None, now);
             continue;
@@ -121,7 +121,7 @@
         is_change |= pace.is_some() != candidate.tracker.is_paced();
         candidate.tracker.set_pace(pace, now);
     }
-    shared.metrics.limited.set(book.named() as i64);
+    shared.metrics.limited.set(book.advertised_count() as i64);
     drop((book, listing, state));
     if is_change {
         shared.rebuild_routes();
--- a/crates/entry/src/overlay.rs
+++ b/crates/entry/src/overlay.rs
@@ -8,8 +8,8 @@
 };
 
 use cassiawheel_decide::{
-    CrashTracker, EntryLocation, FloodFilter, GossipStore, LinkCursor, LinkId, same_region_or_all,
-    reachable_entries,
+    CrashTracker, EntryLocation, FloodFilter, GossipStore, LinkCursor, LinkId, reachable_entries,
+    same_region_or_all,
 };
 use cassiawheel_model::{Deadline, EntryRecord, InstanceId, RegionName, Timestamp};
 use cassiawheel_wire::{ControlMessage, WireSender, message::FloodMessage};
@@ -96,7 +96,7 @@
         let mut state = self.lock();
         state.flood_number += 1;
         let number = state.flood_number;
-        state.flooded.note(origin, incarnation, number);
+        state.flooded.insert(origin, incarnation, number);
         let message = FloodMessage { origin: origin.clone(), incarnation, number, content };
         state.pass_on(&message, None);
     }
@@ -113,7 +113,7 @@
     /// Passes a message on; false if that was done already.
     pub(crate) fn relay(&self, message: &FloodMessage, source: LinkId) -> bool {
         let mut state = self.lock();
-        let is_news = state.flooded.note(&message.origin, message.incarnation, message.number);
+        let is_news = state.flooded.insert(&message.origin, message.incarnation, message.number);
         if is_news {
             state.pass_on(message, Some(source));
         }
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -13,7 +13,7 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use cassiawheel_decide::{
-    CallerIndex, EndpointTracker, EndpointListing, PresetPull, RetryBudget, FeedRole, VersionBook,
+    CallerIndex, EndpointListing, EndpointTracker, FeedRole, PresetPull, RetryBudget, VersionBook,
     plan::PlanPace,
 };
 use cassiawheel_edge::{
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -340,7 +340,7 @@
             // Another entry may still be connected to the agent.
             routed.overlay.note_change();
         } else if !self.links.load().contains_key(&link.instance) {
-            self.roster().forget(&link.instance, link.incarnation);
+            self.roster().remove(&link.instance, link.incarnation);
             self.rebuild_routes();
         }
     }
@@ -456,7 +456,7 @@
         let listing = routed.listing();
         for candidate in direct_candidates(&listing, &preset, &reports) {
             let listed = candidate.listed;
-            if cells.lives.begin(&listed.instance, listed.born_at) {
+            if cells.lives.observe_start(&listed.instance, listed.born_at) {
                 cells.reset(&listed.instance);
                 routed.direct.keep_only(|instance| *instance != listed.instance);
             }
