--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -137,9 +137,7 @@
             };
             within(head.deadline.remaining(Timestamp::now()), run).await
         }
-        RepeatGuard::Unprotected => {
-            within(longest_run(head), run_once(shared, link, head, body)).await
-        }
+        RepeatGuard::None => within(longest_run(head), run_once(shared, link, head, body)).await,
     }
 }
 
--- a/crates/decide/src/endpoint_tracker.rs
+++ b/crates/decide/src/endpoint_tracker.rs
@@ -233,7 +233,7 @@
     }
 
     /// Requests of others by the last report, which counts in full while it is fresh.
-    pub fn recent_others_in_flight(&self, now: Timestamp) -> u32 {
+    pub fn recent_others(&self, now: Timestamp) -> u32 {
         self.others_after(now, FRESH_MS)
     }
 
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -40,7 +40,7 @@
     /// The claim on its key lets one attempt run, whoever sends others.
     Claimed,
     /// Nothing does: it is not sent again after a possible run.
-    Unprotected,
+    None,
 }
 
 impl RepeatGuard {
@@ -49,7 +49,7 @@
         match (head.repeat, &head.key) {
             (Repeatability::Idempotent, _) => Self::Idempotent,
             (Repeatability::AtMostOnce, Some(_)) => Self::Claimed,
-            (Repeatability::AtMostOnce, None) => Self::Unprotected,
+            (Repeatability::AtMostOnce, None) => Self::None,
         }
     }
 }
@@ -97,9 +97,7 @@
     ) -> RetryStep {
         let may_repeat = match &end {
             AttemptFailure::NotRun(reason) => reason.is_retryable(),
-            AttemptFailure::Unknown(_) | AttemptFailure::Lost(_) => {
-                self.guard != RepeatGuard::Unprotected
-            }
+            AttemptFailure::Unknown(_) | AttemptFailure::Lost(_) => self.guard != RepeatGuard::None,
             AttemptFailure::Unanswered(_) => false,
         };
         let stale = end == AttemptFailure::NotRun(NotRunReason::StaleRevision);
--- a/crates/decide/src/roster.rs
+++ b/crates/decide/src/roster.rs
@@ -240,7 +240,7 @@
     /// Takes a short heartbeat: the last whole one of this process holds but for
     /// the requests in progress. The revision in that one, or `None` if there is
     /// no such heartbeat.
-    pub fn apply_alive(
+    pub fn touch(
         &mut self,
         instance: &InstanceId,
         incarnation: u64,
--- a/crates/decide/src/route.rs
+++ b/crates/decide/src/route.rs
@@ -174,9 +174,7 @@
                 limit.min(self.tracker.in_flight() + u32::from(self.tracker.is_due(now)))
             }
             EndpointPath::Agent => limit,
-            EndpointPath::Direct(_) => {
-                limit.saturating_sub(self.tracker.recent_others_in_flight(now))
-            }
+            EndpointPath::Direct(_) => limit.saturating_sub(self.tracker.recent_others(now)),
         }
     }
 
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -207,7 +207,7 @@
             workspace,
             priority,
             arrived: self.now,
-            tracker: RetryTracker::new(RepeatGuard::Unprotected, deadline, 3),
+            tracker: RetryTracker::new(RepeatGuard::None, deadline, 3),
             excluded: Vec::new(),
         });
         self.count(self.requests.len() - 1, |counts| counts.arrived += 1.0);
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -38,7 +38,7 @@
 /// card was charged. A second attempt could charge it twice.
 #[test]
 fn a_request_without_key_is_not_sent_again_after_a_possible_run() {
-    let mut tries = Tries::new(RepeatGuard::Unprotected);
+    let mut tries = Tries::new(RepeatGuard::None);
     assert_eq!(tries.after(unknown()), RetryStep::Stop(unknown()));
 }
 
@@ -81,7 +81,7 @@
 /// healthy and may be the only one; it is asked again under the newer preset.
 #[test]
 fn a_stale_revision_is_routed_anew() {
-    let mut tries = Tries::new(RepeatGuard::Unprotected);
+    let mut tries = Tries::new(RepeatGuard::None);
     let step = tries.after(refused(NotRunReason::StaleRevision));
     assert!(matches!(step, RetryStep::Reroute(_)));
 }
--- a/crates/decide/tests/roster.rs
+++ b/crates/decide/tests/roster.rs
@@ -252,10 +252,10 @@
 #[test]
 fn a_short_heartbeat_alone_makes_no_entry() {
     let mut roster = EntryRoster::default();
-    assert_eq!(roster.apply_alive(&instance(0), 1, 4, Timestamp(5)), None);
+    assert_eq!(roster.touch(&instance(0), 1, 4, Timestamp(5)), None);
     roster.apply_heartbeat(&instance(0), peer(2, false, 10));
-    assert_eq!(roster.apply_alive(&instance(0), 1, 4, Timestamp(20)), None);
-    assert_eq!(roster.apply_alive(&instance(0), 2, 4, Timestamp(30)), Some(PresetRevision(1)));
+    assert_eq!(roster.touch(&instance(0), 1, 4, Timestamp(20)), None);
+    assert_eq!(roster.touch(&instance(0), 2, 4, Timestamp(30)), Some(PresetRevision(1)));
     roster.expire(Timestamp(25), Timestamp(40));
     assert_eq!(roster.values().map(|peer| peer.advice.in_flight).collect::<Vec<_>>(), [4]);
 }
--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -298,7 +298,7 @@
         Some(RequestMessage::Failed { detail, .. }) => Err(match RepeatGuard::of(routed) {
             // Other agents would find the same claim and let its caller wait.
             RepeatGuard::Claimed => AttemptFailure::Unanswered(detail),
-            RepeatGuard::Idempotent | RepeatGuard::Unprotected => AttemptFailure::Unknown(detail),
+            RepeatGuard::Idempotent | RepeatGuard::None => AttemptFailure::Unknown(detail),
         }),
         Some(_) => Err(AttemptFailure::Unknown("the answer has no head".to_owned())),
         None => Err(AttemptFailure::Unknown("the connection to the endpoint was lost".to_owned())),
--- a/crates/entry/src/caller/outcome.rs
+++ b/crates/entry/src/caller/outcome.rs
@@ -73,7 +73,7 @@
 pub(crate) fn failure_reply(head: &RequestHead, failed: &FailedRequest) -> Response<ReplyBody> {
     let kind = failed.outcome.kind();
     let (status, error, message, mut wait_ms) = describe(&failed.outcome);
-    if kind == OutcomeKind::Unknown && RepeatGuard::of(head) != RepeatGuard::Unprotected {
+    if kind == OutcomeKind::Unknown && RepeatGuard::of(head) != RepeatGuard::None {
         // Asking again does no harm: the request is idempotent or has a key.
         wait_ms = Some(UNKNOWN_RETRY_MS);
     }
--- a/crates/entry/src/control/spread.rs
+++ b/crates/entry/src/control/spread.rs
@@ -309,9 +309,8 @@
     in_flight: u32,
 ) {
     let now = Timestamp::now();
-    let known = other.and_then(|other| {
-        shared.peers().apply_alive(&other.instance, other.incarnation, in_flight, now)
-    });
+    let known = other
+        .and_then(|other| shared.peers().touch(&other.instance, other.incarnation, in_flight, now));
     match known {
         Some(revision) => heal(shared, sender, revision),
         None => {
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -425,16 +425,16 @@
             let EndpointState::Serving { version, .. } = &report.state else {
                 continue;
             };
-            let cell = cells.of(&report.instance);
-            if cell.limit() == 0 {
-                cell.apply_report(&report.load, report.limit);
+            let tracker = cells.of(&report.instance);
+            if tracker.limit() == 0 {
+                tracker.apply_report(&report.load, report.limit);
             }
             services.entry(report.service.clone()).or_default().push(RouteCandidate {
                 instance: report.instance.clone(),
                 version: version.clone(),
                 is_near: report.failure_domain == *own_domain,
                 path: EndpointPath::Agent,
-                tracker: cell,
+                tracker,
             });
         }
         services
@@ -460,17 +460,17 @@
                 cells.reset(&listed.instance);
                 routed.direct.keep_only(|instance| *instance != listed.instance);
             }
-            let cell = cells.of(&listed.instance);
-            cell.set_hard_limit(candidate.limit);
+            let tracker = cells.of(&listed.instance);
+            tracker.set_hard_limit(candidate.limit);
             if let Some(report) = reports.get(&listed.addr) {
-                load_cells.insert(subject_of(report.instance.as_str()), cell.clone());
+                load_cells.insert(subject_of(report.instance.as_str()), tracker.clone());
             }
             services.entry(listed.service.clone()).or_default().push(RouteCandidate {
                 instance: listed.instance.clone(),
                 version: candidate.version,
                 is_near: routed.settings.near_domains.contains(&listed.failure_domain),
                 path: EndpointPath::Direct(listed.addr),
-                tracker: cell,
+                tracker,
             });
         }
         let listed: HashSet<_> = listing.endpoints().map(|listed| &listed.instance).collect();
