--- a/crates/edge/src/callers.rs
+++ b/crates/edge/src/callers.rs
@@ -16,16 +16,16 @@
     /// The caller's key.
     pub key: Option<String>,
     /// How long the caller waits from now on.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The last event that the caller has, if it goes on with a broken stream.
     pub last_event: Option<u64>,
     /// Size of a generation, if it is one.
-    pub work: Option<GenerationWork>,
+    pub generation_size: Option<GenerationSize>,
 }
 
 /// Size of a generation in tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GenerationWork {
+pub struct GenerationSize {
     /// Tokens of the prompt.
     pub prompt: u32,
     /// Tokens of the answer, as the caller expects.
@@ -35,7 +35,7 @@
 /// Why a caller's head is not understood.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {problem}")]
-pub struct FieldError {
+pub struct HeaderError {
     /// The header field.
     pub field: &'static str,
     /// What is wrong with it.
@@ -54,7 +54,7 @@
 /// The callers' protocol.
 pub trait CallerProtocol: Send + Sync {
     /// Reads the head of a request.
-    fn read_head(&self, parts: &Parts) -> Result<CallerHead, FieldError>;
+    fn read_head(&self, parts: &Parts) -> Result<CallerHead, HeaderError>;
 
     /// The fields of a request that go on to the endpoint unchanged.
     fn end_to_end(&self, headers: &HeaderMap) -> HeaderMap;
@@ -63,8 +63,8 @@
     fn read_advice(&self, parts: &Parts) -> Option<AdviceQuery>;
 
     /// The body of the answer to such a question.
-    fn advice_body(&self, addresses: &[std::net::SocketAddr], keep: Duration) -> Vec<u8>;
+    fn advice_body(&self, addresses: &[std::net::SocketAddr], ttl: Duration) -> Vec<u8>;
 
     /// Whether a request asks if this process is ready.
-    fn is_ready_probe(&self, parts: &Parts) -> bool;
+    fn is_readiness_probe(&self, parts: &Parts) -> bool;
 }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -19,7 +19,7 @@
 pub mod table_http;
 pub mod weights;
 
-pub use callers::{AdviceQuery, CallerHead, CallerProtocol, FieldError, GenerationWork};
+pub use callers::{AdviceQuery, CallerHead, CallerProtocol, GenerationSize, HeaderError};
 pub use client::{ClientError, HttpClient};
 pub use endpoints::{AnswerMarks, EndpointLeg, EndpointProtocol, ToldLoad};
 pub use engine::{EngineAnswer, EngineError, EngineStatus, LoadOrder, ModelEngine, StagedBits};
--- a/crates/entry/src/caller/routed.rs
+++ b/crates/entry/src/caller/routed.rs
@@ -154,7 +154,7 @@
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
     let (parts, _) = request.into_parts();
-    if !routed.callers.is_ready_probe(&parts) {
+    if !routed.callers.is_readiness_probe(&parts) {
         let message = format!("no page {}", parts.uri.path());
         return error_reply(StatusCode::NOT_FOUND, "not-found", message);
     }
@@ -182,7 +182,7 @@
         .map_err(|_| CallerRefusal::UnknownKey)?
         .cloned();
     let head = request_head(&parts, &caller, rule, workspace.as_ref(), now)?;
-    let is_first = caller.patience.is_none_or(|patience| routed.is_first_try(&rule.name, patience));
+    let is_first = caller.timeout.is_none_or(|patience| routed.is_first_try(&rule.name, patience));
     let limits = index.table().limits;
     let span = Duration::from_millis(shared.settings.limits.body_ms)
         .min(head.deadline.remaining(Timestamp::now()));
@@ -226,7 +226,7 @@
     };
     let service = draw_service(rule, rand::rng().random()).ok_or(CallerRefusal::NoRoute)?;
     let timeout = Duration::from_millis(rule.timeout_ms);
-    let patience = caller.patience.map_or(timeout, |patience| patience.min(timeout));
+    let patience = caller.timeout.map_or(timeout, |patience| patience.min(timeout));
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     Ok(RequestHead {
         id: caller.id.clone(),
