--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use cassiawheel_decide::{AttemptEnd, EndpointCell, EndpointPath, RepeatGuard};
-use cassiawheel_edge::{EndpointLeg, ToldLoad};
+use cassiawheel_edge::{ForwardMetadata, ReportedLoad};
 use cassiawheel_model::{
     Deadline, HeaderField, InstanceId, LoadReport, ModelVersion, NotRunReason, PresetRevision,
     Repeatability, RequestHead, Timestamp,
@@ -209,14 +209,14 @@
     cell: &EndpointCell,
 ) -> Result<AnswerHead, AttemptEnd> {
     let head = sent.head;
-    let leg = EndpointLeg {
+    let leg = ForwardMetadata {
         request: &head.id,
         endpoint: target.instance,
-        left: head.deadline.remaining(Timestamp::now()),
+        remaining: head.deadline.remaining(Timestamp::now()),
         workspace: sent.request.workspace.as_ref(),
         version: head.version.as_ref(),
         last_event: sent.last_event,
-        may_wait: false,
+        is_low_priority: false,
     };
     let (fields, body) = (&sent.request.fields, &sent.request.body);
     let answer = routed.direct.send(target, head, fields, body, &leg).await?;
@@ -233,7 +233,7 @@
     })
 }
 
-fn load_report(load: ToldLoad) -> LoadReport {
+fn load_report(load: ReportedLoad) -> LoadReport {
     LoadReport { in_flight: load.running, queued: load.waiting, measured_at: Timestamp::now() }
 }
 
--- a/crates/entry/src/direct.rs
+++ b/crates/entry/src/direct.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use cassiawheel_decide::AttemptEnd;
-use cassiawheel_edge::{AnswerMarks, EndpointLeg, EndpointProtocol};
+use cassiawheel_edge::{EndpointProtocol, ForwardMetadata, ResponseMetadata};
 use cassiawheel_model::{InstanceId, NotRunReason, Repeatability, RequestHead, Timestamp};
 use cassiawheel_runtime::{spawn, timeout};
 use http_body_util::{BodyExt, Full, Limited};
@@ -44,7 +44,7 @@
     /// Status and header fields.
     pub(crate) parts: Parts,
     /// What they tell.
-    pub(crate) marks: AnswerMarks,
+    pub(crate) marks: ResponseMetadata,
     /// The rest.
     pub(crate) stream: DirectStream,
 }
@@ -54,7 +54,7 @@
     body: Incoming,
     client: Arc<DirectClient>,
     connection: Option<EndpointConnection>,
-    marks: AnswerMarks,
+    marks: ResponseMetadata,
 }
 
 /// One step of the rest of an answer.
@@ -85,12 +85,12 @@
         head: &RequestHead,
         fields: &HeaderMap,
         body: &Bytes,
-        leg: &EndpointLeg<'_>,
+        leg: &ForwardMetadata<'_>,
     ) -> Result<DirectAnswer, AttemptEnd> {
         let request = self.request(head, fields, body, leg)?;
         let (reply, connection) = self.exchange(target, head, request).await?;
         let (parts, body) = reply.into_parts();
-        let marks = self.protocol.read_marks(&parts);
+        let marks = self.protocol.read_metadata(&parts);
         // A refusal may come from another process, or from one that has not looked at its limit.
         if marks.limit.is_some() || !marks.not_run {
             self.limits.hear(target.instance, marks.limit);
@@ -117,7 +117,7 @@
         head: &RequestHead,
         fields: &HeaderMap,
         body: &Bytes,
-        leg: &EndpointLeg<'_>,
+        leg: &ForwardMetadata<'_>,
     ) -> Result<Request<Full<Bytes>>, AttemptEnd> {
         let request = Request::builder().method(head.method.as_str()).uri(head.path.as_str());
         let mut request = request.body(Full::new(body.clone())).map_err(|error| {
@@ -125,7 +125,7 @@
             AttemptEnd::NotRun(NotRunReason::ConnectFailed)
         })?;
         *request.headers_mut() = fields.clone();
-        self.protocol.write_leg(request.headers_mut(), leg);
+        self.protocol.write_metadata(request.headers_mut(), leg);
         Ok(request)
     }
 
@@ -166,7 +166,11 @@
 }
 
 /// Whether the answer is one to this request, and the endpoint's own.
-fn check_head(head: &RequestHead, parts: &Parts, marks: &AnswerMarks) -> Result<(), AttemptEnd> {
+fn check_head(
+    head: &RequestHead,
+    parts: &Parts,
+    marks: &ResponseMetadata,
+) -> Result<(), AttemptEnd> {
     // Answers can arrive crossed: an endpoint may send a second answer to an
     // earlier request, and it would be taken for the next one's. The id that
     // every endpoint repeats tells them apart.
@@ -206,8 +210,8 @@
     }
 
     fn give_back(&mut self) {
-        if let Some(connection) = self.connection.take().filter(|_| !self.marks.closes) {
-            self.client.pool.put(connection, self.marks.idle_time, Timestamp::now());
+        if let Some(connection) = self.connection.take().filter(|_| !self.marks.closes_connection) {
+            self.client.pool.put(connection, self.marks.idle_timeout, Timestamp::now());
         }
     }
 
