--- a/crates/edge/src/client.rs
+++ b/crates/edge/src/client.rs
@@ -31,7 +31,7 @@
 use tower_service::Service;
 
 /// How long an unused connection is kept.
-const IDLE_TIME: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a call failed.
 #[derive(Debug, Clone, thiserror::Error)]
@@ -49,13 +49,13 @@
 pub struct HttpClient {
     inner: Client<SmolConnector, Full<Bytes>>,
     /// Whether servers are asked to close the connection after their answer.
-    closes: bool,
+    closes_connections: bool,
 }
 
 impl Default for HttpClient {
     fn default() -> Self {
-        let inner = builder().pool_idle_timeout(IDLE_TIME).build(SmolConnector { open: None });
-        Self { inner, closes: false }
+        let inner = builder().pool_idle_timeout(IDLE_TIMEOUT).build(SmolConnector { open: None });
+        Self { inner, closes_connections: false }
     }
 }
 
@@ -71,9 +71,9 @@
     ///
     /// The server is asked to close as well: it then does so on its own if this
     /// process is gone when the answer is ready.
-    pub fn closing(open: IntGauge) -> Self {
+    pub fn without_keep_alive(open: IntGauge) -> Self {
         let inner = builder().pool_max_idle_per_host(0).build(SmolConnector { open: Some(open) });
-        Self { inner, closes: true }
+        Self { inner, closes_connections: true }
     }
 
     /// Sends `request` and waits for the head of the answer.
@@ -90,34 +90,34 @@
         })
     }
 
-    /// Calls `path` at `addr` and reads the whole answer within `span`; what is posted is JSON.
+    /// Calls `path` at `addr` and reads the whole answer within `max_wait`; what is posted is JSON.
     pub async fn call(
         &self,
         method: Method,
         addr: SocketAddr,
         path: &str,
         body: Bytes,
-        span: Duration,
+        max_wait: Duration,
     ) -> Result<Response<Bytes>, ClientError> {
         let mut request = Request::builder().uri(format!("http://{addr}{path}"));
         if method == Method::POST {
             request = request.header(CONTENT_TYPE, "application/json");
         }
-        if self.closes {
+        if self.closes_connections {
             request = request.header(CONNECTION, "close");
         }
         let request = request
             .method(method)
             .body(Full::new(body))
             .map_err(|error| ClientError::NotSent(error.to_string()))?;
-        self.send_whole(request, span).await
+        self.send_and_read(request, max_wait).await
     }
 
-    /// Sends `request` and reads the whole answer within `span`.
-    pub async fn send_whole(
+    /// Sends `request` and reads the whole answer within `max_wait`.
+    pub async fn send_and_read(
         &self,
         request: Request<Full<Bytes>>,
-        span: Duration,
+        max_wait: Duration,
     ) -> Result<Response<Bytes>, ClientError> {
         let call = async {
             let (head, body) = self.send(request).await?.into_parts();
@@ -125,7 +125,7 @@
             let body = body.map_err(|error| ClientError::NoAnswer(chain(&error)))?;
             Ok(Response::from_parts(head, body.to_bytes()))
         };
-        timeout(span, call)
+        timeout(max_wait, call)
             .await
             .unwrap_or_else(|| Err(ClientError::NoAnswer("timed out".to_owned())))
     }
--- a/crates/edge/src/instances.rs
+++ b/crates/edge/src/instances.rs
@@ -57,7 +57,7 @@
             let request = Request::get(format!("http://{}/v1/instances", self.addr))
                 .body(Full::new(Bytes::new()))
                 .map_err(|error| ClientError::NotSent(error.to_string()))?;
-            let reply = self.client.send_whole(request, self.timeout).await?;
+            let reply = self.client.send_and_read(request, self.timeout).await?;
             serde_json::from_slice(reply.body())
                 .map_err(|error| ClientError::NoAnswer(error.to_string()))
         })
--- a/crates/edge/src/origin_client.rs
+++ b/crates/edge/src/origin_client.rs
@@ -59,19 +59,19 @@
 
 impl Default for OriginClient {
     fn default() -> Self {
-        Self { client: HttpClient::closing(ORIGIN_METRICS.connections.clone()) }
+        Self { client: HttpClient::without_keep_alive(ORIGIN_METRICS.connections.clone()) }
     }
 }
 
 impl OriginClient {
-    /// What `path` at `addr` holds, read within `span`.
+    /// What `path` at `addr` holds, read within `max_wait`.
     pub async fn get(
         &self,
         addr: SocketAddr,
         path: &str,
-        span: Duration,
+        max_wait: Duration,
     ) -> Result<Bytes, WeightError> {
-        let reply = self.client.call(Method::GET, addr, path, Bytes::new(), span).await;
+        let reply = self.client.call(Method::GET, addr, path, Bytes::new(), max_wait).await;
         let reply = reply.inspect_err(|error| note_failure(path, error))?;
         match reply.status() {
             StatusCode::OK => Ok(reply.into_body()),
--- a/crates/edge/src/table_http.rs
+++ b/crates/edge/src/table_http.rs
@@ -60,7 +60,7 @@
             .uri(format!("http://{}{path}", self.addr))
             .body(Full::new(Bytes::from(text)))
             .map_err(|error| StoreError::NoEffect(error.to_string()))?;
-        let reply = self.client.send_whole(request, self.timeout).await?;
+        let reply = self.client.send_and_read(request, self.timeout).await?;
         match reply.status() {
             StatusCode::OK => serde_json::from_slice(reply.body())
                 .map_err(|error| StoreError::Unknown(error.to_string())),
--- a/crates/entry/src/cli/client.rs
+++ b/crates/entry/src/cli/client.rs
@@ -106,7 +106,7 @@
             .body(Full::new(Bytes::from(body)))
             .map_err(|error| CallFailure::NotSent(error.to_string()))?;
         let client = HttpClient::default();
-        let reply = cassiawheel_runtime::run(1, client.send_whole(request, REPLY_TIME));
+        let reply = cassiawheel_runtime::run(1, client.send_and_read(request, REPLY_TIME));
         match reply {
             Ok(Ok(reply)) => Ok(AdminReply { status: reply.status(), body: reply.into_body() }),
             Ok(Err(ClientError::NotSent(detail))) => {
--- a/crates/testkit/examples/capacity.rs
+++ b/crates/testkit/examples/capacity.rs
@@ -153,7 +153,7 @@
 
 async fn control_bytes(addr: SocketAddr) -> anyhow::Result<f64> {
     let request = Request::get(format!("http://{addr}/metrics")).body(Full::new(Bytes::new()))?;
-    let reply = HttpClient::default().send_whole(request, Duration::from_secs(5)).await?;
+    let reply = HttpClient::default().send_and_read(request, Duration::from_secs(5)).await?;
     let text = String::from_utf8_lossy(reply.body()).into_owned();
     let control = text.lines().filter(|line| line.starts_with("cassiawheel_wire_control_"));
     Ok(control.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum())
--- a/crates/testkit/examples/control.rs
+++ b/crates/testkit/examples/control.rs
@@ -234,7 +234,7 @@
         .header("authorization", format!("Bearer {VIEWER_TOKEN}"))
         .body(Full::new(Bytes::new()))
         .ok()?;
-    let reply = client.send_whole(request, Duration::from_secs(2)).await.ok()?;
+    let reply = client.send_and_read(request, Duration::from_secs(2)).await.ok()?;
     serde_json::from_slice(reply.body()).ok()
 }
 
@@ -342,7 +342,7 @@
 /// Bytes that a process has sent to others of the system.
 async fn sent_bytes(client: &HttpClient, metrics: SocketAddr) -> anyhow::Result<f64> {
     let request = Request::get(format!("http://{metrics}/metrics")).body(Full::default())?;
-    let reply = client.send_whole(request, Duration::from_secs(2)).await?;
+    let reply = client.send_and_read(request, Duration::from_secs(2)).await?;
     let text = String::from_utf8_lossy(reply.body()).into_owned();
     let sent =
         text.lines().filter(|line| line.contains("sent_bytes_total ") && !line.starts_with('#'));
--- a/crates/testkit/examples/hop.rs
+++ b/crates/testkit/examples/hop.rs
@@ -162,7 +162,7 @@
     let request = Request::post(url)
         .header("cassiawheel-idempotent", "true")
         .body(Full::new(Bytes::from_static(b"when does the lift tour start")))?;
-    let reply = client.send_whole(request, CALL_TIME).await?;
+    let reply = client.send_and_read(request, CALL_TIME).await?;
     anyhow::ensure!(reply.status().is_success(), "{}", reply.status());
     Ok(())
 }
--- a/crates/testkit/examples/quickstart.rs
+++ b/crates/testkit/examples/quickstart.rs
@@ -259,7 +259,7 @@
     for entry in entries {
         let request =
             hyper::Request::get(format!("http://{entry}/v1/entries")).body(Full::default())?;
-        let Ok(reply) = client.send_whole(request, Duration::from_secs(2)).await else {
+        let Ok(reply) = client.send_and_read(request, Duration::from_secs(2)).await else {
             continue;
         };
         return Ok(serde_json::from_slice(reply.body())?);
--- a/crates/testkit/src/burst/drive.rs
+++ b/crates/testkit/src/burst/drive.rs
@@ -136,7 +136,7 @@
             let entry = self.choose(&self.entries)?;
             let request = Request::get(format!("http://{entry}/v1/entries"));
             let request = request.body(Full::new(Bytes::new())).ok()?;
-            let Ok(reply) = self.client.send_whole(request, ADVICE_TIME).await else {
+            let Ok(reply) = self.client.send_and_read(request, ADVICE_TIME).await else {
                 continue;
             };
             if let Ok(advice) = serde_json::from_slice::<EntryAdvice>(reply.body()) {
--- a/crates/testkit/src/burst/operate.rs
+++ b/crates/testkit/src/burst/operate.rs
@@ -151,7 +151,7 @@
             .header(AUTHORIZATION, format!("Bearer {OPERATOR_TOKEN}"))
             .body(Full::new(Bytes::from(body.to_string())))
             .ok()?;
-        self.client.send_whole(request, CALL_TIME).await.ok()
+        self.client.send_and_read(request, CALL_TIME).await.ok()
     }
 }
 
--- a/crates/testkit/src/deployment.rs
+++ b/crates/testkit/src/deployment.rs
@@ -249,7 +249,7 @@
             .uri(format!("http://{}{path}", self.entries[index].admin_addr))
             .header(AUTHORIZATION, format!("Bearer {token}"))
             .body(Full::new(Bytes::from(body)))?;
-        Ok(self.client.send_whole(request, Duration::from_secs(15)).await?)
+        Ok(self.client.send_and_read(request, Duration::from_secs(15)).await?)
     }
 
     /// Stores a preset and puts it in force; the reply tells its revision.
--- a/crates/testkit/src/platform_site.rs
+++ b/crates/testkit/src/platform_site.rs
@@ -243,7 +243,7 @@
         let client = HttpClient::default();
         let is_so = async || {
             let request = Request::get(&url).body(Full::new(Bytes::new()))?;
-            let status = client.send_whole(request, PATIENCE).await.map(|reply| reply.status());
+            let status = client.send_and_read(request, PATIENCE).await.map(|reply| reply.status());
             anyhow::Ok(status.is_ok_and(|status| status == StatusCode::OK) == ready)
         };
         wait_until(is_so).await
@@ -252,7 +252,7 @@
     /// Calls the first entry.
     pub async fn call(&self, call: SiteCall<'_>) -> anyhow::Result<Response<Bytes>> {
         let request = self.request(0, call)?;
-        Ok(HttpClient::default().send_whole(request, PATIENCE).await?)
+        Ok(HttpClient::default().send_and_read(request, PATIENCE).await?)
     }
 
     /// The request of a call to an entry.
--- a/crates/testkit/src/site_soak.rs
+++ b/crates/testkit/src/site_soak.rs
@@ -295,7 +295,7 @@
         let in_touch = self.disturbed[entry].deadline_after(STABLE_TIME).is_past(sent_at);
         let record = AttemptRecord { id, is_fatal, sent_at, in_touch, answer: None };
         let call = spawn(async move {
-            let answer = HttpClient::default().send_whole(request, CALL_TIME).await;
+            let answer = HttpClient::default().send_and_read(request, CALL_TIME).await;
             let told = |answer: Response<Bytes>| {
                 (answer.status(), String::from_utf8_lossy(answer.body()).into_owned())
             };
--- a/crates/testkit/src/traffic.rs
+++ b/crates/testkit/src/traffic.rs
@@ -36,7 +36,7 @@
 /// Reads the counters of the process whose metrics are at `addr`.
 pub async fn read_control_bytes(addr: SocketAddr) -> Option<ControlBytes> {
     let request = Request::get(format!("http://{addr}/metrics")).body(Full::new(Bytes::new()));
-    let reply = HttpClient::default().send_whole(request.ok()?, READ_TIME).await.ok()?;
+    let reply = HttpClient::default().send_and_read(request.ok()?, READ_TIME).await.ok()?;
     let text = String::from_utf8_lossy(reply.body()).into_owned();
     let value = |name: &str| -> Option<f64> {
         text.lines().find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
--- a/crates/testkit/tests/burst_guards.rs
+++ b/crates/testkit/tests/burst_guards.rs
@@ -159,7 +159,7 @@
         let rerun = Request::post(format!("http://{ledger}/sales"))
             .header("x-request-id", id)
             .body(Full::new(Bytes::from(call.text.clone())))?;
-        HttpClient::default().send_whole(rerun, Duration::from_secs(5)).await?;
+        HttpClient::default().send_and_read(rerun, Duration::from_secs(5)).await?;
         assert_eq!(bench.judge(vec![call], Vec::new()).not_run_but_ran, 1);
         Ok(())
     });
--- a/crates/testkit/tests/control_drains.rs
+++ b/crates/testkit/tests/control_drains.rs
@@ -107,7 +107,7 @@
     async fn ask(&self, entry: SocketAddr) -> Option<Value> {
         let request = Request::get(format!("http://{entry}/v1/entries"));
         let request = request.body(Full::new(Bytes::new())).ok()?;
-        let reply = self.client.send_whole(request, Duration::from_secs(2)).await.ok()?;
+        let reply = self.client.send_and_read(request, Duration::from_secs(2)).await.ok()?;
         serde_json::from_slice(reply.body()).ok()
     }
 
--- a/crates/testkit/tests/headers.rs
+++ b/crates/testkit/tests/headers.rs
@@ -42,7 +42,7 @@
             .header("cassiawheel-idempotent", idempotent)
             .header(ECHO_HEADER, "booth 7")
             .body(Full::new(Bytes::from_static(b"one seat")))?;
-        let answer = HttpClient::default().send_whole(request, WAIT).await?;
+        let answer = HttpClient::default().send_and_read(request, WAIT).await?;
         assert_eq!(answer.headers()[ECHO_HEADER], "booth 7");
         assert_eq!(answer.headers()["cassiawheel-attempts"], "1");
         assert_eq!(answer.headers().get_all("cassiawheel-attempts").iter().count(), 1);
--- a/crates/testkit/tests/named_limits.rs
+++ b/crates/testkit/tests/named_limits.rs
@@ -42,7 +42,7 @@
             number += 1;
             let id = format!("{name}-{number}");
             let request = site.request(entry, SiteCall::new(&id, "/safe/x"))?;
-            let answer = client.send_whole(request, SPREAD_TIME).await?;
+            let answer = client.send_and_read(request, SPREAD_TIME).await?;
             failed += usize::from(answer.status() != StatusCode::OK);
         }
         Timer::after(REQUEST_TIME).await;
--- a/crates/testkit/tests/platform_path.rs
+++ b/crates/testkit/tests/platform_path.rs
@@ -239,7 +239,8 @@
         let changed_at = Timestamp::now();
         let status = async |entry: usize, path: &str| {
             let request = site.request(entry, SiteCall::new("r-1", path))?;
-            let answer = HttpClient::default().send_whole(request, Duration::from_secs(2)).await?;
+            let answer =
+                HttpClient::default().send_and_read(request, Duration::from_secs(2)).await?;
             anyhow::Ok(answer.status())
         };
         for entry in 0..2 {
@@ -312,7 +313,7 @@
                 let id = format!("r-{entry}-{number}");
                 let request = site.request(entry, SiteCall::new(&id, "/safe/x"))?;
                 let answer =
-                    HttpClient::default().send_whole(request, Duration::from_secs(2)).await?;
+                    HttpClient::default().send_and_read(request, Duration::from_secs(2)).await?;
                 assert_eq!(answer.status(), StatusCode::OK);
             }
         }
@@ -369,7 +370,7 @@
         site.add_entry()?;
         site.wait_ready(&site.entries[1], true).await?;
         let request = site.request(1, SiteCall::new("r-1", "/safe/x"))?;
-        let answer = HttpClient::default().send_whole(request, Duration::from_secs(2)).await?;
+        let answer = HttpClient::default().send_and_read(request, Duration::from_secs(2)).await?;
         assert_eq!(answer.status(), StatusCode::OK);
         Ok(())
     });
@@ -384,7 +385,7 @@
         let request = site.request(0, SiteCall::new("s-1", "/stream/x"))?;
         let client = HttpClient::default();
         let call = cassiawheel_runtime::spawn(async move {
-            client.send_whole(request, Duration::from_secs(5)).await
+            client.send_and_read(request, Duration::from_secs(5)).await
         });
         wait_until(async || Ok(site.runs_of("s-1") == 1)).await?;
         site.entries[0].process.terminate()?;
@@ -406,7 +407,8 @@
             let directory = site.entries[entry].directory;
             let url = format!("http://{directory}/v1/resolve?name=x&region=north&zone=hall");
             let request = hyper::Request::get(url).body(Default::default())?;
-            let answer = HttpClient::default().send_whole(request, Duration::from_secs(2)).await?;
+            let answer =
+                HttpClient::default().send_and_read(request, Duration::from_secs(2)).await?;
             let value: serde_json::Value = serde_json::from_slice(answer.body())?;
             let addrs = value["addresses"].as_array().cloned().unwrap_or_default();
             anyhow::Ok((addrs, value["ttl_s"].as_f64()))
--- a/crates/testkit/tests/product_process.rs
+++ b/crates/testkit/tests/product_process.rs
@@ -198,7 +198,7 @@
             let request = hyper::Request::get(format!("http://{addr}/metrics"))
                 .body(http_body_util::Full::default())?;
             let client = cassiawheel_edge::HttpClient::default();
-            let reply = client.send_whole(request, LONG).await?;
+            let reply = client.send_and_read(request, LONG).await?;
             let text = String::from_utf8_lossy(reply.body()).into_owned();
             let names = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
             let names = names.filter_map(|line| line.split(' ').next());
--- a/crates/testkit/tests/start_traffic.rs
+++ b/crates/testkit/tests/start_traffic.rs
@@ -25,7 +25,7 @@
 async fn control_bytes(entry: &PlatformEntry) -> anyhow::Result<usize> {
     let url = format!("http://{}/metrics", entry.metrics);
     let request = Request::get(url).body(Full::new(Bytes::new()))?;
-    let reply = HttpClient::default().send_whole(request, Duration::from_secs(2)).await?;
+    let reply = HttpClient::default().send_and_read(request, Duration::from_secs(2)).await?;
     let text = String::from_utf8_lossy(reply.body()).into_owned();
     let mut lines = text.lines();
     let line =
