--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -183,7 +183,7 @@
 async fn reach(shared: &Arc<EndpointShared>, order: &WeightOrder) -> anyhow::Result<ReachEnd> {
     let status = shared.engine.status().await?;
     ensure_current(order, &status)?;
-    let answers = status.answers_from(&order.version, order.manifest);
+    let answers = status.serves(&order.version, order.manifest);
     if answers && is_empty(shared) {
         // The engine's answer to the order that did this was lost, or the engine
         // started with these weights after the order had come.
@@ -287,12 +287,12 @@
         fencing: order.fencing,
     };
     ensure_current(order, &shared.engine.status().await?)?;
-    shared.engine.load(&load).await?;
+    shared.engine.load_weights(&load).await?;
     let status = shared.engine.status().await?;
     // The answer to an order tells what was asked, not what is loaded; another
     // process may have given an order in between.
     anyhow::ensure!(
-        status.answers_from(&order.version, order.manifest),
+        status.serves(&order.version, order.manifest),
         "the engine answers from other weights than ordered"
     );
     Ok(())
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use cassiawheel_decide::{RepeatGuard, RunLatch, claim::RecordedAnswer};
-use cassiawheel_edge::{EngineAnswer, EngineError};
+use cassiawheel_edge::{EngineError, EngineResponse};
 use cassiawheel_model::{EndpointRole, NotRunReason, PresetRevision, RequestHead, Timestamp};
 use cassiawheel_runtime::timeout;
 use cassiawheel_wire::{ControlMessage, RequestMessage, WireError, WireSender};
@@ -187,7 +187,7 @@
     shared: &EndpointShared,
     head: &RequestHead,
     body: Bytes,
-) -> Result<EngineAnswer, RunFailure> {
+) -> Result<EngineResponse, RunFailure> {
     let answer = shared.engine.call(head, body).await.map_err(|error| match error {
         EngineError::NotSent(_) => RunFailure::NotRun(NotRunReason::ConnectFailed),
         EngineError::Refused(detail) | EngineError::NoAnswer(detail) => RunFailure::Unknown(detail),
@@ -225,7 +225,7 @@
     shared: &EndpointShared,
     link: &AttemptLink,
     head: &RequestHead,
-    answer: &mut EngineAnswer,
+    answer: &mut EngineResponse,
 ) -> Result<(), RunFailure> {
     let AttemptLink { sender, attempt, granted, .. } = link;
     let attempt = *attempt;
--- a/crates/agent/src/transfer/stage.rs
+++ b/crates/agent/src/transfer/stage.rs
@@ -79,7 +79,7 @@
     let Some(manifest) = pinned_manifest(shared, order).await.map(Arc::new) else {
         return Ok(false);
     };
-    let staged = shared.engine.stage(&manifest).await.context("staging cannot be opened")?;
+    let staged = shared.engine.open_staging(&manifest).await.context("staging cannot be opened")?;
     let bits = hex::decode(&staged.bits).context("the engine's list of chunks is damaged")?;
     let mut held = vec![false; manifest.chunks.len()];
     for index in set_positions(&bits, held.len()) {
@@ -140,7 +140,7 @@
         return;
     };
     for manifest in status.staged.into_iter().filter(|manifest| !keep.contains(manifest)) {
-        if let Err(error) = shared.engine.drop_staging(manifest).await {
+        if let Err(error) = shared.engine.discard_staging(manifest).await {
             log::warn!(target: "transfer", manifest:% = manifest, cause:% = error; "Staging was not released.");
         }
     }
@@ -160,7 +160,7 @@
     let Some(manifest) = pinned_manifest(shared, order).await.map(Arc::new) else {
         return Ok(());
     };
-    let staged = shared.engine.stage(&manifest).await.context("staging cannot be opened")?;
+    let staged = shared.engine.open_staging(&manifest).await.context("staging cannot be opened")?;
     let bits = hex::decode(&staged.bits).context("the engine's list of chunks is damaged")?;
     let whole = set_positions(&bits, manifest.chunks.len()).count() == manifest.chunks.len();
     if whole {
--- a/crates/edge/src/engine.rs
+++ b/crates/edge/src/engine.rs
@@ -35,7 +35,7 @@
 
 impl EngineStatus {
     /// Whether the engine answers from these weights, as far as it tells.
-    pub fn answers_from(&self, version: &ModelVersion, manifest: ManifestDigest) -> bool {
+    pub fn serves(&self, version: &ModelVersion, manifest: ManifestDigest) -> bool {
         let is_manifest = !self.tells_manifest || self.manifest == Some(manifest);
         self.version.as_ref() == Some(version) && is_manifest
     }
@@ -44,12 +44,12 @@
 /// Which chunks an engine holds in staging, one bit each, least significant first.
 #[apply(record!)]
 #[derive(Eq)]
-pub struct StagedBits {
+pub struct StagedBitmap {
     /// The bits as hexadecimal digits.
     pub bits: String,
 }
 
-impl StagedBits {
+impl StagedBitmap {
     /// Packs one flag for each chunk.
     pub fn pack(flags: &[bool]) -> Self {
         Self { bits: hex::encode(pack_flags(flags)) }
@@ -93,7 +93,7 @@
 
 /// The beginning of an endpoint's answer; the body follows as a stream.
 #[derive(Debug)]
-pub struct EngineAnswer {
+pub struct EngineResponse {
     /// HTTP status.
     pub status: u16,
     /// Media type.
@@ -112,10 +112,10 @@
     fn status(&self) -> EdgeFuture<'_, Result<EngineStatus, EngineError>>;
 
     /// Opens staging for `manifest`, keeping chunks staged before.
-    fn stage<'a>(
+    fn open_staging<'a>(
         &'a self,
         manifest: &'a WeightManifest,
-    ) -> EdgeFuture<'a, Result<StagedBits, EngineError>>;
+    ) -> EdgeFuture<'a, Result<StagedBitmap, EngineError>>;
 
     /// Stages one verified chunk.
     fn stage_chunk(
@@ -133,15 +133,15 @@
     ) -> EdgeFuture<'_, Result<Bytes, EngineError>>;
 
     /// Gives up what is staged of `manifest`; the weights it answers from stay.
-    fn drop_staging(&self, manifest: ManifestDigest) -> EdgeFuture<'_, Result<(), EngineError>>;
+    fn discard_staging(&self, manifest: ManifestDigest) -> EdgeFuture<'_, Result<(), EngineError>>;
 
     /// Answers from the staged weights from now on.
-    fn load<'a>(&'a self, order: &'a LoadOrder) -> EdgeFuture<'a, Result<(), EngineError>>;
+    fn load_weights<'a>(&'a self, order: &'a LoadOrder) -> EdgeFuture<'a, Result<(), EngineError>>;
 
     /// Runs a request.
     fn call<'a>(
         &'a self,
         head: &'a RequestHead,
         body: Bytes,
-    ) -> EdgeFuture<'a, Result<EngineAnswer, EngineError>>;
+    ) -> EdgeFuture<'a, Result<EngineResponse, EngineError>>;
 }
--- a/crates/edge/src/engine_http.rs
+++ b/crates/edge/src/engine_http.rs
@@ -11,18 +11,18 @@
 };
 
 use crate::{
-    ClientError, EdgeFuture, EngineAnswer, EngineError, EngineStatus, HttpClient, LoadOrder,
-    ModelEngine, StagedBits,
+    ClientError, EdgeFuture, EngineError, EngineResponse, EngineStatus, HttpClient, LoadOrder,
+    ModelEngine, StagedBitmap,
 };
 
 /// Header in which an engine names the version that it answers from.
 pub const VERSION_HEADER: &str = "x-model-version";
 
 /// Header that carries the request id to the endpoint.
-pub const REQUEST_HEADER: &str = "x-request-id";
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// Header that carries the idempotency key to the endpoint.
-pub const KEY_HEADER: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// Longest wait for an answer to an order or a status call.
 const ORDER_TIME: Duration = Duration::from_secs(10);
@@ -76,10 +76,10 @@
         )
     }
 
-    fn stage<'a>(
+    fn open_staging<'a>(
         &'a self,
         manifest: &'a WeightManifest,
-    ) -> EdgeFuture<'a, Result<StagedBits, EngineError>> {
+    ) -> EdgeFuture<'a, Result<StagedBitmap, EngineError>> {
         Box::pin(async move {
             let path = format!("/v1/engine/staging/{}", manifest.digest);
             json(&self.order(Method::PUT, &path, encode(manifest)?).await?)
@@ -110,7 +110,7 @@
         })
     }
 
-    fn drop_staging(&self, manifest: ManifestDigest) -> EdgeFuture<'_, Result<(), EngineError>> {
+    fn discard_staging(&self, manifest: ManifestDigest) -> EdgeFuture<'_, Result<(), EngineError>> {
         Box::pin(async move {
             let path = format!("/v1/engine/staging/{manifest}");
             self.order(Method::DELETE, &path, Bytes::new()).await?;
@@ -118,7 +118,7 @@
         })
     }
 
-    fn load<'a>(&'a self, order: &'a LoadOrder) -> EdgeFuture<'a, Result<(), EngineError>> {
+    fn load_weights<'a>(&'a self, order: &'a LoadOrder) -> EdgeFuture<'a, Result<(), EngineError>> {
         Box::pin(async move {
             self.order(Method::POST, "/v1/engine/load", encode(order)?).await?;
             Ok(())
@@ -129,7 +129,7 @@
         &'a self,
         head: &'a RequestHead,
         body: Bytes,
-    ) -> EdgeFuture<'a, Result<EngineAnswer, EngineError>> {
+    ) -> EdgeFuture<'a, Result<EngineResponse, EngineError>> {
         Box::pin(async move {
             let request = call_request(self.addr, head, body)
                 .map_err(|error| EngineError::NotSent(error.to_string()))?;
@@ -142,10 +142,10 @@
             let text = |name: &str| {
                 parts.headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned)
             };
-            Ok(EngineAnswer {
+            Ok(EngineResponse {
                 status: parts.status.as_u16(),
                 content_type: text(CONTENT_TYPE.as_str()),
-                headers: end_to_end_fields(&parts.headers),
+                headers: end_to_end_headers(&parts.headers),
                 version: text(VERSION_HEADER).and_then(|name| ModelVersion::new(&name).ok()),
                 body,
             })
@@ -161,7 +161,7 @@
     let mut request = Request::builder()
         .method(head.method.as_str())
         .uri(format!("http://{addr}{}", head.path))
-        .header(REQUEST_HEADER, head.id.as_str());
+        .header(REQUEST_ID_HEADER, head.id.as_str());
     for field in &head.headers {
         request = request.header(&field.name, &field.value);
     }
@@ -169,13 +169,13 @@
         request = request.header(CONTENT_TYPE, kind);
     }
     if let Some(key) = &head.key {
-        request = request.header(KEY_HEADER, key.as_str());
+        request = request.header(IDEMPOTENCY_KEY_HEADER, key.as_str());
     }
     request.body(Full::new(body))
 }
 
 /// The fields of `headers` that pass from end to end; values that are not text are left out.
-pub fn end_to_end_fields(headers: &HeaderMap) -> Vec<HeaderField> {
+pub fn end_to_end_headers(headers: &HeaderMap) -> Vec<HeaderField> {
     let connection = headers.get(CONNECTION).and_then(|value| value.to_str().ok());
     let pairs =
         headers.iter().filter_map(|(name, value)| Some((name.as_str(), value.to_str().ok()?)));
--- a/crates/entry/src/caller/identify.rs
+++ b/crates/entry/src/caller/identify.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use cassiawheel_decide::{CallerTurn, affinity::prefix_of, identity::repeatability};
-use cassiawheel_edge::engine_http::end_to_end_fields;
+use cassiawheel_edge::engine_http::end_to_end_headers;
 use cassiawheel_model::{
     Deadline, PresetRevision, PriorityClass, RequestDigest, RequestHead, RequestKey, ServiceName,
     Timestamp, WorkspaceId,
@@ -123,7 +123,7 @@
         method: parts.method.to_string(),
         path,
         content_type: parse(&parts.headers, CONTENT_TYPE.as_str())?,
-        headers: end_to_end_fields(&parts.headers),
+        headers: end_to_end_headers(&parts.headers),
         prefix: None,
         revision: PresetRevision::default(),
         version: None,
--- a/crates/testkit/src/stand_in/engine.rs
+++ b/crates/testkit/src/stand_in/engine.rs
@@ -15,8 +15,8 @@
 
 use bytes::Bytes;
 use cassiawheel_edge::{
-    EngineStatus, LoadOrder, StagedBits,
-    engine_http::{REQUEST_HEADER, VERSION_HEADER},
+    EngineStatus, LoadOrder, StagedBitmap,
+    engine_http::{REQUEST_ID_HEADER, VERSION_HEADER},
 };
 use cassiawheel_model::{
     LoadReport, ManifestDigest, ModelVersion, Timestamp, WeightManifest, record,
@@ -173,7 +173,7 @@
             }
             (&Method::POST, ["v1", "engine", "load"]) => self.load(&body),
             (&Method::POST, ["v1", "generate"]) => {
-                let id = head.headers.get(REQUEST_HEADER).and_then(|id| id.to_str().ok());
+                let id = head.headers.get(REQUEST_ID_HEADER).and_then(|id| id.to_str().ok());
                 self.generate(id.unwrap_or_default(), &body)
             }
             _ => error_reply(StatusCode::NOT_FOUND, "not-found", head.uri.path()),
@@ -210,7 +210,7 @@
             bits[index / 8] |= 1 << (index % 8);
         }
         let bits = bits.iter().map(|byte| format!("{byte:02x}")).collect();
-        json_reply(StatusCode::OK, &StagedBits { bits })
+        json_reply(StatusCode::OK, &StagedBitmap { bits })
     }
 
     fn stage_chunk(&self, digest: &str, index: &str, body: Bytes) -> Response<ReplyBody> {
--- a/crates/testkit/src/stand_in/plain.rs
+++ b/crates/testkit/src/stand_in/plain.rs
@@ -14,7 +14,7 @@
 
 use cassiawheel_edge::{
     EngineStatus,
-    engine_http::{KEY_HEADER, REQUEST_HEADER},
+    engine_http::{IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER},
 };
 use cassiawheel_model::{LoadReport, Timestamp};
 use cassiawheel_runtime::http::{ReplyBody, error_reply, full_body, json_reply, read_body};
@@ -107,8 +107,8 @@
             head.headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned)
         };
         let call = CarriedCall {
-            request: text(REQUEST_HEADER).unwrap_or_default(),
-            key: text(KEY_HEADER),
+            request: text(REQUEST_ID_HEADER).unwrap_or_default(),
+            key: text(IDEMPOTENCY_KEY_HEADER),
             body: body.to_vec(),
             begun_at: Timestamp::now(),
         };
--- a/crates/testkit/tests/distribution.rs
+++ b/crates/testkit/tests/distribution.rs
@@ -377,12 +377,12 @@
             })
             .await?;
         let client = HttpEngine::new(HttpClient::default(), deployment.endpoints[0].engine_addr());
-        client.stage(&v1.manifest).await?;
+        client.open_staging(&v1.manifest).await?;
         for index in 0..CHUNKS as usize {
             let bytes = v1.chunk(index).expect("a chunk").to_vec();
             client.stage_chunk(v1.manifest.digest, index, bytes.into()).await?;
         }
-        let refused = client.load(&old).await.is_err();
+        let refused = client.load_weights(&old).await.is_err();
         assert_eq!(refused, checks_fencing);
         let digest = v2.answer_digest();
         let verdict = TestCaller::default()
--- a/crates/testkit/tests/foreign_order.rs
+++ b/crates/testkit/tests/foreign_order.rs
@@ -23,13 +23,13 @@
 /// Stages `image` and orders `engine` to load it, as a paused process would that goes on.
 async fn load_directly(engine: &HttpEngine, image: &WeightImage) -> anyhow::Result<()> {
     let manifest = &image.manifest;
-    engine.stage(manifest).await?;
+    engine.open_staging(manifest).await?;
     for index in 0..manifest.chunks.len() {
         let chunk = image.chunk(index).expect("the chunk is in the image");
         engine.stage_chunk(manifest.digest, index, Bytes::copy_from_slice(chunk)).await?;
     }
     let version = manifest.version.clone();
-    Ok(engine.load(&LoadOrder { version, manifest: manifest.digest, fencing: 0 }).await?)
+    Ok(engine.load_weights(&LoadOrder { version, manifest: manifest.digest, fencing: 0 }).await?)
 }
 
 /// A process that was paused goes on and orders the engine back to an old
--- a/crates/testkit/tests/requests.rs
+++ b/crates/testkit/tests/requests.rs
@@ -421,7 +421,7 @@
     let settings: AgentSettings = serde_json::from_slice(&std::fs::read(&endpoint.config)?)?;
     let engine = HttpEngine::new(HttpClient::default(), settings.engine.addr);
     let manifest = &image.manifest;
-    engine.stage(manifest).await?;
+    engine.open_staging(manifest).await?;
     for index in 0..manifest.chunks.len() {
         let chunk = image.chunk(index).expect("a chunk").to_vec();
         engine.stage_chunk(manifest.digest, index, chunk.into()).await?;
@@ -431,7 +431,7 @@
         manifest: manifest.digest,
         fencing: u64::MAX,
     };
-    Ok(engine.load(&order).await?)
+    Ok(engine.load_weights(&order).await?)
 }
 
 /// The table service takes a few hundred writes a second and answers slowly, and
