--- a/crates/agent/src/entry_choice.rs
+++ b/crates/agent/src/entry_choice.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use cassiawheel_decide::{near_or_all, rank::subject_of};
-use cassiawheel_edge::{ENTRY_ROWS, EntryRow, StoreError};
+use cassiawheel_edge::{ENTRY_KEY_PREFIX, EntryRow, StoreError};
 use cassiawheel_model::Timestamp;
 use cassiawheel_runtime::{spawn, timeout};
 use cassiawheel_wire::{ControlMessage, WireMessage, connect};
@@ -104,8 +104,8 @@
 
 /// The entries of the own region that have left their addresses; all if it has none.
 async fn read_rows(shared: &EndpointShared) -> Result<Vec<SocketAddr>, StoreError> {
-    let rows = shared.table.scan(ENTRY_ROWS).await?;
-    let rows: Vec<_> = rows.iter().filter_map(EntryRow::read).collect();
+    let rows = shared.table.scan(ENTRY_KEY_PREFIX).await?;
+    let rows: Vec<_> = rows.iter().filter_map(EntryRow::decode).collect();
     let places = rows.iter().map(|row| (row.inner_addr, row.region.as_ref()));
     Ok(near_or_all(&shared.settings.place.region, places))
 }
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -55,7 +55,7 @@
     }
     log::info!(target: "order", version:% = order.version, fencing = order.fencing, serve = order.serve; "A new order.");
     if let Some(origin) = &order.origin {
-        shared.origin.relocate(origin.addr);
+        shared.origin.set_addr(origin.addr);
     }
     *newest = Some(order);
     drop(newest);
--- a/crates/agent/src/keyed/row.rs
+++ b/crates/agent/src/keyed/row.rs
@@ -5,7 +5,7 @@
 use cassiawheel_decide::claim::{
     ClaimGuard, ClaimRecord, ClaimState, ClaimTracker, ClaimView, ReleaseStep, release_step,
 };
-use cassiawheel_edge::{StoreError, TableGuard, TableRow, TableWrite, WriteVerdict};
+use cassiawheel_edge::{StoreError, TableGuard, TableRow, TableWrite, WriteOutcome};
 use cassiawheel_model::{Deadline, Timestamp};
 use cassiawheel_runtime::{spawn, timeout};
 use rand::Rng;
@@ -74,10 +74,10 @@
     };
     let write = TableWrite { key: row.to_owned(), guard, value };
     match shared.claims.write(write, bytes).await {
-        Ok(WriteVerdict::Written(revision)) => ClaimView::Written(revision),
-        Ok(WriteVerdict::Conflict(Some(found))) => view_of(found),
-        Ok(WriteVerdict::Conflict(None)) => ClaimView::Absent,
-        Ok(WriteVerdict::Aborted) => ClaimView::NoEffect,
+        Ok(WriteOutcome::Written(revision)) => ClaimView::Written(revision),
+        Ok(WriteOutcome::Conflict(Some(found))) => view_of(found),
+        Ok(WriteOutcome::Conflict(None)) => ClaimView::Absent,
+        Ok(WriteOutcome::Aborted) => ClaimView::NoEffect,
         Err(error) => view_of_error(&error),
     }
 }
--- a/crates/agent/src/keyed/writer.rs
+++ b/crates/agent/src/keyed/writer.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::HashSet, sync::Arc, time::Duration};
 
-use cassiawheel_edge::{StoreError, TableStore, TableWrite, WriteVerdict};
+use cassiawheel_edge::{StoreError, TableStore, TableWrite, WriteOutcome};
 use cassiawheel_runtime::spawn;
 use smol::{
     Timer,
@@ -25,7 +25,7 @@
 /// Longest pause that the service's wish to come back later is honoured for.
 const MAX_PAUSE: Duration = Duration::from_secs(1);
 
-type Verdict = Result<WriteVerdict, StoreError>;
+type Verdict = Result<WriteOutcome, StoreError>;
 
 /// Writes single rows, many at a time.
 #[derive(Debug, Clone)]
--- a/crates/edge/src/entry_rows.rs
+++ b/crates/edge/src/entry_rows.rs
@@ -8,7 +8,7 @@
 use crate::TableRow;
 
 /// What the keys of these rows begin with.
-pub const ENTRY_ROWS: &str = "entries/";
+pub const ENTRY_KEY_PREFIX: &str = "entries/";
 
 /// An entry that has left its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -21,19 +21,19 @@
 
 impl EntryRow {
     /// Reads a row; none if its key is no address.
-    pub fn read(row: &TableRow) -> Option<Self> {
-        let inner_addr = row.key.strip_prefix(ENTRY_ROWS)?.parse().ok()?;
+    pub fn decode(row: &TableRow) -> Option<Self> {
+        let inner_addr = row.key.strip_prefix(ENTRY_KEY_PREFIX)?.parse().ok()?;
         let region = row.value.get("region").and_then(Value::as_str);
         Some(Self { inner_addr, region: region.and_then(|name| RegionName::new(name).ok()) })
     }
 
     /// The key and the value of the row of an entry.
-    pub fn write(
+    pub fn encode(
         inner_addr: SocketAddr,
         instance: &InstanceId,
         region: &RegionName,
     ) -> (String, Value) {
         let value = json!({ "instance": instance.as_str(), "region": region.as_str() });
-        (format!("{ENTRY_ROWS}{inner_addr}"), value)
+        (format!("{ENTRY_KEY_PREFIX}{inner_addr}"), value)
     }
 }
--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -50,11 +50,11 @@
     /// A version that was named for a model.
     Version(NamedVersion),
     /// A row that cannot be read; the text says why.
-    Damaged(String),
+    Invalid(String),
 }
 
 /// The operators' rows.
 pub type OperatorFeed = dyn FeedSource<Row = OperatorRow>;
 
 /// The list of endpoints.
-pub type ListingFeed = dyn FeedSource<Row = ListedRow>;
+pub type EndpointFeed = dyn FeedSource<Row = ListedRow>;
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -24,12 +24,12 @@
 pub use endpoints::{EndpointProtocol, ForwardMetadata, ReportedLoad, ResponseMetadata};
 pub use engine::{EngineError, EngineResponse, EngineStatus, LoadOrder, ModelEngine, StagedBitmap};
 pub use engine_http::HttpEngine;
-pub use entry_rows::{ENTRY_ROWS, EntryRow};
-pub use feed::{FeedError, FeedPage, FeedSource, ListingFeed, OperatorFeed, OperatorRow};
+pub use entry_rows::{ENTRY_KEY_PREFIX, EntryRow};
+pub use feed::{EndpointFeed, FeedError, FeedPage, FeedSource, OperatorFeed, OperatorRow};
 pub use instances::{HttpInstances, InstanceList, ListedInstance, ListedState};
 pub use origin_client::{ORIGIN_METRICS, OriginClient};
 pub use store_error::StoreError;
-pub use table::{TableGuard, TableRow, TableStore, TableWrite, WriteResult, WriteVerdict};
+pub use table::{TableGuard, TableRow, TableStore, TableWrite, WriteOutcome, WriteResult};
 pub use table_http::HttpTable;
 pub use weights::{HttpWeights, WeightError, WeightSource};
 
--- a/crates/edge/src/table.rs
+++ b/crates/edge/src/table.rs
@@ -44,7 +44,7 @@
 /// What became of one write.
 #[apply(record!)]
 #[serde(rename_all = "kebab-case")]
-pub enum WriteVerdict {
+pub enum WriteOutcome {
     /// Applied; the row has this revision now.
     Written(u64),
     /// Not applied; this is the row that stood in the way, if there is one.
@@ -54,7 +54,7 @@
 }
 
 /// What became of a batch, in the order of its writes.
-pub type WriteResult = Vec<WriteVerdict>;
+pub type WriteResult = Vec<WriteOutcome>;
 
 /// The table service.
 pub trait TableStore: Send + Sync {
--- a/crates/edge/src/table_http.rs
+++ b/crates/edge/src/table_http.rs
@@ -13,21 +13,21 @@
 
 /// Body of `POST /v1/table/read`.
 #[apply(record!)]
-pub struct ReadCall {
+pub struct ReadRequest {
     /// The row to read.
     pub key: String,
 }
 
 /// Body of `POST /v1/table/scan`.
 #[apply(record!)]
-pub struct ScanCall {
+pub struct ScanRequest {
     /// What the keys begin with.
     pub prefix: String,
 }
 
 /// Body of `POST /v1/table/write`.
 #[apply(record!)]
-pub struct WriteCall {
+pub struct WriteRequest {
     /// Whether to apply all writes or none.
     pub atomic: bool,
     /// The writes.
@@ -83,12 +83,12 @@
 impl TableStore for HttpTable {
     fn read<'a>(&'a self, key: &'a str) -> EdgeFuture<'a, Result<Option<TableRow>, StoreError>> {
         Box::pin(
-            async move { self.call("/v1/table/read", &ReadCall { key: key.to_owned() }).await },
+            async move { self.call("/v1/table/read", &ReadRequest { key: key.to_owned() }).await },
         )
     }
 
     fn scan<'a>(&'a self, prefix: &'a str) -> EdgeFuture<'a, Result<Vec<TableRow>, StoreError>> {
-        let call = ScanCall { prefix: prefix.to_owned() };
+        let call = ScanRequest { prefix: prefix.to_owned() };
         Box::pin(async move { self.call("/v1/table/scan", &call).await })
     }
 
@@ -97,7 +97,7 @@
         writes: &'a [TableWrite],
         atomic: bool,
     ) -> EdgeFuture<'a, Result<WriteResult, StoreError>> {
-        let call = WriteCall { atomic, writes: writes.to_vec() };
+        let call = WriteRequest { atomic, writes: writes.to_vec() };
         Box::pin(async move { self.call("/v1/table/write", &call).await })
     }
 }
--- a/crates/edge/src/weights.rs
+++ b/crates/edge/src/weights.rs
@@ -49,7 +49,7 @@
     ) -> EdgeFuture<'a, Result<Bytes, WeightError>>;
 
     /// Takes up the source's address, where it comes with the preset.
-    fn relocate(&self, addr: SocketAddr);
+    fn set_addr(&self, addr: SocketAddr);
 }
 
 /// A source over HTTP: `GET /v1/manifests/VERSION` and `GET /v1/weights/DIGEST/INDEX`.
@@ -93,7 +93,7 @@
         Box::pin(self.get(format!("/v1/weights/{}/{index}", manifest.digest)))
     }
 
-    fn relocate(&self, _addr: SocketAddr) {
+    fn set_addr(&self, _addr: SocketAddr) {
         // The settings name the address, and it does not change.
     }
 }
--- a/crates/entry/src/control/ahead.rs
+++ b/crates/entry/src/control/ahead.rs
@@ -5,7 +5,7 @@
 
 use std::sync::{Arc, atomic::Ordering};
 
-use cassiawheel_edge::{TableGuard, TableRow, TableStore, TableWrite, WriteVerdict};
+use cassiawheel_edge::{TableGuard, TableRow, TableStore, TableWrite, WriteOutcome};
 use cassiawheel_model::{
     OperatorName, PresetContent, PresetName, PresetRevision, Timestamp, record,
 };
@@ -76,7 +76,7 @@
     };
     let write = TableWrite { key: AHEAD_ROW.to_owned(), guard, value: to_value(staged)? };
     match table.write(&[write], true).await?.pop() {
-        Some(WriteVerdict::Written(revision)) => Ok(revision),
+        Some(WriteOutcome::Written(revision)) => Ok(revision),
         _ => Err(PresetError::Conflict),
     }
 }
--- a/crates/entry/src/control/change.rs
+++ b/crates/entry/src/control/change.rs
@@ -12,7 +12,7 @@
     ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeVerdict, ChangeWriter,
 };
 use cassiawheel_edge::{
-    StoreError, TableGuard, TableRow, TableStore, TableWrite, WeightError, WriteVerdict,
+    StoreError, TableGuard, TableRow, TableStore, TableWrite, WeightError, WriteOutcome,
 };
 use cassiawheel_model::{
     ChangeId, ForcedPreset, ManifestDigest, ModelVersion, PresetContent, PresetName,
@@ -158,8 +158,8 @@
     }
     let write = TableWrite { key, guard: TableGuard::Absent, value: value.clone() };
     match table.write(&[write], true).await?.pop() {
-        Some(WriteVerdict::Written(_)) => Ok(true),
-        Some(WriteVerdict::Conflict(Some(row))) => Ok(row.value == value),
+        Some(WriteOutcome::Written(_)) => Ok(true),
+        Some(WriteOutcome::Conflict(Some(row))) => Ok(row.value == value),
         _ => Err(PresetError::Conflict),
     }
 }
@@ -177,7 +177,7 @@
     };
     let value = to_value(content)?;
     match table.write(&[TableWrite { key, guard, value }], true).await?.pop() {
-        Some(WriteVerdict::Written(revision)) => Ok(revision),
+        Some(WriteOutcome::Written(revision)) => Ok(revision),
         _ => Err(PresetError::Conflict),
     }
 }
@@ -304,14 +304,14 @@
 /// Reads the rows that stood in the way out of the answer itself.
 ///
 /// A read after the write could be answered from an earlier state and miss them.
-fn verdict_answer(verdicts: &[WriteVerdict]) -> Result<ChangeAnswer, PresetError> {
-    if verdicts.iter().all(|verdict| matches!(verdict, WriteVerdict::Written(_))) {
+fn verdict_answer(verdicts: &[WriteOutcome]) -> Result<ChangeAnswer, PresetError> {
+    if verdicts.iter().all(|verdict| matches!(verdict, WriteOutcome::Written(_))) {
         return Ok(ChangeAnswer::Written);
     }
     let mut record = None;
     let mut winner = None;
     for verdict in verdicts {
-        let WriteVerdict::Conflict(Some(row)) = verdict else {
+        let WriteOutcome::Conflict(Some(row)) = verdict else {
             continue;
         };
         if row.key.starts_with(CHANGE_ID_PREFIX) {
--- a/crates/entry/src/control/entries.rs
+++ b/crates/entry/src/control/entries.rs
@@ -5,7 +5,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use cassiawheel_edge::{ENTRY_ROWS, EntryRow, StoreError, TableGuard, TableWrite};
+use cassiawheel_edge::{ENTRY_KEY_PREFIX, EntryRow, StoreError, TableGuard, TableWrite};
 use cassiawheel_model::RegionName;
 use rand::Rng;
 use smol::Timer;
@@ -37,15 +37,15 @@
     shared: &EntryShared,
 ) -> Result<Vec<(SocketAddr, Option<RegionName>)>, StoreError> {
     let table = shared.table.as_ref();
-    let rows = table.scan(ENTRY_ROWS).await?;
+    let rows = table.scan(ENTRY_KEY_PREFIX).await?;
     let places: Vec<_> =
-        rows.iter().filter_map(EntryRow::read).map(|row| (row.inner_addr, row.region)).collect();
+        rows.iter().filter_map(EntryRow::decode).map(|row| (row.inner_addr, row.region)).collect();
     let inner = shared.settings.listen.inner;
     if places.iter().any(|(addr, region)| *addr == inner && region.is_some()) {
         return Ok(places);
     }
     let place = &shared.settings.place;
-    let (key, value) = EntryRow::write(inner, &place.instance, &place.region);
+    let (key, value) = EntryRow::encode(inner, &place.instance, &place.region);
     let known = rows.iter().find(|row| row.key == key);
     let guard = known.map_or(TableGuard::Absent, |row| TableGuard::Revision(row.revision));
     // A conflict means that the row is there already, which is all that is wanted.
--- a/crates/entry/src/control/manifests.rs
+++ b/crates/entry/src/control/manifests.rs
@@ -131,7 +131,7 @@
 
 async fn read_twice(shared: &EntryShared, version: &ModelVersion) -> Option<WeightManifest> {
     if let Some(origin) = shared.origin_place() {
-        shared.origin.relocate(origin.addr);
+        shared.origin.set_addr(origin.addr);
     }
     let first = read_once(shared, version).await?;
     let second = read_once(shared, version).await?;
--- a/crates/entry/src/control/operators.rs
+++ b/crates/entry/src/control/operators.rs
@@ -96,7 +96,7 @@
                 let named = NamedVersion { age_ms: age.as_millis() as u64, age_source, ..named };
                 take_version(shared, routed, &named);
             }
-            OperatorRow::Damaged(detail) => {
+            OperatorRow::Invalid(detail) => {
                 log::error!(target: "preset", cause:% = detail; "An operator's row cannot be read.");
             }
         }
--- a/crates/entry/src/control/quarantine.rs
+++ b/crates/entry/src/control/quarantine.rs
@@ -6,7 +6,7 @@
 use std::{sync::Arc, time::Duration};
 
 use cassiawheel_decide::RowDuty;
-use cassiawheel_edge::{StoreError, TableGuard, TableStore, TableWrite, WriteVerdict};
+use cassiawheel_edge::{StoreError, TableGuard, TableStore, TableWrite, WriteOutcome};
 use cassiawheel_model::{BarredRequest, CrashEvent, CrashRow, Timestamp};
 use cassiawheel_runtime::timeout;
 
@@ -88,7 +88,7 @@
     let value = serde_json::to_value(&bars).map_err(|e| StoreError::NoEffect(e.to_string()))?;
     let write = TableWrite { key: BARS_ROW.to_owned(), guard, value };
     let verdict = table.write(&[write], true).await?.pop();
-    Ok(matches!(verdict, Some(WriteVerdict::Written(_))))
+    Ok(matches!(verdict, Some(WriteOutcome::Written(_))))
 }
 
 async fn kept_bars(table: &dyn TableStore) -> Result<(TableGuard, Vec<BarredRequest>), StoreError> {
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -17,7 +17,7 @@
     plan::PlanPace,
 };
 use cassiawheel_edge::{
-    CallerProtocol, EndpointProtocol, ListingFeed, OperatorFeed, TableStore, WeightSource,
+    CallerProtocol, EndpointFeed, EndpointProtocol, OperatorFeed, TableStore, WeightSource,
 };
 use cassiawheel_model::{
     EndpointReport, EndpointState, ForcedPreset, ListedEndpoint, ModelVersion, NamedVersion,
@@ -47,7 +47,7 @@
     /// The operators' rows.
     pub operators: Arc<OperatorFeed>,
     /// The list of endpoints.
-    pub list: Arc<ListingFeed>,
+    pub list: Arc<EndpointFeed>,
     /// The project's own rows.
     pub table: Arc<dyn TableStore>,
     /// The origin of weights.
@@ -65,7 +65,7 @@
     /// The operators' rows.
     pub(crate) operators: Arc<OperatorFeed>,
     /// The list of endpoints.
-    pub(crate) list: Arc<ListingFeed>,
+    pub(crate) list: Arc<EndpointFeed>,
     /// Routes and keys of the preset in force; read without a lock.
     pub(crate) index: ArcSwapOption<CallerIndex>,
     /// The versions that operators named; read without a lock.
--- a/crates/testkit/src/stand_in/table.rs
+++ b/crates/testkit/src/stand_in/table.rs
@@ -10,8 +10,8 @@
 };
 
 use cassiawheel_edge::{
-    TableGuard, TableRow, WriteResult, WriteVerdict,
-    table_http::{ReadCall, ScanCall, WriteCall},
+    TableGuard, TableRow, WriteOutcome, WriteResult,
+    table_http::{ReadRequest, ScanRequest, WriteRequest},
 };
 use cassiawheel_runtime::http::{ReplyBody, error_reply, json_reply, read_body};
 use hyper::{Request, Response, StatusCode, body::Incoming};
@@ -84,7 +84,7 @@
     }
 
     /// Applies a batch.
-    pub fn apply(&self, call: WriteCall) -> WriteResult {
+    pub fn apply(&self, call: WriteRequest) -> WriteResult {
         let mut rows = self.rows.lock().unwrap_or_else(|poison| poison.into_inner());
         let ignores_guards = self.ignores_guards.load(Ordering::SeqCst);
         let conflicts = |rows: &BTreeMap<String, TableRow>, key: &str, guard| {
@@ -102,14 +102,14 @@
         let mut verdicts = Vec::with_capacity(call.writes.len());
         for write in call.writes {
             let verdict = if conflicts(&rows, &write.key, write.guard) {
-                WriteVerdict::Conflict(rows.get(&write.key).cloned())
+                WriteOutcome::Conflict(rows.get(&write.key).cloned())
             } else if call.atomic && any_conflict {
-                WriteVerdict::Aborted
+                WriteOutcome::Aborted
             } else {
                 let revision = rows.get(&write.key).map_or(1, |row| row.revision + 1);
                 let row = TableRow { key: write.key.clone(), value: write.value, revision };
                 rows.insert(write.key, row);
-                WriteVerdict::Written(revision)
+                WriteOutcome::Written(revision)
             };
             verdicts.push(verdict);
         }
@@ -122,15 +122,15 @@
             return error_reply(StatusCode::BAD_REQUEST, "body", "the body cannot be read");
         };
         let reply = match path.as_str() {
-            "/v1/table/read" => serde_json::from_slice::<ReadCall>(&body).map(|call| {
+            "/v1/table/read" => serde_json::from_slice::<ReadRequest>(&body).map(|call| {
                 self.reads.fetch_add(1, Ordering::Relaxed);
                 json_reply(StatusCode::OK, &self.read(&call.key))
             }),
-            "/v1/table/scan" => serde_json::from_slice::<ScanCall>(&body).map(|call| {
+            "/v1/table/scan" => serde_json::from_slice::<ScanRequest>(&body).map(|call| {
                 self.reads.fetch_add(1, Ordering::Relaxed);
                 json_reply(StatusCode::OK, &self.scan(&call.prefix))
             }),
-            "/v1/table/write" => serde_json::from_slice::<WriteCall>(&body).map(|call| {
+            "/v1/table/write" => serde_json::from_slice::<WriteRequest>(&body).map(|call| {
                 self.writes.fetch_add(1, Ordering::Relaxed);
                 json_reply(StatusCode::OK, &self.apply(call))
             }),
--- a/crates/testkit/tests/foreign_rows.rs
+++ b/crates/testkit/tests/foreign_rows.rs
@@ -135,7 +135,7 @@
         let presets = read.iter().filter(|row| matches!(row, OperatorRow::Preset(_))).count();
         prop_assert_eq!(presets, 1);
         let damage = read.iter().find_map(|row| match row {
-            OperatorRow::Damaged(text) => Some(text),
+            OperatorRow::Invalid(text) => Some(text),
             _ => None,
         });
         let is_named = read.iter().any(|row| matches!(row, OperatorRow::Version(_)));
@@ -155,7 +155,7 @@
             Ok(OperatorTable::new(client, BTreeMap::new()).read_all().await?.rows)
         });
         let is_whole = read.iter().any(|row| matches!(row, OperatorRow::Preset(_)));
-        let damaged = read.iter().filter(|row| matches!(row, OperatorRow::Damaged(_))).count();
+        let damaged = read.iter().filter(|row| matches!(row, OperatorRow::Invalid(_))).count();
         let is_one_finding = read.len() == 1 && damaged == 1;
         prop_assert_eq!(is_whole, !is_one_finding);
         prop_assert!(!is_whole || damaged == 0);
--- a/crates/testkit/tests/origin_connections.rs
+++ b/crates/testkit/tests/origin_connections.rs
@@ -54,7 +54,7 @@
 
 fn client_of(origin: &RunningOrigin) -> PlatformOrigin {
     let client = PlatformOrigin::default();
-    client.relocate(origin.addr);
+    client.set_addr(origin.addr);
     client
 }
 
@@ -101,7 +101,7 @@
     run(async {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let client = PlatformOrigin::default();
-        client.relocate(listener.local_addr()?);
+        client.set_addr(listener.local_addr()?);
         let asking = cassiawheel_runtime::spawn(async move { client.manifest(&version(2)).await });
         let (mut stream, _) = listener.accept().await?;
         let mut head = vec![0; 4_096];
