--- a/crates/agent/src/endpoint.rs
+++ b/crates/agent/src/endpoint.rs
@@ -19,7 +19,7 @@
 use crate::{
     keyed::ClaimWriter,
     metrics::AgentMetrics,
-    serve::{AgentEdges, chosen_entries},
+    serve::{AgentClients, chosen_entries},
     transfer::TransferState,
 };
 
@@ -68,8 +68,12 @@
 
 impl EndpointShared {
     /// The state of a process that has just started.
-    pub(crate) fn new(settings: AgentSettings, edges: AgentEdges, metrics: AgentMetrics) -> Self {
-        let AgentEdges { engine, table, origin } = edges;
+    pub(crate) fn new(
+        settings: AgentSettings,
+        clients: AgentClients,
+        metrics: AgentMetrics,
+    ) -> Self {
+        let AgentClients { engine, table, origin } = clients;
         let now = Timestamp::now();
         let sources = chosen_entries(&settings);
         Self {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -17,19 +17,23 @@
 
 use cassiawheel_model::settings::AgentSettings;
 
-pub use serve::AgentEdges;
+pub use serve::AgentClients;
 
 /// Executor threads of an agent; small, since one instance has one agent.
 const THREADS: usize = 2;
 
 /// Runs an agent until it is asked to stop.
 pub fn run(settings: AgentSettings) -> anyhow::Result<()> {
-    let edges = AgentEdges::of(&settings);
-    run_with(settings, edges, THREADS)
+    let clients = AgentClients::from_settings(&settings);
+    run_with(settings, clients, THREADS)
 }
 
-/// Runs an agent between `edges` on `threads` threads until it is asked to stop.
-pub fn run_with(settings: AgentSettings, edges: AgentEdges, threads: usize) -> anyhow::Result<()> {
+/// Runs an agent between `clients` on `threads` threads until it is asked to stop.
+pub fn run_with(
+    settings: AgentSettings,
+    clients: AgentClients,
+    threads: usize,
+) -> anyhow::Result<()> {
     let _log = cassiawheel_runtime::logging::start(&settings.log)?;
-    cassiawheel_runtime::run(threads, serve::serve(settings, edges))?
+    cassiawheel_runtime::run(threads, serve::serve(settings, clients))?
 }
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -7,10 +7,10 @@
 };
 
 use argh::FromArgs;
-use cassiawheel_agent::AgentEdges;
+use cassiawheel_agent::AgentClients;
 use cassiawheel_edge::HttpClient;
 use cassiawheel_model::settings::{AgentSettings, parse_settings};
-use cassiawheel_platform::{OwnRows, PlatformBoot, PlatformEngine, PlatformOrigin, RowClient};
+use cassiawheel_platform::{BootFile, PlatformEngine, PlatformOrigin, PlatformTable, RowClient};
 
 /// The process at an endpoint instance: fetches weights, gates the engine and
 /// runs requests that entries send it.
@@ -63,7 +63,7 @@
         Err(code) => return code,
     };
     match args.command {
-        AgentCommand::Serve(args) => match (args.config, PlatformBoot::path()) {
+        AgentCommand::Serve(args) => match (args.config, BootFile::path()) {
             (Some(config), _) => with_settings(&config, serve),
             (None, Some(path)) => serve_on_platform(&path),
             (None, None) => {
@@ -99,7 +99,7 @@
 }
 
 fn serve_on_platform(path: &Path) -> ExitCode {
-    let read = PlatformBoot::read(path).and_then(|boot| Ok((boot.agent_settings()?, boot)));
+    let read = BootFile::read(path).and_then(|boot| Ok((boot.agent_settings()?, boot)));
     let (settings, boot) = match read {
         Ok(read) => read,
         Err(findings) => {
@@ -109,12 +109,12 @@
     };
     let client = HttpClient::default();
     let rows = RowClient::new(client.clone(), boot.store_addr(), boot.store_timeout());
-    let edges = AgentEdges {
+    let clients = AgentClients {
         engine: Arc::new(PlatformEngine::new(client, settings.engine.addr)),
-        table: Arc::new(OwnRows::new(rows)),
+        table: Arc::new(PlatformTable::new(rows)),
         origin: Arc::new(PlatformOrigin::default()),
     };
-    end_of(cassiawheel_agent::run_with(settings, edges, boot.threads()))
+    end_of(cassiawheel_agent::run_with(settings, clients, boot.threads()))
 }
 
 fn end_of(run: anyhow::Result<()>) -> ExitCode {
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -26,7 +26,7 @@
 const ORIGIN_TIME: Duration = Duration::from_secs(60);
 
 /// What an agent stands between.
-pub struct AgentEdges {
+pub struct AgentClients {
     /// The engine or plain service.
     pub engine: Arc<dyn ModelEngine>,
     /// The table service.
@@ -35,9 +35,9 @@
     pub origin: Arc<dyn WeightSource>,
 }
 
-impl AgentEdges {
-    /// The edges that the settings name.
-    pub fn of(settings: &AgentSettings) -> Self {
+impl AgentClients {
+    /// The clients that the settings name.
+    pub fn from_settings(settings: &AgentSettings) -> Self {
         let client = HttpClient::default();
         let platform = &settings.platform;
         let span = Duration::from_millis(platform.timeout_ms);
@@ -51,7 +51,7 @@
 }
 
 /// Runs until the process is asked to stop; then drains.
-pub(crate) async fn serve(settings: AgentSettings, edges: AgentEdges) -> anyhow::Result<()> {
+pub(crate) async fn serve(settings: AgentSettings, clients: AgentClients) -> anyhow::Result<()> {
     let mut signals = TerminationSignals::listen()?;
     // Both addresses are taken before anything else begins: an agent that
     // finds one in use ends without having spoken to an entry or its engine.
@@ -61,7 +61,7 @@
     let metrics = AgentMetrics::register(&registry)?;
     TRAFFIC.register(&registry)?;
     ORIGIN_METRICS.register(&registry)?;
-    let shared = Arc::new(EndpointShared::new(settings, edges, metrics));
+    let shared = Arc::new(EndpointShared::new(settings, clients, metrics));
     let (trigger, shutdown) = ShutdownTrigger::new();
 
     let ready = shared.clone();
--- a/crates/entry/src/cli.rs
+++ b/crates/entry/src/cli.rs
@@ -20,7 +20,7 @@
     settings::{EntrySettings, parse_settings},
 };
 use cassiawheel_platform::{
-    OperatorTable, OwnRows, PlatformBoot, PlatformCallers, PlatformEndpoints, PlatformOrigin,
+    BootFile, OperatorTable, PlatformCallers, PlatformEndpoints, PlatformOrigin, PlatformTable,
     RowClient, ServerTable,
 };
 
@@ -116,7 +116,7 @@
 }
 
 fn serve(config: Option<&Path>) -> Result<(), CommandError> {
-    match (config, PlatformBoot::path()) {
+    match (config, BootFile::path()) {
         (Some(config), _) => Ok(crate::run(read_settings(config)?)?),
         (None, Some(path)) => serve_on_platform(&path),
         (None, None) => {
@@ -128,7 +128,7 @@
 
 fn serve_on_platform(path: &Path) -> Result<(), CommandError> {
     let findings = |findings: FindingList| CommandError::Findings(findings.to_string());
-    let boot = PlatformBoot::read(path).map_err(findings)?;
+    let boot = BootFile::read(path).map_err(findings)?;
     let (settings, routed) = boot.entry_settings().map_err(findings)?;
     let client = HttpClient::default();
     let rows = RowClient::new(client, boot.store_addr(), boot.store_timeout());
@@ -138,7 +138,7 @@
         endpoints: Arc::new(PlatformEndpoints),
         operators: Arc::new(OperatorTable::new(rows.clone(), boot.regions())),
         list: Arc::new(ServerTable::new(rows.clone())),
-        table: Arc::new(OwnRows::new(rows)),
+        table: Arc::new(PlatformTable::new(rows)),
         origin: Arc::new(PlatformOrigin::default()),
     };
     Ok(crate::run_routed(settings, edges)?)
