--- a/crates/entry/src/admin/reply.rs
+++ b/crates/entry/src/admin/reply.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cassiawheel_model::{FindingList, FindingPlace, record};
+use cassiawheel_model::{FindingList, InputFinding, record};
 use cassiawheel_runtime::http::{BodyError, ReplyBody, error_reply, json_reply, read_body_within};
 use hyper::{Response, StatusCode, body::Incoming};
 use macro_rules_attribute::apply;
@@ -21,15 +21,15 @@
 struct FindingsReply {
     error: String,
     message: String,
-    findings: Vec<FindingPlace>,
+    findings: Vec<InputFinding>,
 }
 
 /// The refusal of a body with findings.
 pub(super) fn findings_reply(findings: &FindingList) -> Response<ReplyBody> {
     let reply = FindingsReply {
         error: "findings".to_owned(),
-        message: format!("nothing was stored; the body has {} findings", findings.places().len()),
-        findings: findings.places().to_vec(),
+        message: format!("nothing was stored; the body has {} findings", findings.as_slice().len()),
+        findings: findings.as_slice().to_vec(),
     };
     json_reply(StatusCode::UNPROCESSABLE_ENTITY, &reply)
 }
--- a/crates/entry/src/cli/client.rs
+++ b/crates/entry/src/cli/client.rs
@@ -53,7 +53,7 @@
     #[serde(default)]
     message: String,
     #[serde(default)]
-    findings: Vec<cassiawheel_model::FindingPlace>,
+    findings: Vec<cassiawheel_model::InputFinding>,
 }
 
 impl ConnectOptions {
--- a/crates/model/src/finding.rs
+++ b/crates/model/src/finding.rs
@@ -9,7 +9,7 @@
 /// Where a fault lies.
 #[apply(record!)]
 #[derive(Eq)]
-pub struct FindingPlace {
+pub struct InputFinding {
     /// The file or request part, for example `entry.json`.
     pub source: String,
     /// The JSON path inside the source, for example `listen.caller`.
@@ -23,18 +23,19 @@
 #[derive(Eq, Default)]
 pub struct FindingList {
     source: String,
-    places: Vec<FindingPlace>,
+    #[serde(rename = "places")]
+    items: Vec<InputFinding>,
 }
 
 impl FindingList {
     /// An empty list for `source`.
     pub fn new(source: &str) -> Self {
-        Self { source: source.to_owned(), places: Vec::new() }
+        Self { source: source.to_owned(), items: Vec::new() }
     }
 
     /// Adds one finding.
     pub fn push(&mut self, path: impl fmt::Display, message: impl fmt::Display) {
-        self.places.push(FindingPlace {
+        self.items.push(InputFinding {
             source: self.source.clone(),
             path: path.to_string(),
             message: message.to_string(),
@@ -50,18 +51,18 @@
 
     /// Adds those findings of `other` for whose path and message `holds`.
     pub fn extend_where(&mut self, other: FindingList, holds: impl Fn(&str, &str) -> bool) {
-        let kept = other.places.into_iter().filter(|place| holds(&place.path, &place.message));
-        self.places.extend(kept);
+        let kept = other.items.into_iter().filter(|place| holds(&place.path, &place.message));
+        self.items.extend(kept);
     }
 
     /// The findings in the order of their discovery.
-    pub fn places(&self) -> &[FindingPlace] {
-        &self.places
+    pub fn as_slice(&self) -> &[InputFinding] {
+        &self.items
     }
 
     /// Whether nothing was found.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.items.is_empty()
     }
 
     /// `value` if nothing was found, otherwise the findings.
@@ -70,7 +71,7 @@
     }
 }
 
-impl fmt::Display for FindingPlace {
+impl fmt::Display for InputFinding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}: {}", self.source, self.path, self.message)
     }
@@ -78,7 +79,7 @@
 
 impl fmt::Display for FindingList {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, place) in self.places.iter().enumerate() {
+        for (index, place) in self.items.iter().enumerate() {
             if index > 0 {
                 writeln!(f)?;
             }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -27,7 +27,7 @@
 pub use endpoint::{
     EndpointReport, EndpointRole, EndpointState, LoadReport, NamedLimit, StagedWeights,
 };
-pub use finding::{FindingList, FindingPlace};
+pub use finding::{FindingList, InputFinding};
 pub use gossip::{
     BarredRequest, CrashEvent, CrashRow, EntryRecord, GossipNews, LimitRow, LimitState, LoadRow,
 };
--- a/crates/model/tests/settings.rs
+++ b/crates/model/tests/settings.rs
@@ -25,7 +25,7 @@
 }
 
 fn found_paths(findings: &FindingList) -> Vec<&str> {
-    findings.places().iter().map(|place| place.path.as_str()).collect()
+    findings.as_slice().iter().map(|place| place.path.as_str()).collect()
 }
 
 #[test]
@@ -101,7 +101,7 @@
     found.dedup();
     expected.sort_unstable();
     assert_eq!(found, expected, "{findings}");
-    assert!(findings.places().iter().all(|place| place.source == file));
+    assert!(findings.as_slice().iter().all(|place| place.source == file));
 }
 
 /// Times that were meant in seconds and sizes with a unit are the usual slips;
@@ -111,7 +111,7 @@
     let file = folder("tests/data/invalid/entry-wrong-units.json");
     let findings = check(&file).expect_err("has findings");
     let message = |path: &str| {
-        let place = findings.places().iter().find(|place| place.path == path);
+        let place = findings.as_slice().iter().find(|place| place.path == path);
         place.map(|place| place.message.as_str()).unwrap_or_default()
     };
     assert!(message("platform.timeout_ms").contains("whole milliseconds"), "{findings}");
@@ -197,7 +197,7 @@
         let read = parse_settings::<EntrySettings>("entry.json", &tree.to_string());
         if serde_json::from_value::<EntrySettings>(tree).is_err() {
             let findings = read.expect_err("a type that cannot be read is a finding");
-            prop_assert!(findings.places().iter().all(|place| !place.path.is_empty()));
+            prop_assert!(findings.as_slice().iter().all(|place| !place.path.is_empty()));
         }
     }
 }
--- a/crates/testkit/tests/burst_scenario.rs
+++ b/crates/testkit/tests/burst_scenario.rs
@@ -45,7 +45,7 @@
         scenario["faults"][1]["for_s"] = json!(0);
     })
     .expect_err("the scenario is wrong");
-    let paths: Vec<_> = findings.places().iter().map(|place| place.path.as_str()).collect();
+    let paths: Vec<_> = findings.as_slice().iter().map(|place| place.path.as_str()).collect();
     let wanted = [
         "arrivals.tokens",
         "replicas",
@@ -65,7 +65,7 @@
 fn an_unknown_kind_is_found_with_its_path() {
     let findings = smoke_with(|scenario| scenario["faults"][0]["kind"] = json!("earthquake"))
         .expect_err("there is no such kind");
-    assert_eq!(findings.places()[0].path, "faults[0].kind");
+    assert_eq!(findings.as_slice()[0].path, "faults[0].kind");
 }
 
 #[rstest]
