--- a/crates/decide/tests/history/world.rs
+++ b/crates/decide/tests/history/world.rs
@@ -11,7 +11,7 @@
     PresetHolder, StartHold,
 };
 use cassiawheel_model::{
-    ChangeId, Deadline, ForcedPreset, OperatorName, PresetName, PresetRevision, Timestamp,
+    ActivePreset, ChangeId, Deadline, OperatorName, PresetName, PresetRevision, Timestamp,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
@@ -98,8 +98,8 @@
 #[derive(Debug, Clone)]
 enum Message {
     /// First word over a new connection.
-    Greeting(Option<Arc<ForcedPreset>>),
-    Force(Arc<ForcedPreset>),
+    Greeting(Option<Arc<ActivePreset>>),
+    Force(Arc<ActivePreset>),
     Beat(PresetRevision),
     Request(PresetRevision),
 }
@@ -362,7 +362,7 @@
     }
 
     /// The preset that a process works under.
-    fn in_use(&self, node: NodeIndex) -> Option<Arc<ForcedPreset>> {
+    fn in_use(&self, node: NodeIndex) -> Option<Arc<ActivePreset>> {
         let node = &self.nodes[node];
         node.holder.current().filter(|_| node.settled).cloned()
     }
@@ -433,13 +433,13 @@
         }
     }
 
-    fn push(&mut self, node: NodeIndex, preset: &Arc<ForcedPreset>) {
+    fn push(&mut self, node: NodeIndex, preset: &Arc<ActivePreset>) {
         for other in (0..ENTRIES + AGENTS).filter(|other| *other != node) {
             self.send(node, other, Message::Force(preset.clone()));
         }
     }
 
-    fn offer(&mut self, node: NodeIndex, preset: &Arc<ForcedPreset>) {
+    fn offer(&mut self, node: NodeIndex, preset: &Arc<ActivePreset>) {
         let before = self.nodes[node].holder.revision();
         if self.off == Some(Guard::HigherOnly) {
             self.nodes[node].holder = PresetHolder::default();
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -17,7 +17,7 @@
 };
 use cassiawheel_edge::{TableStore, WeightSource};
 use cassiawheel_model::{
-    Deadline, EndpointState, ForcedPreset, InstanceId, LoadReport, ModelVersion, OriginPlace,
+    ActivePreset, Deadline, EndpointState, InstanceId, LoadReport, ModelVersion, OriginPlace,
     PresetRevision, RequestId, ServiceName, Timestamp, settings::EntrySettings,
 };
 use cassiawheel_wire::{HelloMessage, ProcessKind, WireSender};
@@ -62,7 +62,7 @@
     /// Connections to agents; read without a lock.
     pub(crate) links: ArcSwap<HashMap<InstanceId, Arc<AgentLink>>>,
     /// The preset in force; read without a lock.
-    pub(crate) force: ArcSwapOption<ForcedPreset>,
+    pub(crate) force: ArcSwapOption<ActivePreset>,
     /// The preset to stage ahead.
     pub(crate) ahead: ArcSwapOption<AheadRow>,
     /// Whether the plan lags behind the reports or the preset.
@@ -226,7 +226,7 @@
     }
 
     /// Considers a preset; true if it is in force from now on.
-    pub(crate) fn offer_preset(&self, preset: &Arc<ForcedPreset>) -> bool {
+    pub(crate) fn offer_preset(&self, preset: &Arc<ActivePreset>) -> bool {
         let mut holder = self.holder();
         match holder.offer(preset.clone()) {
             Adoption::Adopted if self.settled.load(Ordering::Acquire) => {
@@ -243,7 +243,7 @@
     }
 
     /// Ends the hold of the start; the preset that is in force from now on, if one is known.
-    pub(crate) fn publish_held(&self) -> Option<Arc<ForcedPreset>> {
+    pub(crate) fn publish_held(&self) -> Option<Arc<ActivePreset>> {
         let holder = self.holder();
         self.settled.store(true, Ordering::Release);
         let preset = holder.current()?.clone();
@@ -300,7 +300,7 @@
 
     /// Called under the holder's lock, so that two offers cannot publish in the
     /// reverse of the order of their revisions.
-    fn publish(&self, preset: &Arc<ForcedPreset>) {
+    fn publish(&self, preset: &Arc<ActivePreset>) {
         let revision = preset.revision.0;
         if let Some(routed) = &self.routed {
             routed.take_preset(preset);
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -40,7 +40,7 @@
 pub use listing::{ListedEndpoint, ListedRow};
 pub use manifest::{ChunkEntry, ChunkHash, ManifestError, WeightManifest};
 pub use outcome::{NotRunReason, OutcomeKind, RequestOutcome};
-pub use preset::{ForcedPreset, PresetContent, PresetRevision, ServiceKind, ServiceTarget};
+pub use preset::{ActivePreset, PresetContent, PresetRevision, ServiceKind, ServiceTarget};
 pub use request::{PriorityClass, Repeatability, RequestDigest, RequestHead};
 pub use target::{AgeSource, EngineProfile, ModelName, NamedVersion, OriginPlace};
 pub use time::{Deadline, Timestamp};
--- a/crates/model/src/preset.rs
+++ b/crates/model/src/preset.rs
@@ -127,7 +127,7 @@
 /// The preset in force.
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
-pub struct ForcedPreset {
+pub struct ActivePreset {
     /// Position in the history.
     pub revision: PresetRevision,
     /// The preset's name.
--- a/crates/wire/src/message/control.rs
+++ b/crates/wire/src/message/control.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use cassiawheel_model::{
-    EndpointReport, FailureDomain, ForcedPreset, GossipNews, InstanceId, ListedRow, LoadReport,
+    ActivePreset, EndpointReport, FailureDomain, GossipNews, InstanceId, ListedRow, LoadReport,
     ManifestDigest, ModelVersion, NamedVersion, OriginPlace, PresetRevision, RegionName,
     WeightManifest, record,
 };
@@ -37,7 +37,7 @@
         instance: InstanceId,
     },
     /// Entry to entry or agent: the preset in force, as far as the sender knows.
-    Force(Arc<ForcedPreset>),
+    Force(Arc<ActivePreset>),
     /// Entry to entry: a heartbeat; the last whole one over this connection still holds but for
     /// the requests in progress.
     EntryAlive {
