--- a/crates/decide/src/crash_book.rs
+++ b/crates/decide/src/crash_book.rs
@@ -19,7 +19,9 @@
     time::Duration,
 };
 
-use cassiawheel_model::{BarredRequest, CrashEvent, CrashRow, Deadline, RequestDigest, Timestamp};
+use cassiawheel_model::{
+    BarredRequest, CrashEvent, CrashRecord, Deadline, RequestDigest, Timestamp,
+};
 
 use crate::gossip::LinkNumber;
 
@@ -119,7 +121,7 @@
 impl KnownFact {
     /// Whether `event` is of the same endpoint's end.
     fn is_same_end(&self, event: CrashEvent) -> bool {
-        self.event.endpoint() == event.endpoint()
+        self.event.endpoint_hash() == event.endpoint_hash()
     }
 
     fn weight(&self) -> u32 {
@@ -217,7 +219,7 @@
     ///
     /// Beginnings and whole answers are of use only for a request under which endpoints
     /// have ended.
-    pub fn note(&mut self, row: CrashRow, source: Option<LinkNumber>, now: Timestamp) -> bool {
+    pub fn note(&mut self, row: CrashRecord, source: Option<LinkNumber>, now: Timestamp) -> bool {
         let at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
         if at.deadline_after(BAR_TIME).is_past(now) {
             return false;
@@ -285,7 +287,12 @@
     }
 
     /// Facts that `link` has to be sent, and up to which change it has all of them then.
-    pub fn rows_since(&self, mark: u64, link: LinkNumber, now: Timestamp) -> (Vec<CrashRow>, u64) {
+    pub fn rows_since(
+        &self,
+        mark: u64,
+        link: LinkNumber,
+        now: Timestamp,
+    ) -> (Vec<CrashRecord>, u64) {
         if mark == self.changes {
             return (Vec::new(), mark);
         }
@@ -299,7 +306,7 @@
         let is_cut = due.len() > MAX_ROWS;
         due.truncate(MAX_ROWS);
         let last = due.last().map_or(mark, |(_, fact)| fact.change);
-        let rows = due.into_iter().map(|(digest, fact)| CrashRow {
+        let rows = due.into_iter().map(|(digest, fact)| CrashRecord {
             digest,
             event: fact.event,
             age_ms: now.0.saturating_sub(fact.at.0) as u32,
--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use cassiawheel_model::{EndpointReport, EntryRecord, InstanceId, LoadRow, Timestamp};
+use cassiawheel_model::{EndpointReport, EntryRecord, InstanceId, LoadRecord, Timestamp};
 
 use crate::rank::subject_of;
 
@@ -118,7 +118,7 @@
     ) -> bool {
         let arrival = Arrival { change: self.changes + 1, source, now };
         let is_news = match self.records.get_mut(&record.instance) {
-            Some(known) => known.merge(record, EntryRecord::is_newer, arrival),
+            Some(known) => known.merge(record, EntryRecord::is_newer_than, arrival),
             None => insert_new(&mut self.records, record.instance.clone(), record, arrival),
         };
         self.changes += u64::from(is_news);
@@ -134,7 +134,7 @@
     ) -> bool {
         let arrival = Arrival { change: self.changes + 1, source, now };
         let is_news = match self.reports.get_mut(&report.instance) {
-            Some(known) => known.merge(report, EndpointReport::is_newer, arrival),
+            Some(known) => known.merge(report, EndpointReport::is_newer_than, arrival),
             None => insert_new(&mut self.reports, report.instance.clone(), report, arrival),
         };
         self.changes += u64::from(is_news);
@@ -144,14 +144,14 @@
     /// Takes in a load; true if it was measured more than `step_ms` after the known one.
     pub fn merge_load(
         &mut self,
-        row: LoadRow,
+        row: LoadRecord,
         step_ms: u64,
         source: Option<LinkNumber>,
         now: Timestamp,
     ) -> bool {
         let age_ms = u64::from(row.age_ms);
         let measured_at = Timestamp(now.0.saturating_sub(age_ms));
-        let known = self.loads.get(&row.subject);
+        let known = self.loads.get(&row.instance_hash);
         let is_later = known.is_none_or(|known| measured_at.0 > known.measured_at.0 + step_ms);
         let has_room = known.is_some() || self.loads.len() < 2 * MAX_KEPT;
         let is_news = is_later && has_room && age_ms < MAX_LOAD_AGE_MS;
@@ -159,7 +159,7 @@
             self.changes += 1;
             let change = self.changes;
             let known = KnownLoad { load: row.load, measured_at, change, source };
-            self.loads.insert(row.subject, known);
+            self.loads.insert(row.instance_hash, known);
         }
         is_news
     }
@@ -195,7 +195,7 @@
         mark: LinkMark,
         link: LinkNumber,
         now: Timestamp,
-    ) -> (Vec<LoadRow>, LinkMark) {
+    ) -> (Vec<LoadRecord>, LinkMark) {
         let is_due = |known: &KnownLoad| known.change > mark.loads && known.source != Some(link);
         let mut due: Vec<_> = self.loads.iter().filter(|(_, known)| is_due(known)).collect();
         due.sort_unstable_by_key(|(_, known)| known.change);
@@ -205,8 +205,8 @@
         let loads = if is_cut { last } else { self.changes };
         let rows = due.into_iter().filter_map(|(subject, known)| {
             let age_ms = now.0.saturating_sub(known.measured_at.0);
-            (age_ms < MAX_LOAD_AGE_MS).then_some(LoadRow {
-                subject: *subject,
+            (age_ms < MAX_LOAD_AGE_MS).then_some(LoadRecord {
+                instance_hash: *subject,
                 load: known.load,
                 age_ms: age_ms as u32,
             })
--- a/crates/decide/src/limit_book.rs
+++ b/crates/decide/src/limit_book.rs
@@ -16,7 +16,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use cassiawheel_model::{LimitRow, LimitState, NamedLimit, Timestamp};
+use cassiawheel_model::{LimitRecord, LimitState, NamedLimit, Timestamp};
 
 use crate::{cell::EndpointPace, gossip::LinkNumber};
 
@@ -135,7 +135,7 @@
     }
 
     /// Takes in a row of a neighbour; true if it is newer than what is known.
-    pub fn note(&mut self, row: LimitRow, source: LinkNumber, now: Timestamp) -> bool {
+    pub fn note(&mut self, row: LimitRecord, source: LinkNumber, now: Timestamp) -> bool {
         let observed_at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
         let known = self.limits.get(&row.endpoint);
         // Copies that come another way seem to be some milliseconds younger or older.
@@ -193,13 +193,18 @@
     }
 
     /// Limits that `link` has to be sent, and up to which change it has all of them then.
-    pub fn rows_since(&self, mark: u64, link: LinkNumber, now: Timestamp) -> (Vec<LimitRow>, u64) {
+    pub fn rows_since(
+        &self,
+        mark: u64,
+        link: LinkNumber,
+        now: Timestamp,
+    ) -> (Vec<LimitRecord>, u64) {
         if mark == self.changes {
             return (Vec::new(), mark);
         }
         let is_due = |known: &KnownLimit| known.change > mark && known.source != Some(link);
         let due = self.limits.iter().filter(|(_, known)| is_due(known));
-        let rows = due.map(|(endpoint, known)| LimitRow {
+        let rows = due.map(|(endpoint, known)| LimitRecord {
             endpoint: *endpoint,
             state: known.state,
             age_ms: now.0.saturating_sub(known.observed_at.0) as u32,
--- a/crates/decide/tests/crash_book.rs
+++ b/crates/decide/tests/crash_book.rs
@@ -8,7 +8,7 @@
 
 use cassiawheel_decide::{BAR_TIME, CrashBook, CrashVerdict, EntryPlace, LinkNumber, chosen_links};
 use cassiawheel_model::{
-    BarredRequest, CrashEvent, CrashRow, Deadline, InstanceId, PresetRevision, PriorityClass,
+    BarredRequest, CrashEvent, CrashRecord, Deadline, InstanceId, PresetRevision, PriorityClass,
     RegionName, Repeatability, RequestDigest, RequestHead, RequestId, ServiceName, Timestamp,
     WorkspaceId,
 };
@@ -40,8 +40,8 @@
     RequestDigest::of(&head("booth", "/x", "r"), &body.to_le_bytes())
 }
 
-fn row(body: u64, event: CrashEvent, age_ms: u32) -> CrashRow {
-    CrashRow { digest: digest(body), event, age_ms }
+fn row(body: u64, event: CrashEvent, age_ms: u32) -> CrashRecord {
+    CrashRecord { digest: digest(body), event, age_ms }
 }
 
 fn is_barred(book: &CrashBook, body: u64) -> bool {
--- a/crates/decide/tests/limit_book.rs
+++ b/crates/decide/tests/limit_book.rs
@@ -6,7 +6,7 @@
 use cassiawheel_decide::{
     EndpointCell, EndpointPace, HolderPlace, LimitBook, LinkNumber, rank::rendezvous_weight,
 };
-use cassiawheel_model::{LimitRow, LimitState, NamedLimit, Timestamp};
+use cassiawheel_model::{LimitRecord, LimitState, NamedLimit, Timestamp};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rstest::rstest;
 
@@ -127,14 +127,14 @@
     assert!(book.hear(ENDPOINT, Some(limit(1.0)), later(5_010)));
     let (rows, mark) = book.rows_since(0, 3, later(5_020));
     let state = LimitState::Named(limit(1.0));
-    assert_eq!(rows, [LimitRow { endpoint: ENDPOINT, state, age_ms: 10 }]);
+    assert_eq!(rows, [LimitRecord { endpoint: ENDPOINT, state, age_ms: 10 }]);
     assert_eq!(book.rows_since(mark, 3, later(5_020)).0, []);
 }
 
 /// Guards against late copies that bring an ended limit back or end one that holds.
 #[test]
 fn the_later_word_holds_whatever_way_it_comes() {
-    let row = |state, age_ms| LimitRow { endpoint: ENDPOINT, state, age_ms };
+    let row = |state, age_ms| LimitRecord { endpoint: ENDPOINT, state, age_ms };
     let (named, ended) = (LimitState::Named(limit(2.0)), LimitState::Ended(limit(2.0)));
     let mut book = LimitBook::default();
     assert!(book.note(row(named, 0), 1, NOW));
--- a/crates/decide/tests/overlay.rs
+++ b/crates/decide/tests/overlay.rs
@@ -9,7 +9,9 @@
     EntryChoice, EntryPlace, FloodFilter, GossipStore, LinkMark, LinkNumber, RowDuty, chosen_links,
     rank::subject_of, reachable_entries, row_duty,
 };
-use cassiawheel_model::{EntryRecord, FailureDomain, InstanceId, LoadRow, RegionName, Timestamp};
+use cassiawheel_model::{
+    EntryRecord, FailureDomain, InstanceId, LoadRecord, RegionName, Timestamp,
+};
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IteratorRandom};
 use rstest::rstest;
 
@@ -148,7 +150,7 @@
                 store.merge_record(record, Some(from as LinkNumber), self.now);
             }
             for row in loads {
-                let row = LoadRow { age_ms: row.age_ms + ROUND_MS as u32, ..row };
+                let row = LoadRecord { age_ms: row.age_ms + ROUND_MS as u32, ..row };
                 store.merge_load(row, ROUND_MS, Some(from as LinkNumber), self.now);
             }
         }
@@ -259,7 +261,7 @@
         for step in 0..40 {
             for index in 0..entries {
                 let subject = subject_of(name(index).as_str());
-                let row = LoadRow { subject, load: step, age_ms: 0 };
+                let row = LoadRecord { instance_hash: subject, load: step, age_ms: 0 };
                 let now = fleet.now;
                 fleet.processes[index].store.merge_load(row, 0, None, now);
             }
@@ -298,7 +300,7 @@
 fn an_older_load_does_not_replace_a_newer_one() {
     let mut store = GossipStore::default();
     let subject = subject_of(name(1).as_str());
-    let row = |load, age_ms| LoadRow { subject, load, age_ms };
+    let row = |load, age_ms| LoadRecord { instance_hash: subject, load, age_ms };
     assert!(store.merge_load(row(3, 0), 40, None, Timestamp(1_000)));
     assert!(!store.merge_load(row(9, 60), 40, Some(2), Timestamp(1_050)), "measured before");
     assert!(!store.merge_load(row(9, 30), 40, Some(2), Timestamp(1_050)), "the same one");
--- a/crates/entry/src/caller/lost.rs
+++ b/crates/entry/src/caller/lost.rs
@@ -9,7 +9,9 @@
 use std::{io::ErrorKind, net::SocketAddr, time::Duration};
 
 use cassiawheel_decide::{AttemptEnd, CrashVerdict, EndpointPath, rank::subject_of};
-use cassiawheel_model::{CrashEvent, CrashRow, InstanceId, NotRunReason, RequestDigest, Timestamp};
+use cassiawheel_model::{
+    CrashEvent, CrashRecord, InstanceId, NotRunReason, RequestDigest, Timestamp,
+};
 use cassiawheel_runtime::{dial, timeout};
 use smol::Timer;
 
@@ -84,7 +86,7 @@
 
 fn note(routed: &RoutedInterface, digest: RequestDigest, event: CrashEvent, at: Timestamp) {
     let now = Timestamp::now();
-    let row = CrashRow { digest, event, age_ms: now.since(at).as_millis() as u32 };
+    let row = CrashRecord { digest, event, age_ms: now.since(at).as_millis() as u32 };
     let mut state = routed.overlay.lock();
     if state.crashes.note(row, None, now) {
         routed.crashes.learn(&state.crashes, &[row], None);
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -8,7 +8,7 @@
 
 use cassiawheel_decide::{LinkNumber, PeerEntry, advice::AdviceInput, rank::subject_of, row_duty};
 use cassiawheel_model::{
-    Deadline, EndpointReport, EntryRecord, GossipNews, InstanceId, LoadReport, LoadRow,
+    Deadline, EndpointReport, EntryRecord, GossipDelta, InstanceId, LoadRecord, LoadReport,
     PresetRevision, Timestamp,
 };
 use cassiawheel_runtime::timeout;
@@ -87,7 +87,7 @@
     let mut state = routed.overlay.lock();
     if load >= MIN_PUBLISHED_LOAD {
         let subject = subject_of(shared.settings.place.instance.as_str());
-        let row = LoadRow { subject, load, age_ms: 0 };
+        let row = LoadRecord { instance_hash: subject, load, age_ms: 0 };
         state.store.merge_load(row, FAR_STEP_MS, None, now);
     }
     let OverlayState { store, crashes, links, .. } = &mut *state;
@@ -111,7 +111,7 @@
             continue;
         }
         let mut news =
-            GossipNews { revision, records, reports, loads: Vec::new(), crashes: rows, limits };
+            GossipDelta { revision, records, reports, loads: Vec::new(), crashes: rows, limits };
         let mut loads_at = link.loads_at;
         if loads_are_due {
             (news.loads, mark) = store.loads_since(mark, link.number, now);
@@ -191,7 +191,7 @@
     shared: &Arc<EntryShared>,
     routed: &Arc<RoutedInterface>,
     source: LinkNumber,
-    news: GossipNews,
+    news: GossipDelta,
 ) {
     let own = &shared.settings.place.instance;
     let now = Timestamp::now();
@@ -250,10 +250,10 @@
 }
 
 /// Takes loads into the cells of the endpoints that they are of.
-fn apply_loads(routed: &RoutedInterface, rows: &[LoadRow], now: Timestamp) {
+fn apply_loads(routed: &RoutedInterface, rows: &[LoadRecord], now: Timestamp) {
     let cells = routed.load_cells.load();
     for row in rows {
-        if let Some(cell) = cells.get(&row.subject) {
+        if let Some(cell) = cells.get(&row.instance_hash) {
             let measured_at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
             let load = LoadReport { in_flight: row.load, queued: 0, measured_at };
             cell.hear(&load, cell.hard_limit());
@@ -263,8 +263,8 @@
 
 /// Keeps the load of an endpoint whose agent is connected here, for the other entries.
 pub(crate) fn publish_load(routed: &RoutedInterface, instance: &InstanceId, load: &LoadReport) {
-    let row = LoadRow {
-        subject: subject_of(instance.as_str()),
+    let row = LoadRecord {
+        instance_hash: subject_of(instance.as_str()),
         load: load.in_flight + load.queued,
         age_ms: 0,
     };
--- a/crates/entry/src/control/quarantine.rs
+++ b/crates/entry/src/control/quarantine.rs
@@ -7,7 +7,7 @@
 
 use cassiawheel_decide::RowDuty;
 use cassiawheel_edge::{StoreError, TableGuard, TableStore, TableWrite, WriteVerdict};
-use cassiawheel_model::{BarredRequest, CrashEvent, CrashRow, Timestamp};
+use cassiawheel_model::{BarredRequest, CrashEvent, CrashRecord, Timestamp};
 use cassiawheel_runtime::timeout;
 
 use crate::{routed::RoutedInterface, shared::EntryShared};
@@ -53,7 +53,7 @@
         }
     };
     let now = Timestamp::now();
-    let rows = kept.iter().map(|bar| CrashRow {
+    let rows = kept.iter().map(|bar| CrashRecord {
         digest: bar.digest,
         event: CrashEvent::Barred,
         age_ms: now.since(bar.ended_at).as_millis() as u32,
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -11,7 +11,7 @@
 
 use arc_swap::ArcSwap;
 use cassiawheel_decide::{CrashBook, CrashVerdict, LinkNumber, rank::rendezvous_weight};
-use cassiawheel_model::{CrashEvent, CrashRow, InstanceId, RequestDigest};
+use cassiawheel_model::{CrashEvent, CrashRecord, InstanceId, RequestDigest};
 use smol::channel::{Receiver, Sender, bounded};
 
 /// Verdicts on requests, and runs of suspects that this entry has under way.
@@ -57,7 +57,7 @@
 
     /// Takes up the verdicts of `book` after it has learned `rows`, from a neighbour over
     /// the link `source` or from an own run.
-    pub(crate) fn learn(&self, book: &CrashBook, rows: &[CrashRow], source: Option<LinkNumber>) {
+    pub(crate) fn learn(&self, book: &CrashBook, rows: &[CrashRecord], source: Option<LinkNumber>) {
         if rows.is_empty() {
             return;
         }
@@ -87,7 +87,7 @@
     }
 }
 
-fn log_row(row: &CrashRow, verdict: CrashVerdict, source: Option<LinkNumber>) {
+fn log_row(row: &CrashRecord, verdict: CrashVerdict, source: Option<LinkNumber>) {
     let learned = if source.is_some() { "neighbour" } else { "own run" };
     match (row.event, verdict) {
         (CrashEvent::Begun, _) => {
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -15,7 +15,9 @@
     HolderPlace, LimitBook,
     rank::{rendezvous_weight, subject_of},
 };
-use cassiawheel_model::{EntryRecord, FailureDomain, InstanceId, LimitRow, NamedLimit, Timestamp};
+use cassiawheel_model::{
+    EntryRecord, FailureDomain, InstanceId, LimitRecord, NamedLimit, Timestamp,
+};
 use smol::channel::Sender;
 
 use crate::{routed::RoutedInterface, shared::EntryShared};
@@ -75,7 +77,7 @@
     }
 
     /// Takes in a row of a neighbour; true if it is newer than what is known.
-    pub(crate) fn note(&self, row: LimitRow, source: u64, now: Timestamp) -> bool {
+    pub(crate) fn note(&self, row: LimitRecord, source: u64, now: Timestamp) -> bool {
         let mut book = self.book();
         let before = book.named();
         let is_news = book.note(row, source, now);
--- a/crates/model/src/endpoint.rs
+++ b/crates/model/src/endpoint.rs
@@ -96,7 +96,7 @@
 
 impl EndpointReport {
     /// Whether this report replaces `known`.
-    pub fn is_newer(&self, known: &Self) -> bool {
+    pub fn is_newer_than(&self, known: &Self) -> bool {
         (self.incarnation, self.sequence) > (known.incarnation, known.sequence)
     }
 }
--- a/crates/model/src/gossip.rs
+++ b/crates/model/src/gossip.rs
@@ -45,9 +45,9 @@
 #[apply(record!)]
 #[derive(Copy, Eq)]
 #[serde(from = "(u64, u32, u32)", into = "(u64, u32, u32)")]
-pub struct LoadRow {
+pub struct LoadRecord {
     /// Hash of the instance's name.
-    pub subject: u64,
+    pub instance_hash: u64,
     /// Requests in progress and waiting.
     pub load: u32,
     /// Time since it was measured, in milliseconds.
@@ -73,7 +73,7 @@
 /// What became of one run of a request under which endpoints have ended.
 #[apply(record!)]
 #[derive(Copy, Eq)]
-pub struct CrashRow {
+pub struct CrashRecord {
     /// What was asked for.
     pub digest: RequestDigest,
     /// What became of the run.
@@ -95,7 +95,7 @@
 /// The limit of an endpoint.
 #[apply(record!)]
 #[derive(Copy, Eq)]
-pub struct LimitRow {
+pub struct LimitRecord {
     /// Hash of the endpoint's process.
     pub endpoint: u64,
     /// Its state.
@@ -118,7 +118,7 @@
 #[apply(record!)]
 #[derive(Default)]
 #[serde(default)]
-pub struct GossipNews {
+pub struct GossipDelta {
     /// The highest preset revision that the sender has adopted.
     pub revision: PresetRevision,
     /// Entries whose records changed.
@@ -126,16 +126,16 @@
     /// Endpoints whose reports changed.
     pub reports: Vec<EndpointReport>,
     /// Loads that were measured since the last message.
-    pub loads: Vec<LoadRow>,
+    pub loads: Vec<LoadRecord>,
     /// Ends of endpoints under requests, and what clears these.
-    pub crashes: Vec<CrashRow>,
+    pub crashes: Vec<CrashRecord>,
     /// Limits that endpoints name.
-    pub limits: Vec<LimitRow>,
+    pub limits: Vec<LimitRecord>,
 }
 
 impl CrashEvent {
     /// Hash of the endpoint that ended.
-    pub fn endpoint(self) -> Option<u64> {
+    pub fn endpoint_hash(self) -> Option<u64> {
         match self {
             Self::EndedAtStart(endpoint) | Self::EndedInAnswer(endpoint) => Some(endpoint),
             Self::Barred | Self::Begun | Self::Answered => None,
@@ -143,21 +143,21 @@
     }
 }
 
-impl From<(u64, u32, u32)> for LoadRow {
-    fn from((subject, load, age_ms): (u64, u32, u32)) -> Self {
-        Self { subject, load, age_ms }
+impl From<(u64, u32, u32)> for LoadRecord {
+    fn from((instance_hash, load, age_ms): (u64, u32, u32)) -> Self {
+        Self { instance_hash, load, age_ms }
     }
 }
 
-impl From<LoadRow> for (u64, u32, u32) {
-    fn from(row: LoadRow) -> Self {
-        (row.subject, row.load, row.age_ms)
+impl From<LoadRecord> for (u64, u32, u32) {
+    fn from(row: LoadRecord) -> Self {
+        (row.instance_hash, row.load, row.age_ms)
     }
 }
 
 impl EntryRecord {
     /// Whether this record replaces `known`.
-    pub fn is_newer(&self, known: &Self) -> bool {
+    pub fn is_newer_than(&self, known: &Self) -> bool {
         (self.incarnation, self.sequence) > (known.incarnation, known.sequence)
     }
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -29,7 +29,8 @@
 };
 pub use finding::{FindingList, InputFinding};
 pub use gossip::{
-    BarredRequest, CrashEvent, CrashRow, EntryRecord, GossipNews, LimitRow, LimitState, LoadRow,
+    BarredRequest, CrashEvent, CrashRecord, EntryRecord, GossipDelta, LimitRecord, LimitState,
+    LoadRecord,
 };
 pub use header::HeaderField;
 pub use ids::{
--- a/crates/wire/src/message/control.rs
+++ b/crates/wire/src/message/control.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use cassiawheel_model::{
-    ActivePreset, EndpointReport, FailureDomain, GossipNews, InstanceId, ListedRow, LoadReport,
+    ActivePreset, EndpointReport, FailureDomain, GossipDelta, InstanceId, ListedRow, LoadReport,
     ManifestDigest, ModelVersion, NamedVersion, OriginPlace, PresetRevision, RegionName,
     WeightManifest, record,
 };
@@ -106,7 +106,7 @@
         region: RegionName,
     },
     /// Entry to entry: what changed since the last message over this link.
-    Gossip(Box<GossipNews>),
+    Gossip(Box<GossipDelta>),
     /// Entry to entry: a message for every entry.
     Flood(Box<FloodMessage>),
     /// Entry to entry: orders for the agents that are connected to the receiver.
