--- a/crates/decide/src/crash_book.rs
+++ b/crates/decide/src/crash_book.rs
@@ -20,7 +20,7 @@
 };
 
 use cassiawheel_model::{
-    BarredRequest, CrashEvent, CrashRecord, Deadline, RequestDigest, Timestamp,
+    CrashEvent, CrashRecord, Deadline, QuarantinedRequest, RequestDigest, Timestamp,
 };
 
 use crate::gossip::LinkNumber;
@@ -262,16 +262,16 @@
     /// there is nothing to add.
     pub fn bars_to_keep(
         &self,
-        kept: &[BarredRequest],
+        kept: &[QuarantinedRequest],
         now: Timestamp,
-    ) -> Option<Vec<BarredRequest>> {
-        let is_over = |bar: &BarredRequest| bar.ended_at.deadline_after(BAR_TIME).is_past(now);
+    ) -> Option<Vec<QuarantinedRequest>> {
+        let is_over = |bar: &QuarantinedRequest| bar.ended_at.deadline_after(BAR_TIME).is_past(now);
         let is_kept =
             |digest: &RequestDigest| kept.iter().any(|bar| bar.digest == *digest && !is_over(bar));
         let barred = self.requests.iter().filter(|(digest, request)| {
             matches!(request.verdict(), CrashVerdict::Barred { .. }) && !is_kept(digest)
         });
-        let added = barred.map(|(digest, request)| BarredRequest {
+        let added = barred.map(|(digest, request)| QuarantinedRequest {
             digest: *digest,
             ended_at: request.last_end(),
         });
--- a/crates/decide/tests/crash_book.rs
+++ b/crates/decide/tests/crash_book.rs
@@ -8,9 +8,9 @@
 
 use cassiawheel_decide::{BAR_TIME, CrashBook, CrashVerdict, EntryPlace, LinkNumber, chosen_links};
 use cassiawheel_model::{
-    BarredRequest, CrashEvent, CrashRecord, Deadline, InstanceId, PresetRevision, PriorityClass,
-    RegionName, Repeatability, RequestDigest, RequestHead, RequestId, ServiceName, Timestamp,
-    WorkspaceId,
+    CrashEvent, CrashRecord, Deadline, InstanceId, PresetRevision, PriorityClass,
+    QuarantinedRequest, RegionName, Repeatability, RequestDigest, RequestHead, RequestId,
+    ServiceName, Timestamp, WorkspaceId,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
 use rstest::rstest;
@@ -162,9 +162,9 @@
     }
     let ended_at = Timestamp(NOW.0 - 1_000);
     let over_at = Timestamp(NOW.0 - BAR_TIME.as_millis() as u64);
-    let over = BarredRequest { digest: digest(9), ended_at: over_at };
+    let over = QuarantinedRequest { digest: digest(9), ended_at: over_at };
     let bars = book.bars_to_keep(&[over], NOW).expect("one is to be added");
-    assert_eq!(bars, [BarredRequest { digest: digest(7), ended_at }]);
+    assert_eq!(bars, [QuarantinedRequest { digest: digest(7), ended_at }]);
     assert_eq!(book.bars_to_keep(&bars, NOW), None);
     let mut started = CrashBook::default();
     assert!(started.note(row(7, CrashEvent::Barred, 1_000), None, NOW));
--- a/crates/entry/src/control/quarantine.rs
+++ b/crates/entry/src/control/quarantine.rs
@@ -7,7 +7,7 @@
 
 use cassiawheel_decide::RowDuty;
 use cassiawheel_edge::{StoreError, TableGuard, TableStore, TableWrite, WriteVerdict};
-use cassiawheel_model::{BarredRequest, CrashEvent, CrashRecord, Timestamp};
+use cassiawheel_model::{CrashEvent, CrashRecord, QuarantinedRequest, Timestamp};
 use cassiawheel_runtime::timeout;
 
 use crate::{routed::RoutedInterface, shared::EntryShared};
@@ -91,7 +91,9 @@
     Ok(matches!(verdict, Some(WriteVerdict::Written(_))))
 }
 
-async fn kept_bars(table: &dyn TableStore) -> Result<(TableGuard, Vec<BarredRequest>), StoreError> {
+async fn kept_bars(
+    table: &dyn TableStore,
+) -> Result<(TableGuard, Vec<QuarantinedRequest>), StoreError> {
     let Some(row) = table.read(BARS_ROW).await? else {
         return Ok((TableGuard::Absent, Vec::new()));
     };
--- a/crates/model/src/gossip.rs
+++ b/crates/model/src/gossip.rs
@@ -107,7 +107,7 @@
 /// A request that no endpoint gets any more, as a row of the table service keeps it.
 #[apply(record!)]
 #[derive(Copy, Eq)]
-pub struct BarredRequest {
+pub struct QuarantinedRequest {
     /// What was asked for.
     pub digest: RequestDigest,
     /// When an endpoint ended under it last.
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -29,8 +29,8 @@
 };
 pub use finding::{FindingList, InputFinding};
 pub use gossip::{
-    BarredRequest, CrashEvent, CrashRecord, EntryRecord, GossipDelta, LimitRecord, LimitState,
-    LoadRecord,
+    CrashEvent, CrashRecord, EntryRecord, GossipDelta, LimitRecord, LimitState, LoadRecord,
+    QuarantinedRequest,
 };
 pub use header::HeaderField;
 pub use ids::{
