--- a/crates/model/src/gossip.rs
+++ b/crates/model/src/gossip.rs
@@ -5,7 +5,7 @@
 use macro_rules_attribute::apply;
 
 use crate::{
-    EndpointReport, FailureDomain, InstanceId, NamedLimit, PresetRevision, RegionName,
+    EndpointReport, FailureDomain, InstanceId, PresetRevision, RateLimit, RegionName,
     RequestDigest, Timestamp,
 };
 
@@ -87,9 +87,9 @@
 #[serde(rename_all = "kebab-case")]
 pub enum LimitState {
     /// It takes no more than this.
-    Named(NamedLimit),
+    Named(RateLimit),
     /// It no longer names the limit that it named.
-    Ended(NamedLimit),
+    Ended(RateLimit),
 }
 
 /// The limit of an endpoint.
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -25,7 +25,7 @@
 
 pub use callers::{CallerLimits, CallerTable, RouteKind, RouteRule, RouteShare};
 pub use endpoint::{
-    EndpointReport, EndpointRole, EndpointState, LoadReport, NamedLimit, StagedWeights,
+    EndpointReport, EndpointRole, EndpointState, LoadReport, RateLimit, StagedWeights,
 };
 pub use finding::{FindingList, InputFinding};
 pub use gossip::{
