--- a/crates/decide/src/versions.rs
+++ b/crates/decide/src/versions.rs
@@ -7,7 +7,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use cassiawheel_model::{
-    AgeSource, Deadline, ManifestDigest, ModelName, ModelVersion, NamedVersion, Timestamp,
+    AgeSource, Deadline, ManifestDigest, ModelName, ModelVersion, TargetVersion, Timestamp,
 };
 
 use crate::plan::{PacedVersion, PlanPace};
@@ -40,7 +40,7 @@
     /// Takes in a named version; true if it or its manifest was not known.
     ///
     /// `span` is the time after which no older version may answer.
-    pub fn offer(&mut self, named: &NamedVersion, span: Duration, now: Timestamp) -> bool {
+    pub fn offer(&mut self, named: &TargetVersion, span: Duration, now: Timestamp) -> bool {
         let named_at = Timestamp(now.0.saturating_sub(named.age_ms));
         let fresh = WantedVersion {
             number: named.number,
@@ -102,7 +102,7 @@
     }
 
     /// All versions that are remembered, as other processes have to know them.
-    pub fn named(&self, now: Timestamp) -> Vec<NamedVersion> {
+    pub fn named(&self, now: Timestamp) -> Vec<TargetVersion> {
         let of_model = |(model, versions): (&ModelName, &Vec<WantedVersion>)| {
             let named = versions.iter().map(|known| known.named(model, now));
             named.collect::<Vec<_>>()
@@ -142,8 +142,8 @@
         }
     }
 
-    fn named(&self, model: &str, now: Timestamp) -> NamedVersion {
-        NamedVersion {
+    fn named(&self, model: &str, now: Timestamp) -> TargetVersion {
+        TargetVersion {
             model: model.to_owned(),
             number: self.number,
             version: self.version.clone(),
--- a/crates/decide/tests/versions.rs
+++ b/crates/decide/tests/versions.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cassiawheel_decide::VersionBook;
-use cassiawheel_model::{AgeSource, ManifestDigest, ModelVersion, NamedVersion, Timestamp};
+use cassiawheel_model::{AgeSource, ManifestDigest, ModelVersion, TargetVersion, Timestamp};
 
 const SPAN: Duration = Duration::from_millis(7_000);
 const START: Timestamp = Timestamp(1_000_000);
@@ -16,8 +16,8 @@
     ModelVersion::new(&format!("m:{number}")).expect("valid")
 }
 
-fn named(number: u64) -> NamedVersion {
-    NamedVersion {
+fn named(number: u64) -> TargetVersion {
+    TargetVersion {
         model: "m".to_owned(),
         number,
         version: version(number),
@@ -66,7 +66,7 @@
 #[test]
 fn the_age_counts() {
     let mut book = book(&[(1, 0)]);
-    let told = NamedVersion { age_ms: 5_000, ..named(2) };
+    let told = TargetVersion { age_ms: 5_000, ..named(2) };
     book.offer(&told, SPAN, at(6_000));
     assert!(book.allowed("m", at(7_900)).is_none());
     assert_eq!(book.allowed("m", at(8_000)), Some(vec![version(2)]));
@@ -79,8 +79,8 @@
 /// seconds in which the engines may still serve the older version.
 #[test]
 fn an_assumed_age_does_not_go_before_an_observed_one() {
-    let assumed = NamedVersion { age_ms: 3_500, age_source: AgeSource::Assumed, ..named(2) };
-    let observed = NamedVersion { age_ms: 250, ..named(2) };
+    let assumed = TargetVersion { age_ms: 3_500, age_source: AgeSource::Assumed, ..named(2) };
+    let observed = TargetVersion { age_ms: 250, ..named(2) };
     for words in [[&assumed, &observed], [&observed, &assumed]] {
         let mut book = book(&[(1, 0)]);
         for word in words {
@@ -101,7 +101,7 @@
 fn the_oldest_assumed_age_counts_where_nobody_observed() {
     let mut book = book(&[(1, 0)]);
     for (age_ms, ms) in [(3_500, 20_000), (3_500, 20_400)] {
-        let assumed = NamedVersion { age_ms, age_source: AgeSource::Assumed, ..named(2) };
+        let assumed = TargetVersion { age_ms, age_source: AgeSource::Assumed, ..named(2) };
         book.offer(&assumed, SPAN, at(ms));
     }
     assert_eq!(book.allowed("m", at(23_400)), None);
@@ -113,7 +113,7 @@
 fn the_digest_is_taken_once_and_kept() {
     let mut book = book(&[(1, 0)]);
     let digest = ManifestDigest::of(b"weights");
-    let pinned = NamedVersion { manifest: Some(digest), ..named(1) };
+    let pinned = TargetVersion { manifest: Some(digest), ..named(1) };
     assert!(book.offer(&pinned, SPAN, at(10)));
     assert!(!book.offer(&pinned, SPAN, at(20)));
     assert!(!book.offer(&named(1), SPAN, at(30)));
--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cassiawheel_model::{ActivePreset, ListedRow, NamedVersion};
+use cassiawheel_model::{ActivePreset, ListedRow, TargetVersion};
 
 use crate::{EdgeFuture, StoreError};
 
@@ -48,7 +48,7 @@
     /// The preset in force.
     Preset(Box<ActivePreset>),
     /// A version that was named for a model.
-    Version(NamedVersion),
+    Version(TargetVersion),
     /// A row that cannot be read; the text says why.
     Damaged(String),
 }
--- a/crates/entry/src/control/manifests.rs
+++ b/crates/entry/src/control/manifests.rs
@@ -8,7 +8,7 @@
 use std::{sync::Arc, time::Duration};
 
 use cassiawheel_decide::{ManifestSearch, SearchStep};
-use cassiawheel_model::{ManifestDigest, ModelVersion, NamedVersion, Timestamp, WeightManifest};
+use cassiawheel_model::{ManifestDigest, ModelVersion, TargetVersion, Timestamp, WeightManifest};
 use cassiawheel_runtime::timeout;
 use cassiawheel_wire::{ControlMessage, WireSender};
 use smol::Timer;
@@ -82,7 +82,7 @@
     let Some(named) = first_unpinned(routed).filter(|named| named.version == *version) else {
         return;
     };
-    let pinned = NamedVersion { manifest: Some(manifest.digest), ..named };
+    let pinned = TargetVersion { manifest: Some(manifest.digest), ..named };
     let manifest = Arc::new(manifest);
     routed.manifests.keep(manifest.clone());
     // Goes before the version, so that whoever orders it has it.
@@ -91,7 +91,7 @@
 }
 
 /// Asks whoever told of a pinned version for its manifest, if it is missing here.
-pub(crate) fn ask_teller(routed: &RoutedInterface, teller: &WireSender, named: &NamedVersion) {
+pub(crate) fn ask_teller(routed: &RoutedInterface, teller: &WireSender, named: &TargetVersion) {
     let Some(manifest) = named.manifest else {
         return;
     };
@@ -118,7 +118,7 @@
 }
 
 /// The newest named version whose bytes are not known, as old as it is now.
-fn first_unpinned(routed: &RoutedInterface) -> Option<NamedVersion> {
+fn first_unpinned(routed: &RoutedInterface) -> Option<TargetVersion> {
     let versions = routed.versions.load();
     let named = versions.named(Timestamp::now());
     // The newest one is what endpoints have to serve; the origin may have
--- a/crates/entry/src/control/operators.rs
+++ b/crates/entry/src/control/operators.rs
@@ -10,7 +10,7 @@
 
 use cassiawheel_decide::{FollowedRows, RowDuty};
 use cassiawheel_edge::{FeedError, FeedPage, OperatorRow};
-use cassiawheel_model::{AgeSource, Deadline, NamedVersion, Timestamp};
+use cassiawheel_model::{AgeSource, Deadline, TargetVersion, Timestamp};
 use cassiawheel_wire::ControlMessage;
 use rand::Rng;
 use smol::Timer;
@@ -93,7 +93,7 @@
         match row {
             OperatorRow::Preset(preset) => spread::adopt(shared, &Arc::new(*preset)),
             OperatorRow::Version(named) => {
-                let named = NamedVersion { age_ms: age.as_millis() as u64, age_source, ..named };
+                let named = TargetVersion { age_ms: age.as_millis() as u64, age_source, ..named };
                 take_version(shared, routed, &named);
             }
             OperatorRow::Damaged(detail) => {
@@ -104,7 +104,7 @@
 }
 
 /// Takes in a named version and tells the other entries, if it is new here.
-pub(crate) fn take_version(shared: &EntryShared, routed: &RoutedInterface, named: &NamedVersion) {
+pub(crate) fn take_version(shared: &EntryShared, routed: &RoutedInterface, named: &TargetVersion) {
     if !routed.offer_version(named) {
         return;
     }
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -20,8 +20,8 @@
     CallerProtocol, EndpointProtocol, ListingFeed, OperatorFeed, TableStore, WeightSource,
 };
 use cassiawheel_model::{
-    ActivePreset, EndpointReport, EndpointState, ListedEndpoint, ModelVersion, NamedVersion,
-    ServiceName, ServiceTarget, Timestamp, settings::RoutedSettings,
+    ActivePreset, EndpointReport, EndpointState, ListedEndpoint, ModelVersion, ServiceName,
+    ServiceTarget, TargetVersion, Timestamp, settings::RoutedSettings,
 };
 use cassiawheel_wire::WireSender;
 use smol::channel::{Receiver, Sender, bounded};
@@ -180,7 +180,7 @@
     }
 
     /// Takes in a named version; true if it or its manifest was not known.
-    pub(crate) fn offer_version(&self, named: &NamedVersion) -> bool {
+    pub(crate) fn offer_version(&self, named: &TargetVersion) -> bool {
         let span = Duration::from_millis(self.settings.version_ms);
         let now = Timestamp::now();
         let mut is_new = false;
--- a/crates/model/src/target.rs
+++ b/crates/model/src/target.rs
@@ -12,7 +12,7 @@
 /// The newest version that operators named for a model.
 #[apply(record!)]
 #[derive(Eq)]
-pub struct NamedVersion {
+pub struct TargetVersion {
     /// The model.
     pub model: ModelName,
     /// Rises with every version that is named for the model.
--- a/crates/wire/src/message/control.rs
+++ b/crates/wire/src/message/control.rs
@@ -4,7 +4,7 @@
 
 use cassiawheel_model::{
     ActivePreset, EndpointReport, FailureDomain, GossipDelta, InstanceId, ListedRow, LoadReport,
-    ManifestDigest, ModelVersion, NamedVersion, OriginPlace, PresetRevision, RegionName,
+    ManifestDigest, ModelVersion, OriginPlace, PresetRevision, RegionName, TargetVersion,
     WeightManifest, record,
 };
 use macro_rules_attribute::apply;
@@ -72,7 +72,7 @@
     /// Entry to entry: the preset in force is wanted, since a heartbeat told a newer one.
     PresetWanted,
     /// Entry to entry: a version that was named for a model.
-    Named(NamedVersion),
+    Named(TargetVersion),
     /// Entry to entry: what changed in the platform's list of endpoints.
     Listing {
         /// The rows that changed; all rows if `base` is zero.
