--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -17,7 +17,7 @@
 };
 use cassiawheel_edge::{TableStore, WeightSource};
 use cassiawheel_model::{
-    ActivePreset, Deadline, EndpointState, InstanceId, LoadReport, ModelVersion, OriginPlace,
+    ActivePreset, Deadline, EndpointState, InstanceId, LoadReport, ModelVersion, OriginProfile,
     PresetRevision, RequestId, ServiceName, Timestamp, settings::EntrySettings,
 };
 use cassiawheel_wire::{HelloMessage, ProcessKind, WireSender};
@@ -172,7 +172,7 @@
     }
 
     /// The origin of weights, where it comes with the preset.
-    pub(crate) fn origin_place(&self) -> Option<OriginPlace> {
+    pub(crate) fn origin_place(&self) -> Option<OriginProfile> {
         let force = self.force.load();
         let mut services = force.as_ref()?.content.services.values();
         services.find_map(|target| target.engine.as_ref()?.origin.clone())
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -43,5 +43,5 @@
 pub use outcome::{NotRunReason, OutcomeKind, RequestOutcome};
 pub use preset::{ActivePreset, PresetContent, PresetRevision, ServiceKind, ServiceTarget};
 pub use request::{PriorityClass, Repeatability, RequestDigest, RequestHead};
-pub use target::{AgeSource, EngineProfile, ModelName, OriginPlace, TargetVersion};
+pub use target::{AgeSource, EngineProfile, ModelName, OriginProfile, TargetVersion};
 pub use time::{Deadline, Timestamp};
--- a/crates/wire/src/message/control.rs
+++ b/crates/wire/src/message/control.rs
@@ -4,7 +4,7 @@
 
 use cassiawheel_model::{
     ActivePreset, EndpointReport, FailureDomain, GossipDelta, InstanceId, ListedRow, LoadReport,
-    ManifestDigest, ModelVersion, OriginPlace, PresetRevision, RegionName, TargetVersion,
+    ManifestDigest, ModelVersion, OriginProfile, PresetRevision, RegionName, TargetVersion,
     WeightManifest, record,
 };
 use macro_rules_attribute::apply;
@@ -150,7 +150,7 @@
     pub serve: bool,
     /// The origin of weights, where it comes with the preset.
     #[serde(default)]
-    pub origin: Option<OriginPlace>,
+    pub origin: Option<OriginProfile>,
 }
 
 /// Where an agent is reached by other agents.
