--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -21,7 +21,7 @@
 };
 use cassiawheel_model::{
     ActivePreset, EndpointReport, EndpointState, ListedEndpoint, ModelVersion, ServiceName,
-    ServiceTarget, TargetVersion, Timestamp, settings::RoutedSettings,
+    ServiceTarget, TargetVersion, Timestamp, settings::RoutingSettings,
 };
 use cassiawheel_wire::WireSender;
 use smol::channel::{Receiver, Sender, bounded};
@@ -39,7 +39,7 @@
 /// The edges of such an entry.
 pub struct RoutedEdges {
     /// Settings beside those of every entry.
-    pub settings: RoutedSettings,
+    pub settings: RoutingSettings,
     /// The callers' protocol.
     pub callers: Arc<dyn CallerProtocol>,
     /// The endpoints' protocol.
@@ -57,7 +57,7 @@
 /// State of such an entry.
 pub(crate) struct RoutedInterface {
     /// Settings.
-    pub(crate) settings: RoutedSettings,
+    pub(crate) settings: RoutingSettings,
     /// The callers' protocol.
     pub(crate) callers: Arc<dyn CallerProtocol>,
     /// The client of endpoints.
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -7,7 +7,6 @@
 #[macro_use]
 mod derives;
 
-pub mod callers;
 pub mod endpoint;
 pub mod finding;
 pub mod flags;
@@ -19,11 +18,11 @@
 pub mod outcome;
 pub mod preset;
 pub mod request;
+pub mod routing;
 pub mod settings;
 pub mod target;
 pub mod time;
 
-pub use callers::{CallerLimits, CallerTable, RouteKind, RouteRule, RouteShare};
 pub use endpoint::{
     EndpointReport, EndpointRole, EndpointState, LoadReport, RateLimit, StagedWeights,
 };
@@ -43,5 +42,6 @@
 pub use outcome::{NotRunReason, OutcomeKind, RequestOutcome};
 pub use preset::{ActivePreset, PresetContent, PresetRevision, ServiceKind, ServiceTarget};
 pub use request::{PriorityClass, Repeatability, RequestDigest, RequestHead};
+pub use routing::{CallerLimits, RouteKind, RouteRule, RouteShare, RoutingTable};
 pub use target::{AgeSource, EngineProfile, ModelName, OriginProfile, TargetVersion};
 pub use time::{Deadline, Timestamp};
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -14,7 +14,7 @@
 pub mod common;
 pub mod entry;
 pub mod listener;
-pub mod routed;
+pub mod routing;
 mod tree;
 mod walk;
 
@@ -24,7 +24,7 @@
     CallerSettings, ControlSettings, EntryListen, EntrySettings, OperatorRole, OperatorToken,
 };
 pub use listener::ListenerSettings;
-pub use routed::RoutedSettings;
+pub use routing::RoutingSettings;
 
 use serde::{Serialize, de::DeserializeOwned};
 
--- a/crates/model/src/settings/routed.rs
+++ b/crates/model/src/settings/routing.rs
@@ -8,7 +8,7 @@
 
 /// What such an entry is told beside [`super::EntrySettings`].
 #[apply(record!)]
-pub struct RoutedSettings {
+pub struct RoutingSettings {
     /// Where the platform asks whether the entry is ready.
     pub listen_ready: SocketAddr,
     /// Where callers ask which entries to use.
