--- a/crates/agent/src/transfer/peer.rs
+++ b/crates/agent/src/transfer/peer.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use cassiawheel_model::{InstanceId, ManifestDigest, WeightManifest, flags::set_positions};
+use cassiawheel_model::{InstanceId, ManifestDigest, WeightManifest, flags::iter_set_bits};
 use cassiawheel_runtime::timeout;
 use cassiawheel_wire::{
     ChunkMessage, WireMessage, WireReceiver, WireSender, connect,
@@ -153,7 +153,7 @@
         let peer = peer.clone();
         let event = match message {
             ChunkMessage::Held { manifest: told, bits } if told == manifest => {
-                TransferEvent::PeerHolds(peer, set_positions(&bits, chunks).collect())
+                TransferEvent::PeerHolds(peer, iter_set_bits(&bits, chunks).collect())
             }
             ChunkMessage::Gained { manifest: told, index } if told == manifest => {
                 TransferEvent::PeerHolds(peer, vec![index as usize])
--- a/crates/agent/src/transfer/stage.rs
+++ b/crates/agent/src/transfer/stage.rs
@@ -10,7 +10,7 @@
 use cassiawheel_decide::{ChunkPicker, ChunkSource, FetchOrder, PeerPlace, PickerSettings};
 use cassiawheel_model::{
     InstanceId, ManifestDigest, OriginProfile, RegionName, Timestamp, WeightManifest,
-    flags::set_positions, settings::TransferMode,
+    flags::iter_set_bits, settings::TransferMode,
 };
 use cassiawheel_runtime::{spawn, timeout};
 use cassiawheel_wire::message::WeightOrder;
@@ -82,7 +82,7 @@
     let staged = shared.engine.stage(&manifest).await.context("staging cannot be opened")?;
     let bits = hex::decode(&staged.bits).context("the engine's list of chunks is damaged")?;
     let mut held = vec![false; manifest.chunks.len()];
-    for index in set_positions(&bits, held.len()) {
+    for index in iter_set_bits(&bits, held.len()) {
         held[index] = true;
     }
     shared.transfer.open(manifest.clone(), held.clone());
@@ -162,7 +162,7 @@
     };
     let staged = shared.engine.stage(&manifest).await.context("staging cannot be opened")?;
     let bits = hex::decode(&staged.bits).context("the engine's list of chunks is damaged")?;
-    let whole = set_positions(&bits, manifest.chunks.len()).count() == manifest.chunks.len();
+    let whole = iter_set_bits(&bits, manifest.chunks.len()).count() == manifest.chunks.len();
     if whole {
         let held = vec![true; manifest.chunks.len()];
         shared.transfer.open(manifest, held);
--- a/crates/model/src/flags.rs
+++ b/crates/model/src/flags.rs
@@ -10,7 +10,7 @@
 }
 
 /// Positions of the set bits below `length`.
-pub fn set_positions(bits: &[u8], length: usize) -> impl Iterator<Item = usize> {
+pub fn iter_set_bits(bits: &[u8], length: usize) -> impl Iterator<Item = usize> {
     let length = length.min(bits.len() * 8);
     (0..length).filter(move |index| bits[index / 8] & (1 << (index % 8)) != 0)
 }
--- a/crates/testkit/tests/chunk_service.rs
+++ b/crates/testkit/tests/chunk_service.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use cassiawheel_model::{
-    InstanceId, ModelVersion, Timestamp, flags::set_positions, settings::TransferSettings,
+    InstanceId, ModelVersion, Timestamp, flags::iter_set_bits, settings::TransferSettings,
 };
 use cassiawheel_runtime::timeout;
 use cassiawheel_testkit::{
@@ -159,7 +159,7 @@
             while let Ok(message) = self.receiver.recv().await {
                 if let WireMessage::Chunk(ChunkMessage::Held { manifest, bits }) = message
                     && manifest == image.manifest.digest
-                    && set_positions(&bits, chunks).count() == chunks
+                    && iter_set_bits(&bits, chunks).count() == chunks
                 {
                     return true;
                 }
