--- a/crates/decide/tests/crash_book.rs
+++ b/crates/decide/tests/crash_book.rs
@@ -258,7 +258,7 @@
     fn rank(&self, entry: usize) -> usize {
         let weight = |index: usize| {
             let name = InstanceId::new(&format!("entry-{index}")).expect("valid");
-            cassiawheel_decide::rank::rendezvous_weight(digest(7).subject(), name.as_str())
+            cassiawheel_decide::rank::rendezvous_weight(digest(7).rendezvous_key(), name.as_str())
         };
         let own = weight(entry);
         (0..self.books.len()).filter(|index| weight(*index) > own).count()
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -112,7 +112,7 @@
     own: &InstanceId,
     others: impl Iterator<Item = &'a InstanceId>,
 ) -> (usize, usize) {
-    let subject = digest.subject();
+    let subject = digest.rendezvous_key();
     let weight = rendezvous_weight(subject, own.as_str());
     let weights = others.map(|other| rendezvous_weight(subject, other.as_str()));
     weights.fold((0, 1), |(rank, entries), other| (rank + usize::from(other > weight), entries + 1))
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -90,7 +90,7 @@
     }
 
     /// A number for choices by rank.
-    pub fn subject(self) -> u64 {
+    pub fn rendezvous_key(self) -> u64 {
         let [a, b, c, d, e, f, g, h, ..] = self.0;
         u64::from_le_bytes([a, b, c, d, e, f, g, h])
     }
