--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -9,7 +9,7 @@
     WeightSource,
 };
 use cassiawheel_model::{EndpointRole, Timestamp, settings::AgentSettings};
-use cassiawheel_runtime::{ShutdownTrigger, TerminationSignals, probes::serve_probes, spawn};
+use cassiawheel_runtime::{ProcessSignals, ShutdownTrigger, probes::serve_probes, spawn};
 use cassiawheel_wire::traffic::TRAFFIC;
 use prometheus::Registry;
 use smol::net::TcpListener;
@@ -52,7 +52,7 @@
 
 /// Runs until the process is asked to stop; then drains.
 pub(crate) async fn serve(settings: AgentSettings, edges: AgentEdges) -> anyhow::Result<()> {
-    let mut signals = TerminationSignals::listen()?;
+    let mut signals = ProcessSignals::listen()?;
     // Both addresses are taken before anything else begins: an agent that
     // finds one in use ends without having spoken to an entry or its engine.
     let inner = bind(settings.listen_inner, "listen_inner").await?;
@@ -77,12 +77,12 @@
     log::info!(target: "process", instance:% = shared.settings.place.instance, inner:% = shared.settings.listen_inner; "The agent runs.");
 
     signals
-        .asked_or(|| {
+        .wait_or_reload(|| {
             log::info!(target: "process", "The settings file has changed; it is read at the next start.");
         })
         .await;
     let deadline = Timestamp::now().deadline_after(Duration::from_millis(shared.settings.drain_ms));
-    let end = signals.finish(deadline, drain(&shared)).await;
+    let end = signals.drain_until(deadline, drain(&shared)).await;
     trigger.fire();
     let left = shared.open_attempts();
     log::info!(target: "drain", in_progress = left; "The agent ends.");
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -13,7 +13,7 @@
     settings::{EntryListen, EntrySettings, ListenerSettings},
 };
 use cassiawheel_runtime::{
-    ShutdownSignal, ShutdownTrigger, TerminationSignals,
+    ProcessSignals, ShutdownSignal, ShutdownTrigger,
     http::{ListenerLimits, serve as serve_http},
     probes::serve_probes,
     spawn,
@@ -66,7 +66,7 @@
     settings: EntrySettings,
     edges: Option<RoutedEdges>,
 ) -> anyhow::Result<()> {
-    let mut signals = TerminationSignals::listen()?;
+    let mut signals = ProcessSignals::listen()?;
     // Every address is taken before anything else begins: an entry that finds
     // one in use ends without having told anyone that it is there.
     let listeners = EntryListeners::bind(&settings.listen, edges.as_ref()).await?;
@@ -92,7 +92,7 @@
     log::info!(target: "process", instance:% = shared.settings.place.instance, caller:% = caller_addr; "The entry runs.");
 
     signals
-        .asked_or(|| {
+        .wait_or_reload(|| {
             log::info!(target: "process", "The settings file has changed; it is read at the next start.");
         })
         .await;
@@ -103,7 +103,7 @@
         caller_trigger.fire();
         callers.await;
     };
-    let end = signals.finish(deadline, drained).await;
+    let end = signals.drain_until(deadline, drained).await;
     trigger.fire();
     let left = shared.in_flight.load(Ordering::Relaxed);
     log::info!(target: "drain", in_flight = left; "The entry ends.");
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -14,4 +14,4 @@
 
 pub use dial::{dial, reset_on_close};
 pub use executor::{run, spawn, timeout};
-pub use shutdown::{ShutdownEnd, ShutdownSignal, ShutdownTrigger, TerminationSignals};
+pub use shutdown::{ProcessSignals, ShutdownOutcome, ShutdownSignal, ShutdownTrigger};
--- a/crates/runtime/src/shutdown.rs
+++ b/crates/runtime/src/shutdown.rs
@@ -53,22 +53,22 @@
 /// SIGTERM and SIGINT, which ask a process to stop, and SIGHUP, which tells that
 /// the settings have changed.
 #[derive(Debug)]
-pub struct TerminationSignals {
+pub struct ProcessSignals {
     signals: Signals,
 }
 
 /// How a graceful shutdown ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ShutdownEnd {
+pub enum ShutdownOutcome {
     /// Nothing was left to finish.
     Finished,
     /// The deadline came first.
     DeadlinePassed,
     /// The process was asked to stop a second time and did not wait any longer.
-    AskedAgain,
+    SecondSignal,
 }
 
-impl TerminationSignals {
+impl ProcessSignals {
     /// Takes the signals over; from now on they no longer end the process by themselves.
     pub fn listen() -> anyhow::Result<Self> {
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
@@ -77,40 +77,40 @@
     }
 
     /// Completes when the process is asked to stop.
-    pub async fn asked(&mut self) {
-        self.asked_or(|| {}).await;
+    pub async fn wait(&mut self) {
+        self.wait_or_reload(|| {}).await;
     }
 
     /// Completes when the process is asked to stop; calls `reload` whenever it is
     /// told that the settings have changed.
-    pub async fn asked_or(&mut self, mut reload: impl FnMut()) {
+    pub async fn wait_or_reload(&mut self, mut reload: impl FnMut()) {
         while let Some(Ok(Signal::Hup)) = self.signals.next().await {
             reload();
         }
     }
 
     /// Runs `drain` to its end, to `deadline`, or until the process is asked again.
-    pub async fn finish(
+    pub async fn drain_until(
         &mut self,
         deadline: Deadline,
         drain: impl Future<Output = ()>,
-    ) -> ShutdownEnd {
+    ) -> ShutdownOutcome {
         let drained = timeout(deadline.remaining(Timestamp::now()), drain);
-        match select(pin!(drained), pin!(self.asked())).await {
-            Either::Left((Some(()), _)) => ShutdownEnd::Finished,
-            Either::Left((None, _)) => ShutdownEnd::DeadlinePassed,
-            Either::Right(_) => ShutdownEnd::AskedAgain,
+        match select(pin!(drained), pin!(self.wait())).await {
+            Either::Left((Some(()), _)) => ShutdownOutcome::Finished,
+            Either::Left((None, _)) => ShutdownOutcome::DeadlinePassed,
+            Either::Right(_) => ShutdownOutcome::SecondSignal,
         }
     }
 }
 
-impl ShutdownEnd {
+impl ShutdownOutcome {
     /// An error if requests were cut off; it tells how many.
     pub fn into_result(self, in_progress: u32) -> anyhow::Result<()> {
         let cause = match self {
             Self::Finished => return Ok(()),
             Self::DeadlinePassed => "the deadline of the shutdown passed",
-            Self::AskedAgain => "the process was asked to stop a second time",
+            Self::SecondSignal => "the process was asked to stop a second time",
         };
         anyhow::bail!("{cause}; {in_progress} requests in progress were cut off")
     }
--- a/crates/testkit/src/burst/stop.rs
+++ b/crates/testkit/src/burst/stop.rs
@@ -2,7 +2,7 @@
 
 use std::pin::pin;
 
-use cassiawheel_runtime::shutdown::TerminationSignals;
+use cassiawheel_runtime::shutdown::ProcessSignals;
 use futures_util::future::{Either, select};
 
 use super::{BurstOptions, BurstReport, BurstScenario, run_burst};
@@ -13,9 +13,9 @@
     scenario: &BurstScenario,
     options: &BurstOptions,
 ) -> anyhow::Result<BurstReport> {
-    let mut signals = TerminationSignals::listen()?;
+    let mut signals = ProcessSignals::listen()?;
     let run = pin!(run_burst(scenario, options));
-    match select(run, pin!(signals.asked())).await {
+    match select(run, pin!(signals.wait())).await {
         Either::Left((report, _)) => report,
         Either::Right(_) => anyhow::bail!("stopped before the end"),
     }
