--- a/crates/runtime/src/logging/sampler.rs
+++ b/crates/runtime/src/logging/sampler.rs
@@ -17,14 +17,14 @@
 use log::{Level, Record};
 
 /// Parts whose lines tell a routing or placement decision.
-pub const DECISION_PARTS: [&str; 3] = ["route", "admit", "place"];
+pub const DECISION_TARGETS: [&str; 3] = ["route", "admit", "place"];
 
 /// Bits of a window that hold its lines; the rest holds its second.
 const COUNT_BITS: u32 = 24;
 
 /// What happens to a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SampleVerdict {
+pub enum SampleOutcome {
     /// It is written.
     Written,
     /// It is written after a word about the lines that were left out.
@@ -53,7 +53,7 @@
     ///
     /// Second and count share one atomic, since this runs on the path of each
     /// request: there is no lock to wait for, and no line is counted twice.
-    pub fn sample(&self, now: Timestamp) -> SampleVerdict {
+    pub fn sample(&self, now: Timestamp) -> SampleOutcome {
         let second = now.0 / 1_000;
         let advance = |window| Some(advance(window, second));
         let previous = self
@@ -62,14 +62,14 @@
             .unwrap_or_else(|window| window);
         if previous >> COUNT_BITS < second {
             return match (previous & MAX_COUNT).saturating_sub(self.per_s) {
-                0 => SampleVerdict::Written,
-                left_out => SampleVerdict::WrittenAfter { left_out },
+                0 => SampleOutcome::Written,
+                left_out => SampleOutcome::WrittenAfter { left_out },
             };
         }
         if previous & MAX_COUNT < self.per_s {
-            SampleVerdict::Written
+            SampleOutcome::Written
         } else {
-            SampleVerdict::LeftOut
+            SampleOutcome::LeftOut
         }
     }
 }
@@ -92,17 +92,17 @@
         record: &Record<'_>,
         writer: &dyn LogLineWriter,
     ) -> io::Result<()> {
-        let limited = record.level() >= Level::Info && DECISION_PARTS.contains(&record.target());
+        let limited = record.level() >= Level::Info && DECISION_TARGETS.contains(&record.target());
         if !limited {
             return writer.write(now, record);
         }
         match self.sample(Timestamp::now()) {
-            SampleVerdict::Written => writer.write(now, record),
-            SampleVerdict::WrittenAfter { left_out } => {
+            SampleOutcome::Written => writer.write(now, record),
+            SampleOutcome::WrittenAfter { left_out } => {
                 write_left_out(now, left_out, writer)?;
                 writer.write(now, record)
             }
-            SampleVerdict::LeftOut => Ok(()),
+            SampleOutcome::LeftOut => Ok(()),
         }
     }
 }
--- a/crates/runtime/tests/logging.rs
+++ b/crates/runtime/tests/logging.rs
@@ -5,7 +5,7 @@
 use cassiawheel_model::Timestamp;
 use cassiawheel_runtime::logging::{
     format::{write_json, write_key_value},
-    sampler::{DecisionSampler, SampleVerdict},
+    sampler::{DecisionSampler, SampleOutcome},
 };
 use log::{Level, Record, kv::Source};
 use rstest::rstest;
@@ -93,7 +93,7 @@
     let sampler = DecisionSampler::new(3);
     let first = Timestamp(5_000);
     let verdicts: Vec<_> = (0..5).map(|_| sampler.sample(first)).collect();
-    use SampleVerdict::{LeftOut, Written, WrittenAfter};
+    use SampleOutcome::{LeftOut, Written, WrittenAfter};
     assert_eq!(verdicts, [Written, Written, Written, LeftOut, LeftOut]);
     assert_eq!(sampler.sample(Timestamp(6_000)), WrittenAfter { left_out: 2 });
     assert_eq!(sampler.sample(Timestamp(6_001)), Written);
@@ -110,7 +110,7 @@
         }
     });
     let verdict = sampler.sample(Timestamp(6_000));
-    assert_eq!(verdict, SampleVerdict::WrittenAfter { left_out: 3_900 });
+    assert_eq!(verdict, SampleOutcome::WrittenAfter { left_out: 3_900 });
 }
 
 /// What the check of settings accepts as a level has to be understood when the
