--- a/crates/entry/src/caller/identify.rs
+++ b/crates/entry/src/caller/identify.rs
@@ -138,8 +138,8 @@
             status: StatusCode::PAYLOAD_TOO_LARGE,
             message: format!("body: longer than {} bytes", settings.max_body_bytes),
         },
-        BodyError::Cut => BadRequest::new("body", "ended early"),
-        BodyError::Slow => BadRequest {
+        BodyError::Incomplete => BadRequest::new("body", "ended early"),
+        BodyError::TimedOut => BadRequest {
             status: StatusCode::REQUEST_TIMEOUT,
             message: format!("body: did not arrive within {span:?}"),
         },
--- a/crates/entry/src/caller/routed.rs
+++ b/crates/entry/src/caller/routed.rs
@@ -254,10 +254,10 @@
         BodyError::TooLong => {
             CallerRefusal::Bad(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long".to_owned())
         }
-        BodyError::Cut => {
+        BodyError::Incomplete => {
             CallerRefusal::Bad(StatusCode::BAD_REQUEST, "the body ended early".to_owned())
         }
-        BodyError::Slow => {
+        BodyError::TimedOut => {
             CallerRefusal::Bad(StatusCode::REQUEST_TIMEOUT, "the body came too slowly".to_owned())
         }
     }
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -215,7 +215,7 @@
     let limits = listener_limits(&settings.limits, settings.caller.max_connections);
     match shared.routed.clone() {
         Some(routed) => {
-            let limits = ListenerLimits { head_time: IDLE_TIME, ..limits };
+            let limits = ListenerLimits { head_timeout: IDLE_TIME, ..limits };
             let answer =
                 move |request, _| caller::accept_routed(shared.clone(), routed.clone(), request);
             serve_http(listener, limits, shutdown, answer).await;
@@ -231,8 +231,8 @@
     ListenerLimits {
         connections,
         head_bytes: settings.head_bytes,
-        head_time: Duration::from_millis(settings.head_ms),
-        write_time: Duration::from_millis(settings.write_ms),
+        head_timeout: Duration::from_millis(settings.head_ms),
+        write_timeout: Duration::from_millis(settings.write_ms),
     }
 }
 
--- a/crates/runtime/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -38,13 +38,13 @@
     /// Largest request head, in bytes.
     pub head_bytes: usize,
     /// Longest time to receive a request's head; also ends idle connections.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest time in which a client takes nothing of its answer.
-    pub write_time: Duration,
+    pub write_timeout: Duration,
 }
 
 /// Longest time to receive a body, unless the caller of [`read_body_within`] says otherwise.
-pub const BODY_TIME: Duration = Duration::from_secs(10);
+pub const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Smallest head that the HTTP library can be limited to, in bytes.
 const MIN_HEAD_BYTES: usize = 8 << 10;
@@ -54,8 +54,8 @@
         Self {
             connections: 1_024,
             head_bytes: 32 << 10,
-            head_time: Duration::from_secs(10),
-            write_time: Duration::from_secs(30),
+            head_timeout: Duration::from_secs(10),
+            write_timeout: Duration::from_secs(30),
         }
     }
 }
@@ -92,11 +92,11 @@
         let reply = handler(request, remote);
         async move { Ok::<_, Infallible>(reply.await) }
     });
-    let socket = StallSocket::new(stream, limits.write_time);
+    let socket = StallSocket::new(stream, limits.write_timeout);
     let mut connection = pin!(
         hyper::server::conn::http1::Builder::new()
             .timer(SmolTimer::new())
-            .header_read_timeout(limits.head_time)
+            .header_read_timeout(limits.head_timeout)
             .max_buf_size(limits.head_bytes.max(MIN_HEAD_BYTES))
             .serve_connection(FuturesIo::new(socket), service)
     );
@@ -115,14 +115,14 @@
     /// Longer than allowed.
     TooLong,
     /// The client stopped sending.
-    Cut,
+    Incomplete,
     /// The client took too long.
-    Slow,
+    TimedOut,
 }
 
-/// Reads a whole body of at most `limit` bytes within [`BODY_TIME`].
+/// Reads a whole body of at most `limit` bytes within [`BODY_TIMEOUT`].
 pub async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, BodyError> {
-    read_body_within(body, limit, BODY_TIME).await
+    read_body_within(body, limit, BODY_TIMEOUT).await
 }
 
 /// Reads a whole body of at most `limit` bytes within `span`.
@@ -132,10 +132,10 @@
     span: Duration,
 ) -> Result<Bytes, BodyError> {
     match timeout(span, Limited::new(body, limit).collect()).await {
-        None => Err(BodyError::Slow),
+        None => Err(BodyError::TimedOut),
         Some(Ok(collected)) => Ok(collected.to_bytes()),
         Some(Err(error)) if error.is::<LengthLimitError>() => Err(BodyError::TooLong),
-        Some(Err(_)) => Err(BodyError::Cut),
+        Some(Err(_)) => Err(BodyError::Incomplete),
     }
 }
 
--- a/crates/runtime/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -21,8 +21,8 @@
 const LIMITS: ListenerLimits = ListenerLimits {
     connections: 2,
     head_bytes: 8 << 10,
-    head_time: Duration::from_millis(300),
-    write_time: Duration::from_millis(300),
+    head_timeout: Duration::from_millis(300),
+    write_timeout: Duration::from_millis(300),
 };
 
 struct TestServer {
@@ -42,8 +42,8 @@
         match read_body_within(request.into_body(), 16, Duration::from_millis(300)).await {
             Ok(body) => Response::new(full_body(body)),
             Err(BodyError::TooLong) => error_reply(StatusCode::PAYLOAD_TOO_LARGE, "too-long", ""),
-            Err(BodyError::Slow) => error_reply(StatusCode::REQUEST_TIMEOUT, "slow", ""),
-            Err(BodyError::Cut) => error_reply(StatusCode::BAD_REQUEST, "cut", ""),
+            Err(BodyError::TimedOut) => error_reply(StatusCode::REQUEST_TIMEOUT, "slow", ""),
+            Err(BodyError::Incomplete) => error_reply(StatusCode::BAD_REQUEST, "cut", ""),
         }
     }));
     TestServer { addr, trigger, served }
