--- a/crates/entry/src/control/spread.rs
+++ b/crates/entry/src/control/spread.rs
@@ -183,7 +183,7 @@
 /// Notes which entry is at the other end of a connection.
 fn note_link(shared: &EntryShared, sender: &WireSender, addr: SocketAddr) {
     let mut links = shared.peer_links();
-    if let Some(link) = links.iter_mut().find(|link| link.sender.is_same(sender)) {
+    if let Some(link) = links.iter_mut().find(|link| link.sender.same_connection(sender)) {
         link.addr = Some(addr);
     }
 }
--- a/crates/wire/src/socket.rs
+++ b/crates/wire/src/socket.rs
@@ -98,7 +98,7 @@
     }
 
     /// Whether both send over the same connection.
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn same_connection(&self, other: &Self) -> bool {
         self.queue.same_channel(&other.queue)
     }
 
