--- a/crates/agent/src/transfer/fetch.rs
+++ b/crates/agent/src/transfer/fetch.rs
@@ -62,7 +62,7 @@
     // before the ask would leave the link idle while sources answer. An engine
     // without weights has no live requests to keep it free for.
     if shared.serves_callers() {
-        shared.transfer.download.pass(bytes.len()).await;
+        shared.transfer.download.acquire(bytes.len()).await;
     }
     verify_and_stage(shared, manifest, order, bytes).await
 }
--- a/crates/agent/src/transfer/serve.rs
+++ b/crates/agent/src/transfer/serve.rs
@@ -167,7 +167,7 @@
         // hold no memory.
         let is_paced = shared.serves_callers();
         if is_paced {
-            transfer.upload.pass(part_bytes).await;
+            transfer.upload.acquire(part_bytes).await;
         }
         let bytes = read_held(shared, self.manifest, self.index).await;
         let bytes = bytes.ok_or(ChunkRefusal::NotHeld)?;
@@ -178,7 +178,7 @@
                 break;
             }
             if number > 0 && is_paced {
-                transfer.upload.pass(part.len()).await;
+                transfer.upload.acquire(part.len()).await;
             }
             let (call, last) = (self.call, number + 1 == count);
             let message = ChunkMessage::Bytes { call, bytes: part.to_vec(), last };
--- a/crates/runtime/src/pacer.rs
+++ b/crates/runtime/src/pacer.rs
@@ -23,7 +23,7 @@
     /// What passed before is waited for, and not the bytes themselves: an idle
     /// link would else keep each chunk for as long again as it takes to send,
     /// and chunks that are swapped one after another took twice the time.
-    pub async fn pass(&self, bytes: usize) {
+    pub async fn acquire(&self, bytes: usize) {
         if self.bytes_per_s == 0 {
             return;
         }
--- a/crates/testkit/src/stand_in/origin.rs
+++ b/crates/testkit/src/stand_in/origin.rs
@@ -185,7 +185,7 @@
             self.faults.limited.fetch_add(1, Ordering::Relaxed);
             return limited_reply();
         }
-        self.pacer.pass(bytes.len()).await;
+        self.pacer.acquire(bytes.len()).await;
         self.note_draw(place, bytes.len());
         match self.faults.of_chunk(number) {
             ChunkFault::Corrupt => bytes[0] ^= 1,
