--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -22,7 +22,7 @@
     Character(char),
     /// A digest that is not 64 hexadecimal digits.
     #[error("is not a digest of 64 hexadecimal digits")]
-    Digest,
+    InvalidDigest,
 }
 
 /// Checks the length and the characters of a textual identifier.
@@ -171,7 +171,7 @@
 
             fn from_str(text: &str) -> Result<Self, IdError> {
                 let mut raw = [0; 32];
-                hex::decode_to_slice(text, &mut raw).map_err(|_| IdError::Digest)?;
+                hex::decode_to_slice(text, &mut raw).map_err(|_| IdError::InvalidDigest)?;
                 Ok(Self(raw))
             }
         }
--- a/crates/model/src/manifest.rs
+++ b/crates/model/src/manifest.rs
@@ -78,7 +78,7 @@
     },
     /// The list does not match the manifest's digest.
     #[error("the chunk list does not match the manifest's digest")]
-    Digest,
+    DigestMismatch,
     /// The manifest is for another version or digest than the plan's.
     #[error("the manifest is not the one that the plan pins")]
     NotPinned,
@@ -125,7 +125,7 @@
             }
         }
         if list_digest(&self.version, self.chunk_bytes, self.hash, &self.chunks) != self.digest {
-            return Err(ManifestError::Digest);
+            return Err(ManifestError::DigestMismatch);
         }
         Ok(())
     }
