--- a/crates/decide/tests/overlay.rs
+++ b/crates/decide/tests/overlay.rs
@@ -260,8 +260,8 @@
         let before: u64 = fleet.processes.iter().map(|process| process.sent).sum();
         for step in 0..40 {
             for index in 0..entries {
-                let subject = subject_of(name(index).as_str());
-                let row = LoadRecord { instance_hash: subject, load: step, age_ms: 0 };
+                let instance_hash = subject_of(name(index).as_str());
+                let row = LoadRecord { instance_hash, load: step, age_ms: 0 };
                 let now = fleet.now;
                 fleet.processes[index].store.merge_load(row, 0, None, now);
             }
@@ -299,8 +299,8 @@
 #[test]
 fn an_older_load_does_not_replace_a_newer_one() {
     let mut store = GossipStore::default();
-    let subject = subject_of(name(1).as_str());
-    let row = |load, age_ms| LoadRecord { instance_hash: subject, load, age_ms };
+    let instance_hash = subject_of(name(1).as_str());
+    let row = |load, age_ms| LoadRecord { instance_hash, load, age_ms };
     assert!(store.merge_load(row(3, 0), 40, None, Timestamp(1_000)));
     assert!(!store.merge_load(row(9, 60), 40, Some(2), Timestamp(1_050)), "measured before");
     assert!(!store.merge_load(row(9, 30), 40, Some(2), Timestamp(1_050)), "the same one");
--- a/crates/entry/src/admin/reply.rs
+++ b/crates/entry/src/admin/reply.rs
@@ -45,9 +45,7 @@
             let message = format!("the body is longer than {MAX_BODY_BYTES} bytes");
             error_reply(StatusCode::PAYLOAD_TOO_LARGE, "too-long", message)
         }
-        BodyError::Incomplete => {
-            error_reply(StatusCode::BAD_REQUEST, "cut", "the body ended early")
-        }
+        BodyError::Truncated => error_reply(StatusCode::BAD_REQUEST, "cut", "the body ended early"),
         BodyError::TimedOut => {
             let message = format!("the body did not arrive within {span:?}");
             error_reply(StatusCode::REQUEST_TIMEOUT, "slow", message)
--- a/crates/entry/src/caller/identify.rs
+++ b/crates/entry/src/caller/identify.rs
@@ -138,7 +138,7 @@
             status: StatusCode::PAYLOAD_TOO_LARGE,
             message: format!("body: longer than {} bytes", settings.max_body_bytes),
         },
-        BodyError::Incomplete => BadRequest::new("body", "ended early"),
+        BodyError::Truncated => BadRequest::new("body", "ended early"),
         BodyError::TimedOut => BadRequest {
             status: StatusCode::REQUEST_TIMEOUT,
             message: format!("body: did not arrive within {span:?}"),
--- a/crates/entry/src/caller/routed.rs
+++ b/crates/entry/src/caller/routed.rs
@@ -254,7 +254,7 @@
         BodyError::TooLong => {
             CallerRefusal::Bad(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long".to_owned())
         }
-        BodyError::Incomplete => {
+        BodyError::Truncated => {
             CallerRefusal::Bad(StatusCode::BAD_REQUEST, "the body ended early".to_owned())
         }
         BodyError::TimedOut => {
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -86,8 +86,8 @@
     let load = shared.in_flight.load(Ordering::Relaxed);
     let mut state = routed.overlay.lock();
     if load >= MIN_PUBLISHED_LOAD {
-        let subject = subject_of(shared.settings.place.instance.as_str());
-        let row = LoadRecord { instance_hash: subject, load, age_ms: 0 };
+        let instance_hash = subject_of(shared.settings.place.instance.as_str());
+        let row = LoadRecord { instance_hash, load, age_ms: 0 };
         state.store.merge_load(row, FAR_STEP_MS, None, now);
     }
     let OverlayState { store, crashes, links, .. } = &mut *state;
--- a/crates/runtime/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -115,7 +115,7 @@
     /// Longer than allowed.
     TooLong,
     /// The client stopped sending.
-    Incomplete,
+    Truncated,
     /// The client took too long.
     TimedOut,
 }
@@ -135,7 +135,7 @@
         None => Err(BodyError::TimedOut),
         Some(Ok(collected)) => Ok(collected.to_bytes()),
         Some(Err(error)) if error.is::<LengthLimitError>() => Err(BodyError::TooLong),
-        Some(Err(_)) => Err(BodyError::Incomplete),
+        Some(Err(_)) => Err(BodyError::Truncated),
     }
 }
 
--- a/crates/runtime/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -43,7 +43,7 @@
             Ok(body) => Response::new(full_body(body)),
             Err(BodyError::TooLong) => error_reply(StatusCode::PAYLOAD_TOO_LARGE, "too-long", ""),
             Err(BodyError::TimedOut) => error_reply(StatusCode::REQUEST_TIMEOUT, "slow", ""),
-            Err(BodyError::Incomplete) => error_reply(StatusCode::BAD_REQUEST, "cut", ""),
+            Err(BodyError::Truncated) => error_reply(StatusCode::BAD_REQUEST, "cut", ""),
         }
     }));
     TestServer { addr, trigger, served }
