--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -15,7 +15,7 @@
 use anyhow::Context;
 use cassiawheel_decide::Adoption;
 use cassiawheel_edge::{EngineError, EngineStatus, LoadOrder};
-use cassiawheel_model::{ActivePreset, EndpointRole, EndpointState};
+use cassiawheel_model::{EndpointRole, EndpointState, ForcedPreset};
 use cassiawheel_runtime::timeout;
 use cassiawheel_wire::{WireSender, message::WeightOrder};
 
@@ -31,7 +31,7 @@
 const RESUME_TIME: Duration = Duration::from_secs(1);
 
 /// Considers a preset that an entry sent.
-pub(crate) fn offer_preset(shared: &Arc<EndpointShared>, preset: Arc<ActivePreset>) {
+pub(crate) fn offer_preset(shared: &Arc<EndpointShared>, preset: Arc<ForcedPreset>) {
     let revision = preset.revision;
     match shared.holder().offer(preset) {
         Adoption::Adopted => {
--- a/crates/agent/src/transfer/stage.rs
+++ b/crates/agent/src/transfer/stage.rs
@@ -9,7 +9,7 @@
 use anyhow::Context;
 use cassiawheel_decide::{ChunkPicker, ChunkSource, FetchOrder, PeerPlace, PickerSettings};
 use cassiawheel_model::{
-    InstanceId, ManifestDigest, OriginProfile, RegionName, Timestamp, WeightManifest,
+    InstanceId, ManifestDigest, OriginPlace, RegionName, Timestamp, WeightManifest,
     flags::iter_set_bits, settings::TransferMode,
 };
 use cassiawheel_runtime::{spawn, timeout};
@@ -175,7 +175,7 @@
         shared: Arc<EndpointShared>,
         manifest: Arc<WeightManifest>,
         held: &[bool],
-        origin: Option<OriginProfile>,
+        origin: Option<OriginPlace>,
     ) -> Self {
         let chunk_ms = origin
             .as_ref()
--- a/crates/decide/src/caller_index.rs
+++ b/crates/decide/src/caller_index.rs
@@ -7,12 +7,12 @@
 
 use std::{collections::HashMap, sync::Arc};
 
-use cassiawheel_model::{RouteRule, RoutingTable, ServiceName, WorkspaceId};
+use cassiawheel_model::{CallerTable, RouteRule, ServiceName, WorkspaceId};
 
 /// The routes and keys of one preset.
 #[derive(Debug, Clone)]
 pub struct CallerIndex {
-    table: Arc<RoutingTable>,
+    table: Arc<CallerTable>,
     /// Positions of routes by host and prefix.
     hosts: HashMap<String, HashMap<String, usize>>,
 }
@@ -23,7 +23,7 @@
 
 impl CallerIndex {
     /// An index of `table`.
-    pub fn new(table: Arc<RoutingTable>) -> Self {
+    pub fn new(table: Arc<CallerTable>) -> Self {
         let mut hosts: HashMap<String, HashMap<String, usize>> = HashMap::new();
         for (position, rule) in table.routes.iter().enumerate() {
             let prefixes = hosts.entry(rule.host.clone()).or_default();
@@ -33,7 +33,7 @@
     }
 
     /// The table itself.
-    pub fn table(&self) -> &RoutingTable {
+    pub fn table(&self) -> &CallerTable {
         &self.table
     }
 
--- a/crates/decide/src/change.rs
+++ b/crates/decide/src/change.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 use cassiawheel_model::{
-    ActivePreset, ChangeId, OperatorName, PresetContent, PresetName, PresetRevision, Timestamp,
+    ChangeId, ForcedPreset, OperatorName, PresetContent, PresetName, PresetRevision, Timestamp,
     record,
 };
 use macro_rules_attribute::apply;
@@ -41,11 +41,11 @@
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeRecord {
     /// The change was made.
-    Made(Arc<ActivePreset>),
+    Made(Arc<ForcedPreset>),
     /// The change was refused and can never be made.
     Refused {
         /// The change that won, if one did.
-        winner: Option<Arc<ActivePreset>>,
+        winner: Option<Arc<ForcedPreset>>,
         /// Why.
         detail: String,
     },
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone)]
 pub struct ForceRow {
     /// The preset.
-    pub preset: Arc<ActivePreset>,
+    pub preset: Arc<ForcedPreset>,
     /// The row's revision, by which a write is guarded.
     pub row_revision: u64,
 }
@@ -72,7 +72,7 @@
     /// Write `force`, the history and the record in one transaction.
     Write {
         /// The preset to put in force.
-        preset: Arc<ActivePreset>,
+        preset: Arc<ForcedPreset>,
         /// The revision that the row of the preset in force must have; none if it must be absent.
         guard: Option<u64>,
     },
@@ -98,7 +98,7 @@
         /// The record of the id, if that stood in the way.
         record: Option<ChangeRecord>,
         /// The preset in force, if that stood in the way.
-        winner: Option<Arc<ActivePreset>>,
+        winner: Option<Arc<ForcedPreset>>,
     },
     /// The call certainly took no effect.
     NoEffect(String),
@@ -110,9 +110,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum ChangeVerdict {
     /// In force from this revision on.
-    Accepted(Arc<ActivePreset>),
+    Accepted(Arc<ForcedPreset>),
     /// Another change won; this one will never take effect.
-    Conflict(Option<Arc<ActivePreset>>),
+    Conflict(Option<Arc<ForcedPreset>>),
     /// It took no effect and never will.
     NotAccepted(String),
     /// It may have taken effect, or may yet.
@@ -124,8 +124,8 @@
     Finding,
     ReadingPreset,
     ReadingForce(PresetContent),
-    Writing { preset: Arc<ActivePreset>, guard: Option<u64> },
-    Checking { preset: Arc<ActivePreset>, guard: Option<u64>, detail: String },
+    Writing { preset: Arc<ForcedPreset>, guard: Option<u64> },
+    Checking { preset: Arc<ForcedPreset>, guard: Option<u64>, detail: String },
     Refusing(ChangeRecord),
     Ended,
 }
@@ -198,7 +198,7 @@
         // revision that processes have seen already. They would ignore it, and
         // the operator would see an accepted change that never takes effect.
         let PresetRevision(highest) = stored.max(self.request.known);
-        let preset = Arc::new(ActivePreset {
+        let preset = Arc::new(ForcedPreset {
             revision: PresetRevision(highest + 1),
             preset: self.request.preset.clone(),
             content,
@@ -209,7 +209,7 @@
         self.write(preset, row.map(|row| row.row_revision))
     }
 
-    fn write(&mut self, preset: Arc<ActivePreset>, guard: Option<u64>) -> ChangeStep {
+    fn write(&mut self, preset: Arc<ForcedPreset>, guard: Option<u64>) -> ChangeStep {
         self.writes += 1;
         self.stage = WriterStage::Writing { preset: preset.clone(), guard };
         ChangeStep::Write { preset, guard }
@@ -217,7 +217,7 @@
 
     fn written(
         &mut self,
-        preset: Arc<ActivePreset>,
+        preset: Arc<ForcedPreset>,
         guard: Option<u64>,
         answer: ChangeAnswer,
     ) -> ChangeStep {
@@ -247,7 +247,7 @@
     /// through the same guards, so that at most one of the two takes effect.
     fn checked(
         &mut self,
-        preset: Arc<ActivePreset>,
+        preset: Arc<ForcedPreset>,
         guard: Option<u64>,
         detail: String,
         answer: ChangeAnswer,
--- a/crates/decide/src/holder.rs
+++ b/crates/decide/src/holder.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc};
 
-use cassiawheel_model::{ActivePreset, Deadline, PresetRevision, Timestamp};
+use cassiawheel_model::{Deadline, ForcedPreset, PresetRevision, Timestamp};
 
 /// What became of an offered preset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,12 +27,12 @@
 /// The preset in force at one process.
 #[derive(Debug, Clone, Default)]
 pub struct PresetHolder {
-    current: Option<Arc<ActivePreset>>,
+    current: Option<Arc<ForcedPreset>>,
 }
 
 impl PresetHolder {
     /// Considers `offered`.
-    pub fn offer(&mut self, offered: Arc<ActivePreset>) -> Adoption {
+    pub fn offer(&mut self, offered: Arc<ForcedPreset>) -> Adoption {
         let Some(current) = &self.current else {
             self.current = Some(offered);
             return Adoption::Adopted;
@@ -49,7 +49,7 @@
     }
 
     /// The preset in force, if one is known.
-    pub fn current(&self) -> Option<&Arc<ActivePreset>> {
+    pub fn current(&self) -> Option<&Arc<ForcedPreset>> {
         self.current.as_ref()
     }
 
--- a/crates/decide/src/limit_book.rs
+++ b/crates/decide/src/limit_book.rs
@@ -16,7 +16,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use cassiawheel_model::{LimitRecord, LimitState, RateLimit, Timestamp};
+use cassiawheel_model::{LimitRecord, LimitState, NamedLimit, Timestamp};
 
 use crate::{cell::EndpointPace, gossip::LinkNumber};
 
@@ -110,7 +110,7 @@
     }
 
     /// Takes in the limit of an answer; true if neighbours have to be sent it.
-    pub fn hear(&mut self, endpoint: u64, limit: Option<RateLimit>, now: Timestamp) -> bool {
+    pub fn hear(&mut self, endpoint: u64, limit: Option<NamedLimit>, now: Timestamp) -> bool {
         let state = match (limit, self.limits.get_mut(&endpoint)) {
             (None, None) => return false,
             (None, Some(known)) => {
@@ -228,14 +228,14 @@
     /// How often the holders have had time to confirm the limit, and did not.
     ///
     /// They may have lost the connection to the endpoint; the next in rank then use it too.
-    fn missed_turns(&self, limit: RateLimit, now: Timestamp) -> usize {
+    fn missed_turns(&self, limit: NamedLimit, now: Timestamp) -> usize {
         let interval = Duration::from_secs_f64(TURNS / limit.rate().max(LEAST_RATE));
         let patience = interval.max(TURN_TIME);
         (now.since(self.observed_at).as_millis() / patience.as_millis()) as usize
     }
 
     /// Whether `limit` differs little from the one that neighbours know.
-    fn is_near(&self, limit: RateLimit) -> bool {
+    fn is_near(&self, limit: NamedLimit) -> bool {
         let LimitState::Named(known) = self.state else {
             return false;
         };
--- a/crates/decide/src/plan.rs
+++ b/crates/decide/src/plan.rs
@@ -21,7 +21,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use cassiawheel_model::{
-    ActivePreset, EndpointReport, FailureDomain, InstanceId, ManifestDigest, ModelVersion,
+    EndpointReport, FailureDomain, ForcedPreset, InstanceId, ManifestDigest, ModelVersion,
     PresetContent, ServiceName, ServiceTarget, label,
 };
 use macro_rules_attribute::apply;
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PlanInput<'a> {
     /// The preset in force.
-    pub preset: &'a ActivePreset,
+    pub preset: &'a ForcedPreset,
     /// A preset to stage ahead, if there is one.
     pub ahead: Option<&'a PresetContent>,
     /// Reports of the endpoints that do not leave.
--- a/crates/decide/src/route.rs
+++ b/crates/decide/src/route.rs
@@ -102,7 +102,7 @@
     /// It has the lowest cost of those drawn.
     LeastCost,
     /// It names a limit and takes a request now.
-    RateLimit,
+    NamedLimit,
     /// None of those drawn had room.
     FirstWithRoom,
     /// Every other endpoint is full or was ejected.
@@ -155,7 +155,7 @@
         match self {
             Self::PrefixAffinity => "prefix-affinity",
             Self::LeastCost => "least-cost",
-            Self::RateLimit => "named-limit",
+            Self::NamedLimit => "named-limit",
             Self::FirstWithRoom => "first-with-room",
             Self::LastResort => "last-resort",
         }
@@ -268,7 +268,7 @@
         let drawn = drawn.into_iter().flatten().filter(|c| c.is_usable(query));
         let drawn = drawn.min_by_key(|c| c.cost(query.now));
         if let Some(candidate) = self.due(query, drawn) {
-            return Some(self.choice(candidate, RouteReason::RateLimit, query));
+            return Some(self.choice(candidate, RouteReason::NamedLimit, query));
         }
         if let Some(candidate) = drawn {
             return Some(self.choice(candidate, RouteReason::LeastCost, query));
--- a/crates/decide/tests/caller_index.rs
+++ b/crates/decide/tests/caller_index.rs
@@ -4,7 +4,7 @@
 
 use cassiawheel_decide::{CallerIndex, UnknownKey, draw_service};
 use cassiawheel_model::{
-    CallerLimits, RouteKind, RouteRule, RouteShare, RoutingTable, ServiceName, WorkspaceId,
+    CallerLimits, CallerTable, RouteKind, RouteRule, RouteShare, ServiceName, WorkspaceId,
 };
 use rstest::rstest;
 
@@ -32,7 +32,7 @@
     let keys = BTreeMap::from([("key-one".to_owned(), WorkspaceId::new("one").expect("valid"))]);
     let limits =
         CallerLimits { head_bytes: 16_384, body_bytes: 1 << 20, head_ms: 3_000, idle_ms: 15_000 };
-    CallerIndex::new(Arc::new(RoutingTable { routes, keys, needs_key: true, limits }))
+    CallerIndex::new(Arc::new(CallerTable { routes, keys, needs_key: true, limits }))
 }
 
 /// The longest prefix that begins the path wins, a prefix ends at a slash, and
--- a/crates/decide/tests/change.rs
+++ b/crates/decide/tests/change.rs
@@ -6,14 +6,14 @@
     ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeVerdict, ChangeWriter, ForceRow,
 };
 use cassiawheel_model::{
-    ActivePreset, ChangeId, OperatorName, PresetContent, PresetName, PresetRevision, Timestamp,
+    ChangeId, ForcedPreset, OperatorName, PresetContent, PresetName, PresetRevision, Timestamp,
 };
 use rstest::rstest;
 
 const NOW: Timestamp = Timestamp(1_000);
 
-fn forced(preset: &str, revision: u64) -> Arc<ActivePreset> {
-    Arc::new(ActivePreset {
+fn forced(preset: &str, revision: u64) -> Arc<ForcedPreset> {
+    Arc::new(ForcedPreset {
         revision: PresetRevision(revision),
         preset: PresetName::new(preset).expect("valid"),
         content: PresetContent::default(),
@@ -34,7 +34,7 @@
 }
 
 /// Brings a writer to its first write; the table shows `stored` in force.
-fn to_write(request: ChangeRequest, stored: u64) -> (ChangeWriter, Arc<ActivePreset>) {
+fn to_write(request: ChangeRequest, stored: u64) -> (ChangeWriter, Arc<ForcedPreset>) {
     let (mut writer, step) = ChangeWriter::start(request);
     assert!(matches!(step, ChangeStep::FindRecord));
     writer.next(ChangeAnswer::Record(None), NOW);
--- a/crates/decide/tests/history/store.rs
+++ b/crates/decide/tests/history/store.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use cassiawheel_decide::{ChangeAnswer, ChangeRecord, ForceRow};
-use cassiawheel_model::{ActivePreset, ChangeId, PresetContent, PresetRevision};
+use cassiawheel_model::{ChangeId, ForcedPreset, PresetContent, PresetRevision};
 use rand::{Rng, rngs::SmallRng};
 
 use super::Guard;
@@ -14,7 +14,7 @@
     Record(ChangeId),
     Preset,
     Force,
-    Write { preset: Arc<ActivePreset>, guard: Option<u64> },
+    Write { preset: Arc<ForcedPreset>, guard: Option<u64> },
     Refuse { change: ChangeId, record: ChangeRecord },
 }
 
@@ -24,9 +24,9 @@
     force: Option<ForceRow>,
     past: Vec<ForceRow>,
     records: BTreeMap<ChangeId, ChangeRecord>,
-    pub changes: BTreeMap<PresetRevision, Arc<ActivePreset>>,
+    pub changes: BTreeMap<PresetRevision, Arc<ForcedPreset>>,
     /// Changes that took effect, in their order, also those that a missing guard let through.
-    pub effects: Vec<Arc<ActivePreset>>,
+    pub effects: Vec<Arc<ForcedPreset>>,
 }
 
 impl ModelStore {
@@ -67,7 +67,7 @@
 
     fn write(
         &mut self,
-        preset: Arc<ActivePreset>,
+        preset: Arc<ForcedPreset>,
         guard: Option<u64>,
         off: Option<Guard>,
     ) -> ChangeAnswer {
--- a/crates/decide/tests/history/world.rs
+++ b/crates/decide/tests/history/world.rs
@@ -11,7 +11,7 @@
     PresetHolder, StartHold,
 };
 use cassiawheel_model::{
-    ActivePreset, ChangeId, Deadline, OperatorName, PresetName, PresetRevision, Timestamp,
+    ChangeId, Deadline, ForcedPreset, OperatorName, PresetName, PresetRevision, Timestamp,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
@@ -98,8 +98,8 @@
 #[derive(Debug, Clone)]
 enum Message {
     /// First word over a new connection.
-    Greeting(Option<Arc<ActivePreset>>),
-    Force(Arc<ActivePreset>),
+    Greeting(Option<Arc<ForcedPreset>>),
+    Force(Arc<ForcedPreset>),
     Beat(PresetRevision),
     Request(PresetRevision),
 }
@@ -362,7 +362,7 @@
     }
 
     /// The preset that a process works under.
-    fn in_use(&self, node: NodeIndex) -> Option<Arc<ActivePreset>> {
+    fn in_use(&self, node: NodeIndex) -> Option<Arc<ForcedPreset>> {
         let node = &self.nodes[node];
         node.holder.current().filter(|_| node.settled).cloned()
     }
@@ -433,13 +433,13 @@
         }
     }
 
-    fn push(&mut self, node: NodeIndex, preset: &Arc<ActivePreset>) {
+    fn push(&mut self, node: NodeIndex, preset: &Arc<ForcedPreset>) {
         for other in (0..ENTRIES + AGENTS).filter(|other| *other != node) {
             self.send(node, other, Message::Force(preset.clone()));
         }
     }
 
-    fn offer(&mut self, node: NodeIndex, preset: &Arc<ActivePreset>) {
+    fn offer(&mut self, node: NodeIndex, preset: &Arc<ForcedPreset>) {
         let before = self.nodes[node].holder.revision();
         if self.off == Some(Guard::HigherOnly) {
             self.nodes[node].holder = PresetHolder::default();
--- a/crates/decide/tests/limit_book.rs
+++ b/crates/decide/tests/limit_book.rs
@@ -6,15 +6,15 @@
 use cassiawheel_decide::{
     EndpointCell, EndpointPace, HolderPlace, LimitBook, LinkNumber, rank::rendezvous_weight,
 };
-use cassiawheel_model::{LimitRecord, LimitState, RateLimit, Timestamp};
+use cassiawheel_model::{LimitRecord, LimitState, NamedLimit, Timestamp};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rstest::rstest;
 
 const NOW: Timestamp = Timestamp(1_000_000);
 const ENDPOINT: u64 = 77;
 
-fn limit(rate: f64) -> RateLimit {
-    RateLimit::from_rate(rate).expect("a rate")
+fn limit(rate: f64) -> NamedLimit {
+    NamedLimit::from_rate(rate).expect("a rate")
 }
 
 fn later(ms: u64) -> Timestamp {
@@ -206,7 +206,7 @@
     /// Entries in the order of their ranks.
     order: Vec<usize>,
     answers: Vec<(Timestamp, usize)>,
-    named: Option<RateLimit>,
+    named: Option<NamedLimit>,
     sent: Vec<Timestamp>,
 }
 
--- a/crates/decide/tests/plan.rs
+++ b/crates/decide/tests/plan.rs
@@ -8,7 +8,7 @@
     plan::{PacedVersion, PlanInput, PlanPace, PlanReason, PlannedOrder, plan_orders},
 };
 use cassiawheel_model::{
-    ActivePreset, ChangeId, Deadline, EndpointReport, EndpointRole, EndpointState, FailureDomain,
+    ChangeId, Deadline, EndpointReport, EndpointRole, EndpointState, FailureDomain, ForcedPreset,
     InstanceId, LoadReport, ManifestDigest, ModelVersion, OperatorName, PresetContent, PresetName,
     PresetRevision, RegionName, ServiceKind, ServiceName, ServiceTarget, StagedWeights, Timestamp,
 };
@@ -41,8 +41,8 @@
     PresetContent { services: BTreeMap::from([(service, target)]), callers: None }
 }
 
-fn preset(revision: u64, content: PresetContent) -> ActivePreset {
-    ActivePreset {
+fn preset(revision: u64, content: PresetContent) -> ForcedPreset {
+    ForcedPreset {
         revision: PresetRevision(revision),
         preset: PresetName::new("peak").expect("valid"),
         content,
@@ -83,7 +83,7 @@
     Some(StagedWeights { version, manifest, chunks_ready, chunks_total: CHUNKS })
 }
 
-fn plan(preset: &ActivePreset, reports: &[EndpointReport]) -> Vec<PlannedOrder> {
+fn plan(preset: &ForcedPreset, reports: &[EndpointReport]) -> Vec<PlannedOrder> {
     let reports: Vec<_> = reports.iter().collect();
     plan_orders(PlanInput { preset, ahead: None, reports: &reports, pace: None })
 }
--- a/crates/edge/src/endpoints.rs
+++ b/crates/edge/src/endpoints.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cassiawheel_model::{InstanceId, ModelVersion, RateLimit, RequestId, WorkspaceId};
+use cassiawheel_model::{InstanceId, ModelVersion, NamedLimit, RequestId, WorkspaceId};
 use hyper::{HeaderMap, http::response::Parts};
 
 /// What the system adds to a request on its way to an endpoint.
@@ -36,7 +36,7 @@
     /// The load that the endpoint tells.
     pub load: Option<ToldLoad>,
     /// The requests a second that the endpoint takes from all entries together.
-    pub limit: Option<RateLimit>,
+    pub limit: Option<NamedLimit>,
     /// How long the endpoint keeps the connection open while it is idle.
     pub idle_time: Option<Duration>,
     /// Whether the connection ends with the answer.
--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cassiawheel_model::{ActivePreset, ListedRow, TargetVersion};
+use cassiawheel_model::{ForcedPreset, ListedRow, TargetVersion};
 
 use crate::{EdgeFuture, StoreError};
 
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorRow {
     /// The preset in force.
-    Preset(Box<ActivePreset>),
+    Preset(Box<ForcedPreset>),
     /// A version that was named for a model.
     Version(TargetVersion),
     /// A row that cannot be read; the text says why.
--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -12,7 +12,7 @@
 
 use cassiawheel_decide::ChangeRequest;
 use cassiawheel_model::{
-    ActivePreset, ChangeId, InstanceId, OperatorName, PresetContent, PresetName, record,
+    ChangeId, ForcedPreset, InstanceId, OperatorName, PresetContent, PresetName, record,
     settings::OperatorRole,
 };
 use cassiawheel_runtime::http::{ReplyBody, error_reply, json_reply};
@@ -150,7 +150,7 @@
 }
 
 fn in_force(shared: &EntryShared) -> Response<ReplyBody> {
-    let preset: Option<Arc<ActivePreset>> = shared.force.load_full();
+    let preset: Option<Arc<ForcedPreset>> = shared.force.load_full();
     json_reply(StatusCode::OK, &preset)
 }
 
--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -9,7 +9,7 @@
 };
 
 use cassiawheel_decide::{AdmitTicket, AdmitVerdict, ServiceAdmission};
-use cassiawheel_model::{ActivePreset, NotRunReason, ServiceName, Timestamp};
+use cassiawheel_model::{ForcedPreset, NotRunReason, ServiceName, Timestamp};
 use cassiawheel_runtime::timeout;
 use smol::channel::{Receiver, Sender, bounded};
 
@@ -101,7 +101,7 @@
     let now = Timestamp::now();
     let (head, admit_by) = (&request.head, request.admit_by);
     // Names that no preset has get no queue, or callers could fill the memory.
-    let is_known = |preset: &Arc<ActivePreset>| preset.content.services.contains_key(&head.service);
+    let is_known = |preset: &Arc<ForcedPreset>| preset.content.services.contains_key(&head.service);
     if !shared.force.load().as_ref().is_some_and(is_known) {
         return Ok(None);
     }
--- a/crates/entry/src/caller/attempts.rs
+++ b/crates/entry/src/caller/attempts.rs
@@ -10,7 +10,7 @@
     RetryTracker, RouteQuery, RouteSnapshot,
 };
 use cassiawheel_model::{
-    ActivePreset, Deadline, InstanceId, ModelVersion, NotRunReason, PresetRevision, Repeatability,
+    Deadline, ForcedPreset, InstanceId, ModelVersion, NotRunReason, PresetRevision, Repeatability,
     RequestHead, RequestOutcome, ServiceKind, Timestamp,
 };
 use hyper::HeaderMap;
@@ -215,7 +215,7 @@
         Ok(())
     }
 
-    async fn try_once(&mut self, preset: &ActivePreset) -> Result<BegunAnswer, AttemptEnd> {
+    async fn try_once(&mut self, preset: &ForcedPreset) -> Result<BegunAnswer, AttemptEnd> {
         let (shared, head) = (&self.shared, &self.request.head);
         let now = Timestamp::now();
         let allowed = shared.allowed_versions(&head.service, now);
@@ -293,7 +293,7 @@
 fn preset_in_force(
     shared: &EntryShared,
     head: &RequestHead,
-) -> Result<Arc<ActivePreset>, NotRunReason> {
+) -> Result<Arc<ForcedPreset>, NotRunReason> {
     if head.deadline.is_past(Timestamp::now()) {
         return Err(NotRunReason::DeadlineTooClose);
     }
--- a/crates/entry/src/cli/preset.rs
+++ b/crates/entry/src/cli/preset.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, path::PathBuf};
 
 use argh::FromArgs;
-use cassiawheel_model::{ActivePreset, ChangeId, PresetContent, PresetName, Timestamp};
+use cassiawheel_model::{ChangeId, ForcedPreset, PresetContent, PresetName, Timestamp};
 use hyper::Method;
 
 use super::{
@@ -121,7 +121,7 @@
         PresetCommand::Diff(args) => diff(&client, &args),
         PresetCommand::Force(args) => force(&client, args),
         PresetCommand::History(_) => {
-            let changes: Vec<ActivePreset> = client.get("/v1/history")?;
+            let changes: Vec<ForcedPreset> = client.get("/v1/history")?;
             client.print(&changes, |changes| change_table(changes))
         }
     }
@@ -148,7 +148,7 @@
     let from = match &args.other {
         Some(other) => client.get(&preset_path(other))?,
         None => {
-            let in_force: Option<ActivePreset> = client.get("/v1/force")?;
+            let in_force: Option<ForcedPreset> = client.get("/v1/force")?;
             in_force.map(|preset| preset.content).unwrap_or_default()
         }
     };
@@ -215,7 +215,7 @@
             format!("in force: {} as of revision {}", preset.preset, preset.revision.0)
         }
         ChangeReply::Conflict { winner } => match winner {
-            Some(winner) => change_table(&[ActivePreset::clone(winner)]),
+            Some(winner) => change_table(&[ForcedPreset::clone(winner)]),
             None => "another change won".to_owned(),
         },
         ChangeReply::NotAccepted { .. } => "not accepted".to_owned(),
@@ -245,7 +245,7 @@
     table.to_string()
 }
 
-fn change_table(changes: &[ActivePreset]) -> String {
+fn change_table(changes: &[ForcedPreset]) -> String {
     let mut table = TextTable::new(&["REVISION", "PRESET", "OPERATOR", "AT (ms)", "CHANGE"]);
     for change in changes {
         table.push([
--- a/crates/entry/src/control/change.rs
+++ b/crates/entry/src/control/change.rs
@@ -15,7 +15,7 @@
     StoreError, TableGuard, TableRow, TableStore, TableWrite, WeightError, WriteVerdict,
 };
 use cassiawheel_model::{
-    ActivePreset, ChangeId, ManifestDigest, ModelVersion, PresetContent, PresetName,
+    ChangeId, ForcedPreset, ManifestDigest, ModelVersion, PresetContent, PresetName,
     PresetRevision, ServiceName, Timestamp, record,
 };
 use macro_rules_attribute::apply;
@@ -36,12 +36,12 @@
     /// In force as of this revision.
     Accepted {
         /// The change in the history.
-        preset: Arc<ActivePreset>,
+        preset: Arc<ForcedPreset>,
     },
     /// Refused: another change won.
     Conflict {
         /// The change that won, if it could be read.
-        winner: Option<Arc<ActivePreset>>,
+        winner: Option<Arc<ForcedPreset>>,
     },
     /// It took no effect and never will.
     NotAccepted {
@@ -193,7 +193,7 @@
 }
 
 /// All changes of the preset in force, oldest first.
-pub(crate) async fn history(table: &dyn TableStore) -> Result<Vec<ActivePreset>, PresetError> {
+pub(crate) async fn history(table: &dyn TableStore) -> Result<Vec<ForcedPreset>, PresetError> {
     let rows = table.scan("change/").await?;
     let parse = |row: TableRow| serde_json::from_value(row.value);
     rows.into_iter()
@@ -270,7 +270,7 @@
 
 async fn write_change(
     shared: &EntryShared,
-    preset: &Arc<ActivePreset>,
+    preset: &Arc<ForcedPreset>,
     guard: Option<u64>,
 ) -> Result<ChangeAnswer, PresetError> {
     let value = to_value(preset.as_ref())?;
@@ -327,7 +327,7 @@
     serde_json::from_value(row.value).map_err(|error| PresetError::Damaged(error.to_string()))
 }
 
-fn parse_preset(row: &TableRow) -> Result<Arc<ActivePreset>, PresetError> {
+fn parse_preset(row: &TableRow) -> Result<Arc<ForcedPreset>, PresetError> {
     let preset = serde_json::from_value(row.value.clone());
     preset.map(Arc::new).map_err(|error| PresetError::Damaged(error.to_string()))
 }
--- a/crates/entry/src/control/spread.rs
+++ b/crates/entry/src/control/spread.rs
@@ -15,7 +15,7 @@
     rank::{first_ranked, subject_of},
 };
 use cassiawheel_model::{
-    ActivePreset, InstanceId, PresetRevision, Timestamp, settings::EntrySettings,
+    ForcedPreset, InstanceId, PresetRevision, Timestamp, settings::EntrySettings,
 };
 use cassiawheel_wire::{ControlMessage, WireMessage, WireReceiver, WireSender, connect};
 use smol::Timer;
@@ -49,7 +49,7 @@
 const SETTLE_STEP: Duration = Duration::from_millis(20);
 
 /// Considers a preset and passes it on if it is new here.
-pub(crate) fn adopt(shared: &EntryShared, preset: &Arc<ActivePreset>) {
+pub(crate) fn adopt(shared: &EntryShared, preset: &Arc<ForcedPreset>) {
     if shared.offer_preset(preset) {
         push_everywhere(shared, preset);
     }
@@ -65,7 +65,7 @@
     }
 }
 
-fn push_everywhere(shared: &EntryShared, preset: &Arc<ActivePreset>) {
+fn push_everywhere(shared: &EntryShared, preset: &Arc<ForcedPreset>) {
     if let Some(routed) = &shared.routed {
         // A table of routes is large, and some neighbours have it already:
         // only its revision is pushed, and who lacks it pulls it.
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -16,7 +16,7 @@
     rank::{rendezvous_weight, subject_of},
 };
 use cassiawheel_model::{
-    EntryRecord, FailureDomain, InstanceId, LimitRecord, RateLimit, Timestamp,
+    EntryRecord, FailureDomain, InstanceId, LimitRecord, NamedLimit, Timestamp,
 };
 use smol::channel::Sender;
 
@@ -58,7 +58,7 @@
     }
 
     /// Takes in the limit of an answer of `instance`.
-    pub(crate) fn hear(&self, instance: &InstanceId, limit: Option<RateLimit>) {
+    pub(crate) fn hear(&self, instance: &InstanceId, limit: Option<NamedLimit>) {
         if limit.is_none() && !self.is_known.load(Ordering::Relaxed) {
             return;
         }
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -20,7 +20,7 @@
     CallerProtocol, EndpointProtocol, ListingFeed, OperatorFeed, TableStore, WeightSource,
 };
 use cassiawheel_model::{
-    ActivePreset, EndpointReport, EndpointState, ListedEndpoint, ModelVersion, ServiceName,
+    EndpointReport, EndpointState, ForcedPreset, ListedEndpoint, ModelVersion, ServiceName,
     ServiceTarget, TargetVersion, Timestamp, settings::RoutingSettings,
 };
 use cassiawheel_wire::WireSender;
@@ -159,7 +159,7 @@
     }
 
     /// Takes up the routes and keys of the preset that is in force from now on.
-    pub(crate) fn take_preset(&self, preset: &ActivePreset) {
+    pub(crate) fn take_preset(&self, preset: &ForcedPreset) {
         let table = preset.content.callers.clone();
         self.index.store(table.map(|table| Arc::new(CallerIndex::new(table))));
     }
@@ -211,14 +211,14 @@
     }
 
     /// What the platform asks of the versions of the preset's model.
-    pub(crate) fn pace(&self, preset: &ActivePreset, now: Timestamp) -> Option<PlanPace> {
+    pub(crate) fn pace(&self, preset: &ForcedPreset, now: Timestamp) -> Option<PlanPace> {
         let mut targets = preset.content.services.values();
         let engine = targets.find_map(|target| target.engine.as_ref())?;
         self.versions.load().pace(&engine.model, now)
     }
 
     /// `preset` with the versions that were named since.
-    pub(crate) fn with_versions(&self, preset: &ActivePreset) -> ActivePreset {
+    pub(crate) fn with_versions(&self, preset: &ForcedPreset) -> ForcedPreset {
         let versions = self.versions.load();
         let mut planned = preset.clone();
         planned.content.callers = None;
@@ -255,7 +255,7 @@
 /// and goes before it.
 pub(crate) fn direct_candidates<'a>(
     listing: &'a EndpointListing,
-    preset: &ActivePreset,
+    preset: &ForcedPreset,
     reports: &HashMap<SocketAddr, &EndpointReport>,
 ) -> Vec<DirectCandidate<'a>> {
     let present = listing.present(|service| preset.content.services.contains_key(service));
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -17,7 +17,7 @@
 };
 use cassiawheel_edge::{TableStore, WeightSource};
 use cassiawheel_model::{
-    ActivePreset, Deadline, EndpointState, InstanceId, LoadReport, ModelVersion, OriginProfile,
+    Deadline, EndpointState, ForcedPreset, InstanceId, LoadReport, ModelVersion, OriginPlace,
     PresetRevision, RequestId, ServiceName, Timestamp, settings::EntrySettings,
 };
 use cassiawheel_wire::{HelloMessage, ProcessKind, WireSender};
@@ -62,7 +62,7 @@
     /// Connections to agents; read without a lock.
     pub(crate) links: ArcSwap<HashMap<InstanceId, Arc<AgentLink>>>,
     /// The preset in force; read without a lock.
-    pub(crate) force: ArcSwapOption<ActivePreset>,
+    pub(crate) force: ArcSwapOption<ForcedPreset>,
     /// The preset to stage ahead.
     pub(crate) ahead: ArcSwapOption<AheadRow>,
     /// Whether the plan lags behind the reports or the preset.
@@ -172,7 +172,7 @@
     }
 
     /// The origin of weights, where it comes with the preset.
-    pub(crate) fn origin_place(&self) -> Option<OriginProfile> {
+    pub(crate) fn origin_place(&self) -> Option<OriginPlace> {
         let force = self.force.load();
         let mut services = force.as_ref()?.content.services.values();
         services.find_map(|target| target.engine.as_ref()?.origin.clone())
@@ -226,7 +226,7 @@
     }
 
     /// Considers a preset; true if it is in force from now on.
-    pub(crate) fn offer_preset(&self, preset: &Arc<ActivePreset>) -> bool {
+    pub(crate) fn offer_preset(&self, preset: &Arc<ForcedPreset>) -> bool {
         let mut holder = self.holder();
         match holder.offer(preset.clone()) {
             Adoption::Adopted if self.settled.load(Ordering::Acquire) => {
@@ -243,7 +243,7 @@
     }
 
     /// Ends the hold of the start; the preset that is in force from now on, if one is known.
-    pub(crate) fn publish_held(&self) -> Option<Arc<ActivePreset>> {
+    pub(crate) fn publish_held(&self) -> Option<Arc<ForcedPreset>> {
         let holder = self.holder();
         self.settled.store(true, Ordering::Release);
         let preset = holder.current()?.clone();
@@ -300,7 +300,7 @@
 
     /// Called under the holder's lock, so that two offers cannot publish in the
     /// reverse of the order of their revisions.
-    fn publish(&self, preset: &Arc<ActivePreset>) {
+    fn publish(&self, preset: &Arc<ForcedPreset>) {
         let revision = preset.revision.0;
         if let Some(routed) = &self.routed {
             routed.take_preset(preset);
--- a/crates/model/src/endpoint.rs
+++ b/crates/model/src/endpoint.rs
@@ -121,9 +121,9 @@
 /// Requests that an endpoint takes from all entries together, in thousandths a second.
 #[apply(label!)]
 #[serde(transparent)]
-pub struct RateLimit(pub u32);
+pub struct NamedLimit(pub u32);
 
-impl RateLimit {
+impl NamedLimit {
     /// The limit of `rate` requests a second; none if that is no rate.
     pub fn from_rate(rate: f64) -> Option<Self> {
         // Conversion saturates, so that a rate beyond all use stays one.
--- a/crates/model/src/gossip.rs
+++ b/crates/model/src/gossip.rs
@@ -5,7 +5,7 @@
 use macro_rules_attribute::apply;
 
 use crate::{
-    EndpointReport, FailureDomain, InstanceId, PresetRevision, RateLimit, RegionName,
+    EndpointReport, FailureDomain, InstanceId, NamedLimit, PresetRevision, RegionName,
     RequestDigest, Timestamp,
 };
 
@@ -87,9 +87,9 @@
 #[serde(rename_all = "kebab-case")]
 pub enum LimitState {
     /// It takes no more than this.
-    Named(RateLimit),
+    Named(NamedLimit),
     /// It no longer names the limit that it named.
-    Ended(RateLimit),
+    Ended(NamedLimit),
 }
 
 /// The limit of an endpoint.
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -24,7 +24,7 @@
 pub mod time;
 
 pub use endpoint::{
-    EndpointReport, EndpointRole, EndpointState, LoadReport, RateLimit, StagedWeights,
+    EndpointReport, EndpointRole, EndpointState, LoadReport, NamedLimit, StagedWeights,
 };
 pub use finding::{FindingList, InputFinding};
 pub use gossip::{
@@ -40,8 +40,8 @@
 pub use listing::{ListedEndpoint, ListedRow};
 pub use manifest::{ChunkEntry, ChunkHash, ManifestError, WeightManifest};
 pub use outcome::{NotRunReason, OutcomeKind, RequestOutcome};
-pub use preset::{ActivePreset, PresetContent, PresetRevision, ServiceKind, ServiceTarget};
+pub use preset::{ForcedPreset, PresetContent, PresetRevision, ServiceKind, ServiceTarget};
 pub use request::{PriorityClass, Repeatability, RequestDigest, RequestHead};
-pub use routing::{CallerLimits, RouteKind, RouteRule, RouteShare, RoutingTable};
-pub use target::{AgeSource, EngineProfile, ModelName, OriginProfile, TargetVersion};
+pub use routing::{CallerLimits, CallerTable, RouteKind, RouteRule, RouteShare};
+pub use target::{AgeSource, EngineProfile, ModelName, OriginPlace, TargetVersion};
 pub use time::{Deadline, Timestamp};
--- a/crates/model/src/preset.rs
+++ b/crates/model/src/preset.rs
@@ -8,8 +8,8 @@
 use macro_rules_attribute::apply;
 
 use crate::{
-    ChangeId, Deadline, EngineProfile, FindingList, ManifestDigest, ModelVersion, OperatorName,
-    PresetName, RoutingTable, ServiceName, Timestamp,
+    CallerTable, ChangeId, Deadline, EngineProfile, FindingList, ManifestDigest, ModelVersion,
+    OperatorName, PresetName, ServiceName, Timestamp,
 };
 
 /// Position of a change in the history of the preset in force.
@@ -77,7 +77,7 @@
     pub services: BTreeMap<ServiceName, ServiceTarget>,
     /// Routes and keys of callers, where callers reach services by host and path.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub callers: Option<Arc<RoutingTable>>,
+    pub callers: Option<Arc<CallerTable>>,
 }
 
 /// Most replicas that a preset may ask for in one service.
@@ -127,7 +127,7 @@
 /// The preset in force.
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
-pub struct ActivePreset {
+pub struct ForcedPreset {
     /// Position in the history.
     pub revision: PresetRevision,
     /// The preset's name.
--- a/crates/model/src/routing.rs
+++ b/crates/model/src/routing.rs
@@ -74,7 +74,7 @@
 /// The routes and keys of one preset.
 #[apply(record!)]
 #[derive(Eq)]
-pub struct RoutingTable {
+pub struct CallerTable {
     /// The routes.
     pub routes: Vec<RouteRule>,
     /// Workspaces by the keys of their callers.
--- a/crates/model/src/target.rs
+++ b/crates/model/src/target.rs
@@ -56,13 +56,13 @@
     /// Tokens of a usual answer.
     pub usual_answer: u32,
     /// The origin of its weights, if there is one.
-    pub origin: Option<OriginProfile>,
+    pub origin: Option<OriginPlace>,
 }
 
 /// Where weights come from.
 #[apply(record!)]
 #[derive(Eq)]
-pub struct OriginProfile {
+pub struct OriginPlace {
     /// Its address.
     pub addr: SocketAddr,
     /// Its region, if it is known.
--- a/crates/testkit/src/burst/run/sampler.rs
+++ b/crates/testkit/src/burst/run/sampler.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use cassiawheel_model::{ActivePreset, ModelVersion, Timestamp};
+use cassiawheel_model::{ForcedPreset, ModelVersion, Timestamp};
 use smol::Timer;
 
 use crate::{
@@ -84,7 +84,7 @@
 
     fn look(&self) {
         let row = self.table.read("force");
-        let preset = row.and_then(|row| serde_json::from_value::<ActivePreset>(row.value).ok());
+        let preset = row.and_then(|row| serde_json::from_value::<ForcedPreset>(row.value).ok());
         let Some(preset) = preset else {
             return;
         };
--- a/crates/testkit/src/burst/run/stand_ins.rs
+++ b/crates/testkit/src/burst/run/stand_ins.rs
@@ -1,6 +1,6 @@
 //! What the stand-ins know at the end of a run.
 
-use cassiawheel_model::ActivePreset;
+use cassiawheel_model::ForcedPreset;
 
 use crate::{
     Deployment,
@@ -35,7 +35,7 @@
         }));
     }
     let history = deployment.table.scan("change/").into_iter().filter_map(|row| {
-        let preset: ActivePreset = serde_json::from_value(row.value).ok()?;
+        let preset: ForcedPreset = serde_json::from_value(row.value).ok()?;
         let (revision, change) = (preset.revision.0, preset.change.to_string());
         Some(HistoryRecord { revision, change })
     });
--- a/crates/wire/src/message/control.rs
+++ b/crates/wire/src/message/control.rs
@@ -3,8 +3,8 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use cassiawheel_model::{
-    ActivePreset, EndpointReport, FailureDomain, GossipDelta, InstanceId, ListedRow, LoadReport,
-    ManifestDigest, ModelVersion, OriginProfile, PresetRevision, RegionName, TargetVersion,
+    EndpointReport, FailureDomain, ForcedPreset, GossipDelta, InstanceId, ListedRow, LoadReport,
+    ManifestDigest, ModelVersion, OriginPlace, PresetRevision, RegionName, TargetVersion,
     WeightManifest, record,
 };
 use macro_rules_attribute::apply;
@@ -37,7 +37,7 @@
         instance: InstanceId,
     },
     /// Entry to entry or agent: the preset in force, as far as the sender knows.
-    Force(Arc<ActivePreset>),
+    Force(Arc<ForcedPreset>),
     /// Entry to entry: a heartbeat; the last whole one over this connection still holds but for
     /// the requests in progress.
     EntryAlive {
@@ -150,7 +150,7 @@
     pub serve: bool,
     /// The origin of weights, where it comes with the preset.
     #[serde(default)]
-    pub origin: Option<OriginProfile>,
+    pub origin: Option<OriginPlace>,
 }
 
 /// Where an agent is reached by other agents.
