--- a/crates/decide/tests/crash_book.rs
+++ b/crates/decide/tests/crash_book.rs
@@ -10,9 +10,9 @@
     BAR_DURATION, CrashTracker, CrashVerdict, EntryLocation, LinkId, links_to_dial,
 };
 use cassiawheel_model::{
-    BarredRequest, CrashEvent, CrashRow, Deadline, InstanceId, PresetRevision, PriorityClass,
-    RegionName, Repeatability, RequestDigest, RequestHead, RequestId, ServiceName, Timestamp,
-    WorkspaceId,
+    CrashEvent, CrashRecord, Deadline, InstanceId, PresetRevision, PriorityClass,
+    QuarantinedRequest, RegionName, Repeatability, RequestDigest, RequestHead, RequestId,
+    ServiceName, Timestamp, WorkspaceId,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
 use rstest::rstest;
@@ -42,8 +42,8 @@
     RequestDigest::of(&head("booth", "/x", "r"), &body.to_le_bytes())
 }
 
-fn row(body: u64, event: CrashEvent, age_ms: u32) -> CrashRow {
-    CrashRow { digest: digest(body), event, age_ms }
+fn row(body: u64, event: CrashEvent, age_ms: u32) -> CrashRecord {
+    CrashRecord { digest: digest(body), event, age_ms }
 }
 
 fn is_barred(book: &CrashTracker, body: u64) -> bool {
@@ -164,9 +164,9 @@
     }
     let ended_at = Timestamp(NOW.0 - 1_000);
     let over_at = Timestamp(NOW.0 - BAR_DURATION.as_millis() as u64);
-    let over = BarredRequest { digest: digest(9), ended_at: over_at };
+    let over = QuarantinedRequest { digest: digest(9), ended_at: over_at };
     let bars = book.bars_to_persist(&[over], NOW).expect("one is to be added");
-    assert_eq!(bars, [BarredRequest { digest: digest(7), ended_at }]);
+    assert_eq!(bars, [QuarantinedRequest { digest: digest(7), ended_at }]);
     assert_eq!(book.bars_to_persist(&bars, NOW), None);
     let mut started = CrashTracker::default();
     assert!(started.record(row(7, CrashEvent::Barred, 1_000), None, NOW));
@@ -264,7 +264,7 @@
     fn rank(&self, entry: usize) -> usize {
         let weight = |index: usize| {
             let name = InstanceId::new(&format!("entry-{index}")).expect("valid");
-            cassiawheel_decide::rank::rendezvous_weight(digest(7).subject(), name.as_str())
+            cassiawheel_decide::rank::rendezvous_weight(digest(7).rendezvous_key(), name.as_str())
         };
         let own = weight(entry);
         (0..self.books.len()).filter(|index| weight(*index) > own).count()
--- a/crates/decide/tests/overlay.rs
+++ b/crates/decide/tests/overlay.rs
@@ -9,7 +9,9 @@
     EntryLocation, EntrySelector, FeedRole, FloodFilter, GossipStore, LinkCursor, LinkId,
     feed_role, links_to_dial, rank::subject_of, reachable_entries,
 };
-use cassiawheel_model::{EntryRecord, FailureDomain, InstanceId, LoadRow, RegionName, Timestamp};
+use cassiawheel_model::{
+    EntryRecord, FailureDomain, InstanceId, LoadRecord, RegionName, Timestamp,
+};
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IteratorRandom};
 use rstest::rstest;
 
@@ -149,7 +151,7 @@
                 store.merge_record(record, Some(from as LinkId), self.now);
             }
             for row in loads {
-                let row = LoadRow { age_ms: row.age_ms + ROUND_MS as u32, ..row };
+                let row = LoadRecord { age_ms: row.age_ms + ROUND_MS as u32, ..row };
                 store.merge_load(row, ROUND_MS, Some(from as LinkId), self.now);
             }
         }
@@ -259,8 +261,8 @@
         let before: u64 = fleet.processes.iter().map(|process| process.sent).sum();
         for step in 0..40 {
             for index in 0..entries {
-                let subject = subject_of(name(index).as_str());
-                let row = LoadRow { subject, load: step, age_ms: 0 };
+                let instance_hash = subject_of(name(index).as_str());
+                let row = LoadRecord { instance_hash, load: step, age_ms: 0 };
                 let now = fleet.now;
                 fleet.processes[index].store.merge_load(row, 0, None, now);
             }
@@ -298,8 +300,8 @@
 #[test]
 fn an_older_load_does_not_replace_a_newer_one() {
     let mut store = GossipStore::default();
-    let subject = subject_of(name(1).as_str());
-    let row = |load, age_ms| LoadRow { subject, load, age_ms };
+    let instance_hash = subject_of(name(1).as_str());
+    let row = |load, age_ms| LoadRecord { instance_hash, load, age_ms };
     assert!(store.merge_load(row(3, 0), 40, None, Timestamp(1_000)));
     assert!(!store.merge_load(row(9, 60), 40, Some(2), Timestamp(1_050)), "measured before");
     assert!(!store.merge_load(row(9, 30), 40, Some(2), Timestamp(1_050)), "the same one");
--- a/crates/entry/src/control/quarantine.rs
+++ b/crates/entry/src/control/quarantine.rs
@@ -7,7 +7,7 @@
 
 use cassiawheel_decide::FeedRole;
 use cassiawheel_edge::{StoreError, TableGuard, TableStore, TableWrite, WriteOutcome};
-use cassiawheel_model::{BarredRequest, CrashEvent, CrashRow, Timestamp};
+use cassiawheel_model::{CrashEvent, CrashRecord, QuarantinedRequest, Timestamp};
 use cassiawheel_runtime::timeout;
 
 use crate::{routed::RoutedInterface, shared::EntryShared};
@@ -53,7 +53,7 @@
         }
     };
     let now = Timestamp::now();
-    let rows = kept.iter().map(|bar| CrashRow {
+    let rows = kept.iter().map(|bar| CrashRecord {
         digest: bar.digest,
         event: CrashEvent::Barred,
         age_ms: now.since(bar.ended_at).as_millis() as u32,
@@ -91,7 +91,9 @@
     Ok(matches!(verdict, Some(WriteOutcome::Written(_))))
 }
 
-async fn kept_bars(table: &dyn TableStore) -> Result<(TableGuard, Vec<BarredRequest>), StoreError> {
+async fn kept_bars(
+    table: &dyn TableStore,
+) -> Result<(TableGuard, Vec<QuarantinedRequest>), StoreError> {
     let Some(row) = table.read(BARS_ROW).await? else {
         return Ok((TableGuard::Absent, Vec::new()));
     };
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -11,7 +11,7 @@
 
 use arc_swap::ArcSwap;
 use cassiawheel_decide::{CrashTracker, CrashVerdict, LinkId, rank::rendezvous_weight};
-use cassiawheel_model::{CrashEvent, CrashRow, InstanceId, RequestDigest};
+use cassiawheel_model::{CrashEvent, CrashRecord, InstanceId, RequestDigest};
 use smol::channel::{Receiver, Sender, bounded};
 
 /// Verdicts on requests, and runs of suspects that this entry has under way.
@@ -57,7 +57,7 @@
 
     /// Takes up the verdicts of `book` after it has learned `rows`, from a neighbour over
     /// the link `source` or from an own run.
-    pub(crate) fn learn(&self, book: &CrashTracker, rows: &[CrashRow], source: Option<LinkId>) {
+    pub(crate) fn learn(&self, book: &CrashTracker, rows: &[CrashRecord], source: Option<LinkId>) {
         if rows.is_empty() {
             return;
         }
@@ -87,7 +87,7 @@
     }
 }
 
-fn log_row(row: &CrashRow, verdict: CrashVerdict, source: Option<LinkId>) {
+fn log_row(row: &CrashRecord, verdict: CrashVerdict, source: Option<LinkId>) {
     let learned = if source.is_some() { "neighbour" } else { "own run" };
     match (row.event, verdict) {
         (CrashEvent::Begun, _) => {
@@ -112,7 +112,7 @@
     own: &InstanceId,
     others: impl Iterator<Item = &'a InstanceId>,
 ) -> (usize, usize) {
-    let subject = digest.subject();
+    let subject = digest.rendezvous_key();
     let weight = rendezvous_weight(subject, own.as_str());
     let weights = others.map(|other| rendezvous_weight(subject, other.as_str()));
     weights.fold((0, 1), |(rank, entries), other| (rank + usize::from(other > weight), entries + 1))
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -20,8 +20,8 @@
     CallerProtocol, EndpointFeed, EndpointProtocol, OperatorFeed, TableStore, WeightSource,
 };
 use cassiawheel_model::{
-    EndpointReport, EndpointState, ForcedPreset, ListedEndpoint, ModelVersion, NamedVersion,
-    ServiceName, ServiceTarget, Timestamp, settings::RoutedSettings,
+    EndpointReport, EndpointState, ForcedPreset, ListedEndpoint, ModelVersion, ServiceName,
+    ServiceTarget, TargetVersion, Timestamp, settings::RoutingSettings,
 };
 use cassiawheel_wire::WireSender;
 use smol::channel::{Receiver, Sender, bounded};
@@ -39,7 +39,7 @@
 /// The edges of such an entry.
 pub struct RoutedEdges {
     /// Settings beside those of every entry.
-    pub settings: RoutedSettings,
+    pub settings: RoutingSettings,
     /// The callers' protocol.
     pub callers: Arc<dyn CallerProtocol>,
     /// The endpoints' protocol.
@@ -57,7 +57,7 @@
 /// State of such an entry.
 pub(crate) struct RoutedInterface {
     /// Settings.
-    pub(crate) settings: RoutedSettings,
+    pub(crate) settings: RoutingSettings,
     /// The callers' protocol.
     pub(crate) callers: Arc<dyn CallerProtocol>,
     /// The client of endpoints.
@@ -180,7 +180,7 @@
     }
 
     /// Takes in a named version; true if it or its manifest was not known.
-    pub(crate) fn offer_version(&self, named: &NamedVersion) -> bool {
+    pub(crate) fn offer_version(&self, named: &TargetVersion) -> bool {
         let span = Duration::from_millis(self.settings.version_ms);
         let now = Timestamp::now();
         let mut is_new = false;
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -13,7 +13,7 @@
     settings::{EntryListen, EntrySettings, ListenerSettings},
 };
 use cassiawheel_runtime::{
-    ShutdownSignal, ShutdownTrigger, TerminationSignals,
+    ProcessSignals, ShutdownSignal, ShutdownTrigger,
     http::{ListenerLimits, serve as serve_http},
     probes::serve_probes,
     spawn,
@@ -66,7 +66,7 @@
     settings: EntrySettings,
     edges: Option<RoutedEdges>,
 ) -> anyhow::Result<()> {
-    let mut signals = TerminationSignals::listen()?;
+    let mut signals = ProcessSignals::listen()?;
     // Every address is taken before anything else begins: an entry that finds
     // one in use ends without having told anyone that it is there.
     let listeners = EntryListeners::bind(&settings.listen, edges.as_ref()).await?;
@@ -92,7 +92,7 @@
     log::info!(target: "process", instance:% = shared.settings.place.instance, caller:% = caller_addr; "The entry runs.");
 
     signals
-        .asked_or(|| {
+        .wait_or_reload(|| {
             log::info!(target: "process", "The settings file has changed; it is read at the next start.");
         })
         .await;
@@ -103,7 +103,7 @@
         caller_trigger.fire();
         callers.await;
     };
-    let end = signals.finish(deadline, drained).await;
+    let end = signals.drain_until(deadline, drained).await;
     trigger.fire();
     let left = shared.in_flight.load(Ordering::Relaxed);
     log::info!(target: "drain", in_flight = left; "The entry ends.");
@@ -215,7 +215,7 @@
     let limits = listener_limits(&settings.limits, settings.caller.max_connections);
     match shared.routed.clone() {
         Some(routed) => {
-            let limits = ListenerLimits { head_time: IDLE_TIME, ..limits };
+            let limits = ListenerLimits { head_timeout: IDLE_TIME, ..limits };
             let answer =
                 move |request, _| caller::accept_routed(shared.clone(), routed.clone(), request);
             serve_http(listener, limits, shutdown, answer).await;
@@ -231,8 +231,8 @@
     ListenerLimits {
         connections,
         head_bytes: settings.head_bytes,
-        head_time: Duration::from_millis(settings.head_ms),
-        write_time: Duration::from_millis(settings.write_ms),
+        head_timeout: Duration::from_millis(settings.head_ms),
+        write_timeout: Duration::from_millis(settings.write_ms),
     }
 }
 
