--- a/crates/entry/src/caller/attempts.rs
+++ b/crates/entry/src/caller/attempts.rs
@@ -17,9 +17,9 @@
 use smol::Timer;
 
 use super::{
-    dispatch::{AnswerHead, AttemptStream, DispatchedRequest, dispatch},
+    crash_detection::{LostRun, RunTarget, await_turn, record_answered, record_lost_run},
+    dispatch::{AttemptStream, DispatchedRequest, ResponseHead, dispatch},
     identify::IdentifiedRequest,
-    lost::{LostRun, RunPlace, await_turn, note_answered, note_lost},
 };
 use crate::{crashes::SuspectRun, shared::EntryShared};
 
@@ -31,13 +31,13 @@
 /// An answer that broke off has cost its caller time and an engine work. When
 /// an engine dies the others are often full, and refusing would waste both;
 /// the requests of one dead engine are one or two for each of the others.
-const REPEAT_ROOM: u32 = 4;
+const RETRY_EXTRA_SLOTS: u32 = 4;
 
 /// Lowest status of a failure that is the endpoint's own.
 const SERVER_ERROR: u16 = 500;
 
 /// An answer that has begun.
-pub(crate) struct BegunAnswer {
+pub(crate) struct StartedResponse {
     /// The rest of the answer.
     pub(crate) stream: AttemptStream,
     /// HTTP status of the endpoint.
@@ -53,9 +53,9 @@
     /// Attempts that it took.
     pub(crate) attempts: u32,
     /// Where it runs.
-    run: RunPlace,
+    target: RunTarget,
     /// Counts the request at its endpoint until the answer ends.
-    _load: EndpointLoad,
+    _load: LoadGuard,
 }
 
 /// A request that got no answer.
@@ -71,27 +71,27 @@
 impl FailedRequest {
     /// A request that was refused before any attempt.
     pub(crate) fn before_attempts(shared: &EntryShared, reason: NotRunReason) -> Self {
-        let revision = shared.force.load().as_ref().map(|preset| preset.revision);
+        let revision = shared.active_preset.load().as_ref().map(|preset| preset.revision);
         let outcome = final_outcome(AttemptFailure::NotRun(reason));
         Self { outcome, revision: revision.unwrap_or_default(), attempts: 0 }
     }
 }
 
 /// One request's count at its endpoint and its service.
-pub(crate) struct EndpointLoad {
+pub(crate) struct LoadGuard {
     cell: Arc<EndpointTracker>,
     service: Arc<AtomicU32>,
 }
 
-impl EndpointLoad {
+impl LoadGuard {
     /// Takes over a request that is counted at the endpoint already.
-    fn taken(cell: Arc<EndpointTracker>, service: Arc<AtomicU32>) -> Self {
+    fn adopt(cell: Arc<EndpointTracker>, service: Arc<AtomicU32>) -> Self {
         service.fetch_add(1, Ordering::Relaxed);
         Self { cell, service }
     }
 }
 
-impl Drop for EndpointLoad {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
         self.cell.release();
         self.service.fetch_sub(1, Ordering::Relaxed);
@@ -141,64 +141,64 @@
     }
 
     /// Tries until an answer begins or the request is given up.
-    pub(crate) async fn begin(&mut self) -> Result<BegunAnswer, FailedRequest> {
+    pub(crate) async fn begin(&mut self) -> Result<StartedResponse, FailedRequest> {
         loop {
-            match self.try_preset().await {
-                Ok(begun) if self.may_ask_another(&begun) => {
-                    let end = AttemptFailure::Unknown(format!("answered {}", begun.status));
-                    if self.after(end).await.is_err() {
+            match self.attempt().await {
+                Ok(response) if self.may_retry_elsewhere(&response) => {
+                    let end = AttemptFailure::Unknown(format!("answered {}", response.status));
+                    if self.await_retry(end).await.is_err() {
                         // The failure is the endpoint's own answer, and the
                         // last one that there will be.
-                        return Ok(begun);
+                        return Ok(response);
                     }
                 }
-                Ok(begun) => return Ok(begun),
-                Err(end) => self.after(end).await?,
+                Ok(response) => return Ok(response),
+                Err(end) => self.await_retry(end).await?,
             }
         }
     }
 
     /// Whether an endpoint failed at a request that another one may answer.
-    fn may_ask_another(&self, begun: &BegunAnswer) -> bool {
+    fn may_retry_elsewhere(&self, response: &StartedResponse) -> bool {
         self.request.is_direct()
-            && begun.status >= SERVER_ERROR
+            && response.status >= SERVER_ERROR
             && self.head().repeat == Repeatability::Idempotent
     }
 
     /// Tries again after an answer was cut of which a part has been sent.
     ///
     /// The answer begins anew; only `version` may give it.
-    pub(crate) async fn begin_again(
+    pub(crate) async fn retry_cut(
         &mut self,
-        cut: &BegunAnswer,
+        cut: &StartedResponse,
         version: Option<ModelVersion>,
         end: AttemptFailure,
-    ) -> Result<BegunAnswer, FailedRequest> {
+    ) -> Result<StartedResponse, FailedRequest> {
         self.version = version;
-        let lost = LostRun { place: &cut.run, answering: cut.stream.has_data(), end: &end };
-        note_lost(&self.shared, &self.request, lost).await;
+        let lost_run = LostRun { target: &cut.target, answering: cut.stream.has_data(), end: &end };
+        record_lost_run(&self.shared, &self.request, lost_run).await;
         self.suspect_run = None;
-        self.after(end).await?;
+        self.await_retry(end).await?;
         self.begin().await
     }
 
-    async fn try_preset(&mut self) -> Result<BegunAnswer, AttemptFailure> {
+    async fn attempt(&mut self) -> Result<StartedResponse, AttemptFailure> {
         let preset =
             preset_in_force(&self.shared, &self.request.head).map_err(AttemptFailure::NotRun)?;
         self.revision = preset.revision;
         self.suspect_run = None;
         let turn = await_turn(&self.shared, &self.request).await;
         self.suspect_run = turn.map_err(AttemptFailure::NotRun)?;
-        self.try_once(&preset).await
+        self.route_and_dispatch(&preset).await
     }
 
     /// Notes that the answer was whole.
-    pub(crate) fn note_answered(&self) {
-        note_answered(&self.shared, &self.request);
+    pub(crate) fn record_answered(&self) {
+        record_answered(&self.shared, &self.request);
     }
 
     /// Waits until the next attempt, if one is allowed.
-    async fn after(&mut self, end: AttemptFailure) -> Result<(), FailedRequest> {
+    async fn await_retry(&mut self, end: AttemptFailure) -> Result<(), FailedRequest> {
         let now = Timestamp::now();
         let next_at = match self.tracker.next_step(end, &self.budget, now, &mut rand::rng()) {
             RetryStep::Retry(next_at) => next_at,
@@ -215,7 +215,10 @@
         Ok(())
     }
 
-    async fn try_once(&mut self, preset: &ForcedPreset) -> Result<BegunAnswer, AttemptFailure> {
+    async fn route_and_dispatch(
+        &mut self,
+        preset: &ForcedPreset,
+    ) -> Result<StartedResponse, AttemptFailure> {
         let (shared, head) = (&self.shared, &self.request.head);
         let now = Timestamp::now();
         let allowed = shared.allowed_versions(&head.service, now);
@@ -228,7 +231,7 @@
             version: self.version.as_ref(),
             allowed: allowed.as_deref(),
             extra_capacity: if self.tracker.attempts() > 0 && self.request.is_direct() {
-                REPEAT_ROOM
+                RETRY_EXTRA_SLOTS
             } else {
                 0
             },
@@ -239,11 +242,11 @@
         let choice = routes.acquire(&query, &mut rand::rng());
         let (Some(choice), Some(service)) = (choice, routes.service(&head.service)) else {
             log::info!(target: "route", request:% = head.id, workspace:% = head.workspace, service:% = head.service, revision = preset.revision.0, excluded = self.excluded.len(); "No endpoint for a request.");
-            return Err(AttemptFailure::NotRun(no_endpoint(&routes, head)));
+            return Err(AttemptFailure::NotRun(no_endpoint_reason(&routes, head)));
         };
         let candidate = choice.candidate;
         log::info!(target: "route", request:% = head.id, workspace:% = head.workspace, endpoint:% = candidate.instance, reason = choice.reason.as_str(), cost = choice.cost, near = candidate.is_near, candidates = choice.candidates, revision = preset.revision.0, attempt = self.tracker.attempts() + 1; "Chose an endpoint.");
-        let load = EndpointLoad::taken(candidate.tracker.clone(), service.in_flight().clone());
+        let load = LoadGuard::adopt(candidate.tracker.clone(), service.in_flight().clone());
         let (instance, path) = (candidate.instance.clone(), candidate.path);
         let candidate_version = candidate.version.clone();
         let version = match path {
@@ -262,29 +265,30 @@
             request: &self.request,
             last_event: self.last_event,
         };
-        let begin_by = shared.begin_by(&head.service, candidate_version.as_ref());
-        let begun: AnswerHead = match dispatch(shared, path, sent, &load.cell, begin_by).await {
-            Ok(begun) => begun,
+        let start_by = shared.start_by(&head.service, candidate_version.as_ref());
+        let response: ResponseHead = match dispatch(shared, path, sent, &load.cell, start_by).await
+        {
+            Ok(response) => response,
             Err(end) => {
-                note_end(shared, &routed, self.excluded.last(), &load.cell, &end);
-                let place = RunPlace { instance, path };
-                let lost = LostRun { place: &place, answering: false, end: &end };
-                note_lost(shared, &self.request, lost).await;
+                record_failure(shared, &routed, self.excluded.last(), &load.cell, &end);
+                let target = RunTarget { instance, path };
+                let lost_run = LostRun { target: &target, answering: false, end: &end };
+                record_lost_run(shared, &self.request, lost_run).await;
                 return Err(end);
             }
         };
         load.cell.record_success();
         let delay_ms = Timestamp::now().since(now).as_millis() as u64;
-        log::info!(target: "answer", request:% = self.request.head.id, endpoint:% = instance, status = begun.status, delay_ms = delay_ms; "An answer begins.");
-        Ok(BegunAnswer {
-            stream: begun.stream,
-            status: begun.status,
-            headers: begun.headers,
-            version: begun.version,
-            revision: begun.revision,
-            replayed: begun.replayed,
+        log::info!(target: "answer", request:% = self.request.head.id, endpoint:% = instance, status = response.status, delay_ms = delay_ms; "An answer begins.");
+        Ok(StartedResponse {
+            stream: response.stream,
+            status: response.status,
+            headers: response.headers,
+            version: response.version,
+            revision: response.revision,
+            replayed: response.replayed,
             attempts: self.tracker.attempts(),
-            run: RunPlace { instance, path },
+            target: RunTarget { instance, path },
             _load: load,
         })
     }
@@ -297,7 +301,7 @@
     if head.deadline.is_past(Timestamp::now()) {
         return Err(NotRunReason::DeadlineTooClose);
     }
-    let preset = shared.force.load_full().ok_or(NotRunReason::NotReady)?;
+    let preset = shared.active_preset.load_full().ok_or(NotRunReason::NotReady)?;
     if !preset.content.services.contains_key(&head.service) {
         return Err(NotRunReason::UnknownService);
     }
@@ -305,7 +309,7 @@
 }
 
 /// Why no endpoint was found: none serves, or each is at its limit.
-fn no_endpoint(routes: &RouteSnapshot, head: &RequestHead) -> NotRunReason {
+fn no_endpoint_reason(routes: &RouteSnapshot, head: &RequestHead) -> NotRunReason {
     match routes.service(&head.service) {
         Some(service) if service.in_flight().load(Ordering::Relaxed) > 0 => {
             NotRunReason::Overloaded
@@ -315,7 +319,7 @@
 }
 
 /// Learns from an attempt that gave no answer.
-fn note_end(
+fn record_failure(
     shared: &EntryShared,
     head: &RequestHead,
     instance: Option<&InstanceId>,
@@ -332,7 +336,7 @@
         // draw request after request until its row lapses.
         AttemptFailure::NotRun(NotRunReason::VersionMismatch) if head.version.is_none() => {
             if let Some(instance) = instance {
-                shared.forget_listed(instance);
+                shared.drop_listed(instance);
             }
         }
         AttemptFailure::NotRun(NotRunReason::ConnectFailed)
--- a/crates/entry/src/caller/lost.rs
+++ b/crates/entry/src/caller/crash_detection.rs
@@ -18,18 +18,18 @@
 use super::identify::IdentifiedRequest;
 use crate::{
     crashes::{SuspectRun, suspect_rank},
-    routed::RoutedInterface,
+    routed::RoutedState,
     shared::EntryShared,
 };
 
 /// Time in which an address of another region refuses a connection.
-const PROBE_TIME: Duration = Duration::from_millis(100);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time between looks whether the run of a suspect may begin.
-const TURN_TIME: Duration = Duration::from_millis(20);
+const TURN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Where a request runs.
-pub(super) struct RunPlace {
+pub(super) struct RunTarget {
     /// The endpoint.
     pub(super) instance: InstanceId,
     /// How it is reached.
@@ -39,7 +39,7 @@
 /// A run that ended without a whole answer.
 pub(super) struct LostRun<'a> {
     /// Where it ran.
-    pub(super) place: &'a RunPlace,
+    pub(super) target: &'a RunTarget,
     /// Whether some bytes of the answer had come.
     pub(super) answering: bool,
     /// How it ended.
@@ -47,12 +47,12 @@
 }
 
 /// Notes that an endpoint ended under a request, if that is how the run ended.
-pub(super) async fn note_lost(
+pub(super) async fn record_lost_run(
     shared: &EntryShared,
     request: &IdentifiedRequest,
     lost: LostRun<'_>,
 ) {
-    let (AttemptFailure::Lost(cause), EndpointPath::Direct(addr)) = (lost.end, lost.place.path)
+    let (AttemptFailure::Lost(cause), EndpointPath::Direct(addr)) = (lost.end, lost.target.path)
     else {
         return;
     };
@@ -60,9 +60,9 @@
         return;
     };
     let ended_at = Timestamp::now();
-    let instance = &lost.place.instance;
+    let instance = &lost.target.instance;
     let digest = request.digest();
-    let has_ended = !leaves(routed, instance) && refuses(addr).await;
+    let has_ended = !has_left(routed, instance) && refuses_connections(addr).await;
     log::info!(target: "direct", request:% = request.head.id, digest:% = digest, endpoint:% = instance, answering = lost.answering, ended = has_ended, cause:% = cause; "An endpoint was lost under a request.");
     if has_ended {
         let endpoint = subject_of(instance.as_str());
@@ -75,7 +75,7 @@
 }
 
 /// Notes that a request was answered whole, if endpoints have ended under it.
-pub(super) fn note_answered(shared: &EntryShared, request: &IdentifiedRequest) {
+pub(super) fn record_answered(shared: &EntryShared, request: &IdentifiedRequest) {
     let Some(routed) = shared.routed.as_ref().filter(|routed| !routed.crashes.is_empty()) else {
         return;
     };
@@ -85,26 +85,26 @@
     }
 }
 
-fn note(routed: &RoutedInterface, digest: RequestDigest, event: CrashEvent, at: Timestamp) {
+fn note(routed: &RoutedState, digest: RequestDigest, event: CrashEvent, at: Timestamp) {
     let now = Timestamp::now();
     let row = CrashRecord { digest, event, age_ms: now.since(at).as_millis() as u32 };
     let mut state = routed.overlay.lock();
     if state.crashes.record(row, None, now) {
-        routed.crashes.learn(&state.crashes, &[row], None);
+        routed.crashes.apply_rows(&state.crashes, &[row], None);
         drop(state);
-        routed.overlay.note_change();
+        routed.overlay.notify_change();
     }
 }
 
 /// Whether an endpoint leaves as planned, or has left.
-fn leaves(routed: &RoutedInterface, instance: &InstanceId) -> bool {
+fn has_left(routed: &RoutedState, instance: &InstanceId) -> bool {
     let listing = routed.listing();
     !listing.endpoints().any(|listed| listed.instance == *instance && !listed.is_leaving)
 }
 
 /// Whether `addr` refuses connections; false if it does not answer in time.
-async fn refuses(addr: SocketAddr) -> bool {
-    let dialled = timeout(PROBE_TIME, dial(addr, None)).await;
+async fn refuses_connections(addr: SocketAddr) -> bool {
+    let dialled = timeout(PROBE_TIMEOUT, dial(addr, None)).await;
     matches!(dialled, Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
@@ -157,13 +157,13 @@
                 return Ok(None);
             }
             Some(verdict) if verdict.not_before(rank, entries).is_past(now) => {
-                if let Some(run) = routed.crashes.begin_suspect(digest) {
+                if let Some(run) = routed.crashes.begin_suspect_run(digest) {
                     note(routed, digest, CrashEvent::Begun, now);
                     return Ok(Some(run));
                 }
             }
             Some(_) => {}
         }
-        Timer::after(TURN_TIME).await;
+        Timer::after(TURN_CHECK_INTERVAL).await;
     }
 }
--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -24,7 +24,7 @@
 use crate::{
     direct::{DirectPart, DirectStream, DirectTarget},
     link::{AgentLink, LinkStream},
-    routed::RoutedInterface,
+    routed::RoutedState,
     shared::EntryShared,
 };
 
@@ -41,7 +41,7 @@
 }
 
 /// The head of an answer and the stream of its rest.
-pub(super) struct AnswerHead {
+pub(super) struct ResponseHead {
     pub(super) stream: AttemptStream,
     pub(super) status: u16,
     pub(super) headers: HeaderMap,
@@ -51,7 +51,7 @@
 }
 
 /// One step of an answer.
-pub(crate) enum AnswerPart {
+pub(crate) enum ResponsePart {
     /// Some bytes.
     Data(Bytes),
     /// The end, and the length of all parts where the sender tells it.
@@ -69,7 +69,7 @@
 /// The rest of an answer; dropping it tells the endpoint that nobody waits.
 pub(crate) struct AttemptStream {
     kind: StreamKind,
-    peeked: Option<AnswerPart>,
+    peeked: Option<ResponsePart>,
     has_data: bool,
 }
 
@@ -84,28 +84,28 @@
     }
 
     /// The next part.
-    pub(crate) async fn next(&mut self) -> AnswerPart {
+    pub(crate) async fn next(&mut self) -> ResponsePart {
         if let Some(part) = self.peeked.take() {
             return part;
         }
         let part = self.read().await;
-        self.has_data |= matches!(part, AnswerPart::Data(_));
+        self.has_data |= matches!(part, ResponsePart::Data(_));
         part
     }
 
-    async fn read(&mut self) -> AnswerPart {
+    async fn read(&mut self) -> ResponsePart {
         match &mut self.kind {
-            StreamKind::Link(stream) => next_of_link(stream).await,
+            StreamKind::Link(stream) => next_link_part(stream).await,
             StreamKind::Direct(stream) => match stream.next().await {
-                DirectPart::Data(bytes) => AnswerPart::Data(bytes),
-                DirectPart::End => AnswerPart::End(None),
-                DirectPart::Cut(detail) => AnswerPart::Cut(detail),
+                DirectPart::Data(bytes) => ResponsePart::Data(bytes),
+                DirectPart::End => ResponsePart::End(None),
+                DirectPart::Cut(detail) => ResponsePart::Cut(detail),
             },
         }
     }
 
     /// Looks at the next part without taking it.
-    async fn peek(&mut self) -> &AnswerPart {
+    async fn peek(&mut self) -> &ResponsePart {
         let part = match self.peeked.take() {
             Some(part) => part,
             None => self.next().await,
@@ -114,27 +114,27 @@
     }
 }
 
-async fn next_of_link(stream: &mut LinkStream) -> AnswerPart {
+async fn next_link_part(stream: &mut LinkStream) -> ResponsePart {
     match stream.next().await {
         Some(RequestMessage::Data { bytes, .. }) => {
-            stream.grant(bytes.len()).await;
-            AnswerPart::Data(Bytes::from(bytes))
+            stream.grant_credit(bytes.len()).await;
+            ResponsePart::Data(Bytes::from(bytes))
         }
-        Some(RequestMessage::End { bytes, .. }) => AnswerPart::End(Some(bytes)),
-        Some(RequestMessage::Failed { detail, .. }) => AnswerPart::Cut(detail),
-        Some(_) => AnswerPart::Cut("an unexpected message arrived".to_owned()),
-        None => AnswerPart::Cut("the connection to the endpoint was lost".to_owned()),
+        Some(RequestMessage::End { bytes, .. }) => ResponsePart::End(Some(bytes)),
+        Some(RequestMessage::Failed { detail, .. }) => ResponsePart::Cut(detail),
+        Some(_) => ResponsePart::Cut("an unexpected message arrived".to_owned()),
+        None => ResponsePart::Cut("the connection to the endpoint was lost".to_owned()),
     }
 }
 
 /// Measures how long an answer takes to begin, also if nobody waits for it any more.
-struct DelayWatch<'a> {
+struct LatencyTimer<'a> {
     cell: &'a EndpointTracker,
     started_at: Timestamp,
     answered: bool,
 }
 
-impl<'a> DelayWatch<'a> {
+impl<'a> LatencyTimer<'a> {
     fn start(cell: &'a EndpointTracker) -> Self {
         let started_at = Timestamp::now();
         cell.record_sent(started_at);
@@ -142,7 +142,7 @@
     }
 }
 
-impl Drop for DelayWatch<'_> {
+impl Drop for LatencyTimer<'_> {
     fn drop(&mut self) {
         let now = Timestamp::now();
         let delay_ms = now.since(self.started_at).as_millis() as u64;
@@ -156,40 +156,40 @@
     path: EndpointPath,
     sent: DispatchedRequest<'_>,
     cell: &EndpointTracker,
-    begin_by: Option<Deadline>,
-) -> Result<AnswerHead, AttemptFailure> {
-    let mut watch = DelayWatch::start(cell);
-    let beginning = begin(shared, path, &sent, cell);
-    let begun = match begin_by.filter(|_| sent.head.repeat == Repeatability::Idempotent) {
+    start_by: Option<Deadline>,
+) -> Result<ResponseHead, AttemptFailure> {
+    let mut timer = LatencyTimer::start(cell);
+    let starting = send_and_await_start(shared, path, &sent, cell);
+    let response = match start_by.filter(|_| sent.head.repeat == Repeatability::Idempotent) {
         // A request may wait in the engine's queue until the engine's version may
         // not answer any more. It is taken back before, while others can answer.
-        Some(begin_by) => {
+        Some(start_by) => {
             let late =
                 || Err(AttemptFailure::Unknown("its version may not answer any more".to_owned()));
-            let left = begin_by.remaining(Timestamp::now());
-            timeout(left, beginning).await.unwrap_or_else(late)?
+            let left = start_by.remaining(Timestamp::now());
+            timeout(left, starting).await.unwrap_or_else(late)?
         }
-        None => beginning.await?,
+        None => starting.await?,
     };
-    watch.answered = true;
-    Ok(begun)
+    timer.answered = true;
+    Ok(response)
 }
 
 /// Sends an attempt; done once its answer has begun as far as it has to be known.
-async fn begin(
+async fn send_and_await_start(
     shared: &EntryShared,
     path: EndpointPath,
     sent: &DispatchedRequest<'_>,
     cell: &EndpointTracker,
-) -> Result<AnswerHead, AttemptFailure> {
-    let mut begun = match (path, &shared.routed) {
+) -> Result<ResponseHead, AttemptFailure> {
+    let mut response = match (path, &shared.routed) {
         (EndpointPath::Agent, _) => {
             let link = shared.links.load().get(sent.instance).cloned();
-            through_agent(link, sent.head, &sent.request.body).await?
+            dispatch_through_agent(link, sent.head, &sent.request.body).await?
         }
         (EndpointPath::Direct(addr), Some(routed)) => {
             let target = DirectTarget { instance: sent.instance, addr };
-            straight(routed, target, sent, cell).await?
+            dispatch_direct(routed, target, sent, cell).await?
         }
         // Only the list gives such paths, and nobody follows it then.
         (EndpointPath::Direct(_), None) => {
@@ -197,17 +197,17 @@
         }
     };
     if sent.head.repeat == Repeatability::Idempotent {
-        await_first_part(&mut begun.stream, sent.head).await?;
+        await_first_part(&mut response.stream, sent.head).await?;
     }
-    Ok(begun)
+    Ok(response)
 }
 
-async fn straight(
-    routed: &RoutedInterface,
+async fn dispatch_direct(
+    routed: &RoutedState,
     target: DirectTarget<'_>,
     sent: &DispatchedRequest<'_>,
     cell: &EndpointTracker,
-) -> Result<AnswerHead, AttemptFailure> {
+) -> Result<ResponseHead, AttemptFailure> {
     let head = sent.head;
     let leg = ForwardMetadata {
         request: &head.id,
@@ -223,7 +223,7 @@
     if let Some(load) = answer.marks.load {
         cell.apply_report(&load_report(load), cell.hard_limit());
     }
-    Ok(AnswerHead {
+    Ok(ResponseHead {
         status: answer.parts.status.as_u16(),
         headers: routed.callers.end_to_end(&answer.parts.headers),
         stream: AttemptStream::new(StreamKind::Direct(Box::new(answer.stream))),
@@ -237,11 +237,11 @@
     LoadReport { in_flight: load.running, queued: load.waiting, measured_at: Timestamp::now() }
 }
 
-async fn through_agent(
+async fn dispatch_through_agent(
     link: Option<Arc<AgentLink>>,
     routed: &RequestHead,
     body: &Bytes,
-) -> Result<AnswerHead, AttemptFailure> {
+) -> Result<ResponseHead, AttemptFailure> {
     let link = link.ok_or(AttemptFailure::NotRun(NotRunReason::ConnectFailed))?;
     let sent = link.dispatch(routed.clone(), body).await;
     let stream = sent.map_err(AttemptFailure::NotRun)?;
@@ -259,8 +259,8 @@
 ) -> Result<(), AttemptFailure> {
     let span = routed.deadline.remaining(Timestamp::now());
     match timeout(span, stream.peek()).await {
-        Some(AnswerPart::Cut(detail)) => Err(AttemptFailure::Lost(detail.clone())),
-        Some(AnswerPart::Data(_) | AnswerPart::End(_)) => Ok(()),
+        Some(ResponsePart::Cut(detail)) => Err(AttemptFailure::Lost(detail.clone())),
+        Some(ResponsePart::Data(_) | ResponsePart::End(_)) => Ok(()),
         None => Err(AttemptFailure::Unknown("no answer before the deadline".to_owned())),
     }
 }
@@ -268,7 +268,7 @@
 async fn await_head(
     mut stream: LinkStream,
     routed: &RequestHead,
-) -> Result<AnswerHead, AttemptFailure> {
+) -> Result<ResponseHead, AttemptFailure> {
     let span = routed.deadline.remaining(Timestamp::now());
     let Some(message) = timeout(span, stream.next()).await else {
         return Err(AttemptFailure::Unknown("no answer before the deadline".to_owned()));
@@ -292,7 +292,7 @@
             }
             let headers = header_map(&headers, content_type.as_deref());
             let stream = AttemptStream::new(StreamKind::Link(stream));
-            Ok(AnswerHead { stream, status, headers, version, revision, replayed })
+            Ok(ResponseHead { stream, status, headers, version, revision, replayed })
         }
         Some(RequestMessage::Refused { reason, .. }) => Err(AttemptFailure::NotRun(reason)),
         Some(RequestMessage::Failed { detail, .. }) => Err(match RepeatGuard::of(routed) {
--- a/crates/entry/src/caller/identify.rs
+++ b/crates/entry/src/caller/identify.rs
@@ -16,7 +16,7 @@
 use crate::shared::EntryShared;
 
 /// Time for a body whose deadline is past or near; its caller is then told so.
-const MIN_BODY_TIME: Duration = Duration::from_secs(1);
+const MIN_BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Header that names the caller's workspace.
 pub(crate) const WORKSPACE_HEADER: &str = "cassiawheel-workspace";
@@ -49,7 +49,7 @@
     /// Until when an answer should begin, which bounds the wait for admission.
     pub(crate) admit_by: Deadline,
     /// How its answer goes to the caller.
-    pub(crate) form: AnswerForm,
+    pub(crate) form: ResponseForm,
     /// The last event that the caller has.
     pub(crate) last_event: Option<u64>,
     /// Whether its caller asks for the first time, as far as that shows.
@@ -58,11 +58,11 @@
 
 /// How an answer goes to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum AnswerForm {
+pub(crate) enum ResponseForm {
     /// With its outcome in fields of ours.
     WithOutcome,
     /// As the endpoint gave it.
-    Unchanged,
+    Passthrough,
     /// As the endpoint gave it, event by event.
     Events,
 }
@@ -75,7 +75,7 @@
 
     /// Whether endpoints are reached without an agent between.
     pub(crate) fn is_direct(&self) -> bool {
-        self.form != AnswerForm::WithOutcome
+        self.form != ResponseForm::WithOutcome
     }
 }
 
@@ -113,7 +113,7 @@
             .map_err(|error| BadRequest::new(WORKSPACE_HEADER, error))?,
     };
     let mut head = RequestHead {
-        id: shared.next_request().map_err(|error| BadRequest::new("request", error))?,
+        id: shared.next_request_id().map_err(|error| BadRequest::new("request", error))?,
         workspace,
         service,
         priority: priority(&parts.headers)?,
@@ -131,7 +131,7 @@
     // A caller that stalls in the middle of its body would hold its connection
     // for as long as it likes.
     let limit = Duration::from_millis(shared.settings.limits.body_ms);
-    let span = limit.min(head.deadline.remaining(Timestamp::now()).max(MIN_BODY_TIME));
+    let span = limit.min(head.deadline.remaining(Timestamp::now()).max(MIN_BODY_TIMEOUT));
     let body = read_body_within(body, settings.max_body_bytes, span).await;
     let body = body.map_err(|error| match error {
         BodyError::TooLong => BadRequest {
@@ -153,7 +153,7 @@
         digest: OnceLock::new(),
         fields: HeaderMap::new(),
         max_attempts: settings.max_attempts,
-        form: AnswerForm::WithOutcome,
+        form: ResponseForm::WithOutcome,
         last_event: None,
         turn: AdmitTier::Fresh,
     })
--- a/crates/entry/src/control/change.rs
+++ b/crates/entry/src/control/change.rs
@@ -21,8 +21,8 @@
 use macro_rules_attribute::apply;
 
 use super::{
+    peers,
     poll::{FORCE_ROW, read_force},
-    spread,
 };
 use crate::shared::EntryShared;
 
@@ -120,7 +120,7 @@
             Some(manifest) => manifest,
             None => origin_manifest(shared, service, version).await?,
         };
-        if !is_bound(shared.table.as_ref(), version, manifest).await? {
+        if !bind_version(shared.table.as_ref(), version, manifest).await? {
             let (service, version) = (service.to_string(), version.to_string());
             return Err(PresetError::VersionBound { service, version });
         }
@@ -146,7 +146,7 @@
 /// Answers, requests and reports name a version, not its bytes. Were one name
 /// used for two sets of bytes, an endpoint with the old ones would count as
 /// ready, and nobody could tell from an answer which of them gave it.
-async fn is_bound(
+async fn bind_version(
     table: &dyn TableStore,
     version: &ModelVersion,
     manifest: ManifestDigest,
@@ -222,13 +222,13 @@
         step = writer.next(answer, Timestamp::now());
     };
     log::info!(target: "preset", change:% = change, verdict:? = verdict; "A change was decided.");
-    Ok(reply_of(shared, change, verdict))
+    Ok(change_reply(shared, change, verdict))
 }
 
-fn reply_of(shared: &EntryShared, change: ChangeId, verdict: ChangeVerdict) -> ChangeReply {
+fn change_reply(shared: &EntryShared, change: ChangeId, verdict: ChangeVerdict) -> ChangeReply {
     match verdict {
         ChangeVerdict::Accepted(preset) => {
-            spread::adopt(shared, &preset);
+            peers::adopt(shared, &preset);
             ChangeReply::Accepted { preset }
         }
         ChangeVerdict::Conflict(winner) => ChangeReply::Conflict { winner },
@@ -237,7 +237,7 @@
     }
 }
 
-fn failed(error: StoreError) -> ChangeAnswer {
+fn store_failure(error: StoreError) -> ChangeAnswer {
     match error {
         StoreError::Unknown(_) => ChangeAnswer::Lost(error.to_string()),
         StoreError::NoEffect(_) | StoreError::RateLimited { .. } => {
@@ -249,14 +249,14 @@
 async fn find_record(shared: &EntryShared, change: &ChangeId) -> Result<ChangeAnswer, PresetError> {
     match shared.table.read(&change_id_row(change)).await {
         Ok(row) => Ok(ChangeAnswer::Record(row.map(parse_record).transpose()?)),
-        Err(error) => Ok(failed(error)),
+        Err(error) => Ok(store_failure(error)),
     }
 }
 
 async fn read_preset(shared: &EntryShared, name: &PresetName) -> Result<ChangeAnswer, PresetError> {
     match get_preset(shared.table.as_ref(), name).await {
         Ok(content) => Ok(ChangeAnswer::Preset(content)),
-        Err(PresetError::Store(error)) => Ok(failed(error)),
+        Err(PresetError::Store(error)) => Ok(store_failure(error)),
         Err(error) => Err(error),
     }
 }
@@ -264,7 +264,7 @@
 async fn find_force(shared: &EntryShared) -> ChangeAnswer {
     match read_force(shared.table.as_ref()).await {
         Ok(row) => ChangeAnswer::Force(row),
-        Err(error) => failed(error),
+        Err(error) => store_failure(error),
     }
 }
 
@@ -283,8 +283,8 @@
         new_row(change_row(preset.revision), value),
     ];
     match shared.table.write(&writes, true).await {
-        Ok(verdicts) => verdict_answer(&verdicts),
-        Err(error) => Ok(failed(error)),
+        Ok(verdicts) => write_answer(&verdicts),
+        Err(error) => Ok(store_failure(error)),
     }
 }
 
@@ -296,15 +296,15 @@
     let key = change_id_row(change);
     let write = TableWrite { key, guard: TableGuard::Absent, value: to_value(record)? };
     match shared.table.write(&[write], true).await {
-        Ok(verdicts) => verdict_answer(&verdicts),
-        Err(error) => Ok(failed(error)),
+        Ok(verdicts) => write_answer(&verdicts),
+        Err(error) => Ok(store_failure(error)),
     }
 }
 
 /// Reads the rows that stood in the way out of the answer itself.
 ///
 /// A read after the write could be answered from an earlier state and miss them.
-fn verdict_answer(verdicts: &[WriteOutcome]) -> Result<ChangeAnswer, PresetError> {
+fn write_answer(verdicts: &[WriteOutcome]) -> Result<ChangeAnswer, PresetError> {
     if verdicts.iter().all(|verdict| matches!(verdict, WriteOutcome::Written(_))) {
         return Ok(ChangeAnswer::Written);
     }
--- a/crates/entry/src/control/pull.rs
+++ b/crates/entry/src/control/pull.rs
@@ -11,15 +11,15 @@
 use cassiawheel_wire::{ControlMessage, WireSender};
 use smol::Timer;
 
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest sleep between looks whether the preset has come, or somebody near has it.
-const LOOK_TIME: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Takes in the revision that another entry tells.
-pub(super) fn hear_revision(
+pub(super) fn handle_revision(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
+    routed: &Arc<RoutedState>,
     sender: &WireSender,
     instance: &InstanceId,
     failure_domain: &FailureDomain,
@@ -38,7 +38,7 @@
 }
 
 /// Asks until nobody tells of a preset that is newer than the known one.
-async fn pull_preset(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
+async fn pull_preset(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     loop {
         let now = Timestamp::now();
         let view = PullView {
@@ -57,14 +57,14 @@
                 let _ = sender.try_send(ControlMessage::PresetWanted);
             }
             PullStep::Wait(until) => {
-                Timer::after(until.remaining(now).min(LOOK_TIME)).await;
+                Timer::after(until.remaining(now).min(CHECK_INTERVAL)).await;
             }
         }
     }
 }
 
 /// Entries of the own region that go before this one.
-fn near_rank(shared: &EntryShared, routed: &RoutedInterface) -> u32 {
+fn near_rank(shared: &EntryShared, routed: &RoutedState) -> u32 {
     let own = &shared.settings.place.instance;
     let near = &routed.settings.near_domains;
     let peers = shared.peers();
--- a/crates/entry/src/direct.rs
+++ b/crates/entry/src/direct.rs
@@ -18,15 +18,15 @@
 use hyper::{HeaderMap, Request, Response, StatusCode, body::Incoming, http::response::Parts};
 
 use self::pool::{ConnectionPool, EndpointConnection};
-use crate::limits::LimitWatch;
+use crate::limits::LimitTracker;
 
 /// Largest body of a refusal that is read for the sake of its connection, in bytes.
-const REFUSAL_BYTES: usize = 16 << 10;
+const MAX_REFUSAL_BYTES: usize = 16 << 10;
 
 /// The client of endpoints.
 pub(crate) struct DirectClient {
     protocol: Arc<dyn EndpointProtocol>,
-    limits: Arc<LimitWatch>,
+    limits: Arc<LimitTracker>,
     pool: ConnectionPool,
 }
 
@@ -40,7 +40,7 @@
 }
 
 /// The head of an answer and the stream of its rest.
-pub(crate) struct DirectAnswer {
+pub(crate) struct DirectResponse {
     /// Status and header fields.
     pub(crate) parts: Parts,
     /// What they tell.
@@ -69,13 +69,13 @@
 
 impl DirectClient {
     /// A client without connections.
-    pub(crate) fn new(protocol: Arc<dyn EndpointProtocol>, limits: Arc<LimitWatch>) -> Self {
+    pub(crate) fn new(protocol: Arc<dyn EndpointProtocol>, limits: Arc<LimitTracker>) -> Self {
         Self { protocol, limits, pool: ConnectionPool::default() }
     }
 
     /// Drops the connections of endpoints for which `is_listed` does not hold.
-    pub(crate) fn keep_only(&self, is_listed: impl Fn(&InstanceId) -> bool) {
-        self.pool.keep_only(is_listed);
+    pub(crate) fn retain_listed(&self, is_listed: impl Fn(&InstanceId) -> bool) {
+        self.pool.retain_listed(is_listed);
     }
 
     /// Sends a request and waits for the head of its answer.
@@ -86,14 +86,14 @@
         fields: &HeaderMap,
         body: &Bytes,
         leg: &ForwardMetadata<'_>,
-    ) -> Result<DirectAnswer, AttemptFailure> {
+    ) -> Result<DirectResponse, AttemptFailure> {
         let request = self.request(head, fields, body, leg)?;
         let (reply, connection) = self.exchange(target, head, request).await?;
         let (parts, body) = reply.into_parts();
         let marks = self.protocol.read_metadata(&parts);
         // A refusal may come from another process, or from one that has not looked at its limit.
         if marks.limit.is_some() || !marks.not_run {
-            self.limits.hear(target.instance, marks.limit);
+            self.limits.observe(target.instance, marks.limit);
         }
         let stream = DirectStream {
             body,
@@ -102,10 +102,10 @@
             marks: marks.clone(),
         };
         match check_head(head, &parts, &marks) {
-            Ok(()) => Ok(DirectAnswer { parts, marks, stream }),
+            Ok(()) => Ok(DirectResponse { parts, marks, stream }),
             Err(end) => {
                 if matches!(end, AttemptFailure::NotRun(_)) {
-                    stream.reclaim();
+                    stream.reuse_connection();
                 }
                 Err(end)
             }
@@ -202,25 +202,25 @@
                 }
                 Some(Err(error)) => return DirectPart::Cut(error.to_string()),
                 None => {
-                    self.give_back();
+                    self.return_connection();
                     return DirectPart::End;
                 }
             }
         }
     }
 
-    fn give_back(&mut self) {
+    fn return_connection(&mut self) {
         if let Some(connection) = self.connection.take().filter(|_| !self.marks.closes_connection) {
             self.client.pool.put(connection, self.marks.idle_timeout, Timestamp::now());
         }
     }
 
     /// Reads what is left of a refusal, so that its connection can be used again.
-    fn reclaim(mut self) {
+    fn reuse_connection(mut self) {
         spawn(async move {
-            let rest = Limited::new(&mut self.body, REFUSAL_BYTES).collect();
-            if let Some(Ok(_)) = timeout(pool::RECLAIM_TIME, rest).await {
-                self.give_back();
+            let rest = Limited::new(&mut self.body, MAX_REFUSAL_BYTES).collect();
+            if let Some(Ok(_)) = timeout(pool::REFUSAL_TIMEOUT, rest).await {
+                self.return_connection();
             }
         })
         .detach();
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -27,17 +27,17 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 use crate::{
-    control::manifest_cache::ManifestCache, crashes::CrashWatch, direct::DirectClient,
-    limits::LimitWatch, overlay::Overlay,
+    control::manifest_cache::ManifestCache, crashes::CrashTracker, direct::DirectClient,
+    limits::LimitTracker, overlay::Overlay,
 };
 
 /// Entries among which the retries of a service are shared at least.
 ///
 /// An entry that starts knows of no other yet, and would take all of them.
-const FEWEST_ENTRIES: usize = 9;
+const MIN_BUDGET_SHARES: usize = 9;
 
 /// The edges of such an entry.
-pub struct RoutedEdges {
+pub struct RoutedAdapters {
     /// Settings beside those of every entry.
     pub settings: RoutingSettings,
     /// The callers' protocol.
@@ -55,7 +55,7 @@
 }
 
 /// State of such an entry.
-pub(crate) struct RoutedInterface {
+pub(crate) struct RoutedState {
     /// Settings.
     pub(crate) settings: RoutingSettings,
     /// The callers' protocol.
@@ -81,11 +81,11 @@
     /// Links to other entries.
     pub(crate) overlay: Overlay,
     /// Limits that endpoints name.
-    pub(crate) limits: Arc<LimitWatch>,
+    pub(crate) limits: Arc<LimitTracker>,
     /// Requests under which endpoints have ended.
-    pub(crate) crashes: Arc<CrashWatch>,
+    pub(crate) crashes: Arc<CrashTracker>,
     /// Cells of endpoints by the hashes of their agents; read without a lock.
-    pub(crate) load_cells: ArcSwap<HashMap<u64, Arc<EndpointTracker>>>,
+    pub(crate) counters_by_agent: ArcSwap<HashMap<u64, Arc<EndpointTracker>>>,
     budgets: ArcSwap<HashMap<ServiceName, Arc<RetryBudget>>>,
     /// Longest patience of a caller by the name of its route, in milliseconds.
     patience: ArcSwap<HashMap<String, Arc<AtomicU64>>>,
@@ -95,7 +95,7 @@
 ///
 /// Callers give a first try all of their time, and come back after some hundred
 /// milliseconds at least.
-const FIRST_TRY_PART: f64 = 0.97;
+const FIRST_TRY_FRACTION: f64 = 0.97;
 
 /// An endpoint that requests may be sent to.
 pub(crate) struct DirectCandidate<'a> {
@@ -107,21 +107,21 @@
     pub(crate) limit: u32,
 }
 
-impl RoutedInterface {
+impl RoutedState {
     /// The state of a process that has just started.
-    pub(crate) fn new(edges: RoutedEdges) -> Self {
+    pub(crate) fn new(adapters: RoutedAdapters) -> Self {
         let overlay = Overlay::default();
-        let limits = Arc::new(LimitWatch::new(overlay.waker()));
-        let mut listing = EndpointListing::new(edges.settings.list_heartbeat_ms);
+        let limits = Arc::new(LimitTracker::new(overlay.waker()));
+        let mut listing = EndpointListing::new(adapters.settings.list_heartbeat_ms);
         // The first read of the table is under way as soon as the process runs.
         listing.begin_asking(Timestamp::now());
         Self {
             listing: Mutex::new(listing),
-            settings: edges.settings,
-            callers: edges.callers,
-            direct: Arc::new(DirectClient::new(edges.endpoints, limits.clone())),
-            operators: edges.operators,
-            list: edges.list,
+            settings: adapters.settings,
+            callers: adapters.callers,
+            direct: Arc::new(DirectClient::new(adapters.endpoints, limits.clone())),
+            operators: adapters.operators,
+            list: adapters.list,
             index: ArcSwapOption::empty(),
             versions: ArcSwap::default(),
             manifests: ManifestCache::default(),
@@ -132,7 +132,7 @@
             overlay,
             limits,
             crashes: Arc::default(),
-            load_cells: ArcSwap::default(),
+            counters_by_agent: ArcSwap::default(),
             budgets: ArcSwap::default(),
             patience: ArcSwap::default(),
         }
@@ -159,7 +159,7 @@
     }
 
     /// Takes up the routes and keys of the preset that is in force from now on.
-    pub(crate) fn take_preset(&self, preset: &ForcedPreset) {
+    pub(crate) fn apply_preset(&self, preset: &ForcedPreset) {
         let table = preset.content.callers.clone();
         self.index.store(table.map(|table| Arc::new(CallerIndex::new(table))));
     }
@@ -169,7 +169,7 @@
         let patience = patience.as_millis() as u64;
         if let Some(longest) = self.patience.load().get(route) {
             let longest = longest.fetch_max(patience, Ordering::Relaxed).max(patience);
-            return patience as f64 >= longest as f64 * FIRST_TRY_PART;
+            return patience as f64 >= longest as f64 * FIRST_TRY_FRACTION;
         }
         self.patience.rcu(|known| {
             let mut known = HashMap::clone(known);
@@ -180,7 +180,7 @@
     }
 
     /// Takes in a named version; true if it or its manifest was not known.
-    pub(crate) fn offer_version(&self, named: &TargetVersion) -> bool {
+    pub(crate) fn add_version(&self, named: &TargetVersion) -> bool {
         let span = Duration::from_millis(self.settings.version_ms);
         let now = Timestamp::now();
         let mut is_new = false;
@@ -234,7 +234,7 @@
 
     /// Retries of `service`; this entry's share of those that all entries may make.
     pub(crate) fn retry_budget(&self, service: &ServiceName, entries: usize) -> Arc<RetryBudget> {
-        let savings = self.settings.retry_slack / entries.max(FEWEST_ENTRIES) as f64;
+        let savings = self.settings.retry_slack / entries.max(MIN_BUDGET_SHARES) as f64;
         if let Some(budget) = self.budgets.load().get(service) {
             budget.set_burst(savings);
             return budget.clone();
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -25,12 +25,12 @@
 use crate::{
     admin, caller,
     control::{
-        entries, gossip, introduce, links, listing, manifests, membership, operators, orders, poll,
-        quarantine, spread,
+        chunk_peers, entries, gossip, links, listing, manifests, membership, operators, orders,
+        peers, poll, quarantine,
     },
     inner::serve_inner,
     metrics::EntryMetrics,
-    routed::{RoutedEdges, RoutedInterface},
+    routed::{RoutedAdapters, RoutedState},
     shared::EntryShared,
 };
 
@@ -38,13 +38,13 @@
 ///
 /// Presets name a shorter one; callers use a connection for a part of that, and
 /// one that ends under them costs a request.
-const IDLE_TIME: Duration = Duration::from_secs(60);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(60);
 
 /// Longest time for which a leaving entry takes new connections.
 ///
 /// Callers keep the addresses that they were told for the advised time, some of
 /// them longer; the rest of the shutdown is for the requests in progress.
-const LEAVE_TIME: Duration = Duration::from_millis(3_000);
+const MIN_LEAVE_TIME: Duration = Duration::from_millis(3_000);
 
 /// The addresses of an entry, all taken.
 struct EntryListeners {
@@ -64,22 +64,23 @@
 /// Runs until the process is asked to stop; then drains.
 pub(crate) async fn serve(
     settings: EntrySettings,
-    edges: Option<RoutedEdges>,
+    adapters: Option<RoutedAdapters>,
 ) -> anyhow::Result<()> {
     let mut signals = ProcessSignals::listen()?;
     // Every address is taken before anything else begins: an entry that finds
     // one in use ends without having told anyone that it is there.
-    let listeners = EntryListeners::bind(&settings.listen, edges.as_ref()).await?;
+    let listeners = EntryListeners::bind(&settings.listen, adapters.as_ref()).await?;
     let registry = Registry::new();
     let metrics = EntryMetrics::register(&registry)?;
     TRAFFIC.register(&registry)?;
     ORIGIN_METRICS.register(&registry)?;
 
-    let shared = build_shared(settings, edges, metrics);
+    let shared = build_shared(settings, adapters, metrics);
     let (trigger, shutdown) = ShutdownTrigger::new();
     let (caller_trigger, caller_shutdown) = ShutdownTrigger::new();
     let ready = shared.clone();
-    let is_ready = move || ready.force.load().is_some() && !ready.leaving.load(Ordering::Acquire);
+    let is_ready =
+        move || ready.active_preset.load().is_some() && !ready.leaving.load(Ordering::Acquire);
     spawn(serve_probes(listeners.metrics, registry, is_ready, shutdown.clone())).detach();
     spawn(serve_inner(shared.clone(), listeners.inner, shutdown.clone())).detach();
     start_control(&shared);
@@ -105,17 +106,17 @@
     };
     let end = signals.drain_until(deadline, drained).await;
     trigger.fire();
-    let left = shared.in_flight.load(Ordering::Relaxed);
-    log::info!(target: "drain", in_flight = left; "The entry ends.");
-    end.into_result(left)
+    let remaining = shared.in_flight.load(Ordering::Relaxed);
+    log::info!(target: "drain", in_flight = remaining; "The entry ends.");
+    end.into_result(remaining)
 }
 
 impl EntryListeners {
-    async fn bind(listen: &EntryListen, edges: Option<&RoutedEdges>) -> anyhow::Result<Self> {
-        let routed = match edges {
-            Some(edges) => Some(RoutedListeners {
-                ready: bind(edges.settings.listen_ready, "listen.ready").await?,
-                advice: bind(edges.settings.listen_advice, "listen.directory").await?,
+    async fn bind(listen: &EntryListen, adapters: Option<&RoutedAdapters>) -> anyhow::Result<Self> {
+        let routed = match adapters {
+            Some(adapters) => Some(RoutedListeners {
+                ready: bind(adapters.settings.listen_ready, "listen.ready").await?,
+                advice: bind(adapters.settings.listen_advice, "listen.directory").await?,
             }),
             None => None,
         };
@@ -131,12 +132,12 @@
 
 fn build_shared(
     settings: EntrySettings,
-    edges: Option<RoutedEdges>,
+    adapters: Option<RoutedAdapters>,
     metrics: EntryMetrics,
 ) -> Arc<EntryShared> {
-    if let Some(edges) = edges {
-        let (table, origin) = (edges.table.clone(), edges.origin.clone());
-        let routed = Arc::new(RoutedInterface::new(edges));
+    if let Some(adapters) = adapters {
+        let (table, origin) = (adapters.table.clone(), adapters.origin.clone());
+        let routed = Arc::new(RoutedState::new(adapters));
         return Arc::new(EntryShared::new(settings, table, origin, metrics, Some(routed)));
     }
     let client = HttpClient::default();
@@ -149,9 +150,9 @@
 
 /// Starts whatever keeps the preset in force and the membership up to date.
 fn start_control(shared: &Arc<EntryShared>) {
-    spawn(introduce::introduce_agents(shared.clone())).detach();
-    spawn(orders::plan_regularly(shared.clone())).detach();
-    spawn(spread::settle(shared.clone())).detach();
+    spawn(chunk_peers::send_chunk_peers(shared.clone())).detach();
+    spawn(orders::run_planner(shared.clone())).detach();
+    spawn(peers::await_start_hold(shared.clone())).detach();
     match &shared.routed {
         Some(routed) => follow_feeds(shared, routed),
         None => poll_services(shared),
@@ -159,14 +160,14 @@
 }
 
 /// Follows the platform's tables, where they can be followed.
-fn follow_feeds(shared: &Arc<EntryShared>, routed: &Arc<RoutedInterface>) {
+fn follow_feeds(shared: &Arc<EntryShared>, routed: &Arc<RoutedState>) {
     spawn(operators::follow_operators(shared.clone(), routed.clone())).detach();
     spawn(listing::follow_listing(shared.clone(), routed.clone())).detach();
     spawn(manifests::pin_versions(shared.clone(), routed.clone())).detach();
     spawn(entries::register(shared.clone(), routed.clone())).detach();
-    spawn(links::keep_links(shared.clone(), routed.clone())).detach();
-    spawn(gossip::pass_on_changes(shared.clone(), routed.clone())).detach();
-    spawn(quarantine::keep_bars(shared.clone(), routed.clone())).detach();
+    spawn(links::maintain_links(shared.clone(), routed.clone())).detach();
+    spawn(gossip::send_changes(shared.clone(), routed.clone())).detach();
+    spawn(quarantine::sync_barred(shared.clone(), routed.clone())).detach();
 }
 
 /// Reads the platform's services again and again.
@@ -174,28 +175,30 @@
     let platform = &shared.settings.platform;
     let span = Duration::from_millis(platform.timeout_ms);
     let list = Arc::new(HttpInstances::new(HttpClient::default(), platform.instances, span));
-    spawn(spread::beat(shared.clone())).detach();
+    spawn(peers::send_heartbeats(shared.clone())).detach();
     spawn(membership::expire_silent(shared.clone())).detach();
     spawn(poll::poll_force(shared.clone())).detach();
     spawn(membership::follow_list(shared.clone(), list)).detach();
-    for peer in spread::chosen_peers(&shared.settings) {
-        spawn(spread::keep_peer(shared.clone(), peer)).detach();
+    for peer in peers::dialled_peers(&shared.settings) {
+        spawn(peers::maintain_peer(shared.clone(), peer)).detach();
     }
 }
 
 /// Answers the platform, and callers that ask which entries to use.
 fn start_routed(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
+    routed: &Arc<RoutedState>,
     listeners: RoutedListeners,
     shutdown: &ShutdownSignal,
 ) {
     let limits = ListenerLimits::default();
-    let (state, interface) = (shared.clone(), routed.clone());
-    let ready = move |request, _| caller::answer_ready(state.clone(), interface.clone(), request);
+    let (state, routed_state) = (shared.clone(), routed.clone());
+    let ready =
+        move |request, _| caller::answer_ready(state.clone(), routed_state.clone(), request);
     spawn(serve_http(listeners.ready, limits, shutdown.clone(), ready)).detach();
-    let (state, interface) = (shared.clone(), routed.clone());
-    let advice = move |request, _| caller::answer_advice(state.clone(), interface.clone(), request);
+    let (state, routed_state) = (shared.clone(), routed.clone());
+    let advice =
+        move |request, _| caller::answer_advice(state.clone(), routed_state.clone(), request);
     spawn(serve_http(listeners.advice, limits, shutdown.clone(), advice)).detach();
 }
 
@@ -215,7 +218,7 @@
     let limits = listener_limits(&settings.limits, settings.caller.max_connections);
     match shared.routed.clone() {
         Some(routed) => {
-            let limits = ListenerLimits { head_timeout: IDLE_TIME, ..limits };
+            let limits = ListenerLimits { head_timeout: MAX_IDLE_TIME, ..limits };
             let answer =
                 move |request, _| caller::accept_routed(shared.clone(), routed.clone(), request);
             serve_http(listener, limits, shutdown, answer).await;
@@ -243,9 +246,9 @@
 /// Leaves the advice at once, and serves until the last answer that named this
 /// entry has run out.
 async fn leave(shared: &EntryShared) {
-    spread::announce_leaving(shared);
+    peers::announce_leaving(shared);
     log::info!(target: "drain", in_flight = shared.in_flight.load(Ordering::Relaxed); "The entry leaves.");
     let advised = Duration::from_millis(shared.settings.caller.advice_ms);
-    let span = if shared.routed.is_some() { LEAVE_TIME.max(advised) } else { advised };
+    let span = if shared.routed.is_some() { MIN_LEAVE_TIME.max(advised) } else { advised };
     Timer::after(span).await;
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -25,24 +25,24 @@
 use crate::{
     admin::progress::ProgressMarks,
     caller::EntryAdmission,
-    cells::EndpointCells,
-    control::{ahead::AheadRow, spread, store::BudgetedTable},
+    control::{peers, staging::StagingRow, store::MeteredTable},
+    counters::CounterRegistry,
     link::AgentLink,
     metrics::EntryMetrics,
-    routed::{RoutedInterface, direct_candidates, reports_by_endpoint},
+    routed::{RoutedState, direct_candidates, reports_by_endpoint},
 };
 
 /// Longest time for which an entry that starts waits for every source of presets.
-const START_TIME: Duration = Duration::from_secs(1);
+const START_HOLD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time for which a request may still begin at an engine whose version gets no new ones.
 ///
 /// New requests stop 900 ms before the version may not answer any more. One that
 /// waits in a full engine's queue for longer than that would begin too late.
-const BEGIN_TIME: Duration = Duration::from_millis(550);
+const MAX_START_DELAY: Duration = Duration::from_millis(550);
 
 /// Time within which agents connect to an entry that has started.
-const CONNECT_TIME: Duration = Duration::from_secs(3);
+const AGENT_CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Everything that the parts of an entry share.
 pub(crate) struct EntryShared {
@@ -62,28 +62,28 @@
     /// Connections to agents; read without a lock.
     pub(crate) links: ArcSwap<HashMap<InstanceId, Arc<AgentLink>>>,
     /// The preset in force; read without a lock.
-    pub(crate) force: ArcSwapOption<ForcedPreset>,
+    pub(crate) active_preset: ArcSwapOption<ForcedPreset>,
     /// The preset to stage ahead.
-    pub(crate) ahead: ArcSwapOption<AheadRow>,
+    pub(crate) staging: ArcSwapOption<StagingRow>,
     /// Whether the plan lags behind the reports or the preset.
     pub(crate) plan_stale: AtomicBool,
     /// The table service with its health; the same as `table`.
-    pub(crate) store: Arc<BudgetedTable>,
+    pub(crate) store: Arc<MeteredTable>,
     /// Progress of services towards their versions, for forecasts.
     pub(crate) progress: Mutex<ProgressMarks>,
     /// What the entry has where callers are routed by a table.
-    pub(crate) routed: Option<Arc<RoutedInterface>>,
-    retries: Arc<RetryBudget>,
+    pub(crate) routed: Option<Arc<RoutedState>>,
+    default_retries: Arc<RetryBudget>,
     /// Requests of callers in progress.
     pub(crate) in_flight: AtomicU32,
     /// Whether this entry leaves.
     pub(crate) leaving: AtomicBool,
     advised: AtomicBool,
     holder: Mutex<PresetHolder>,
-    settled: AtomicBool,
+    start_hold_over: AtomicBool,
     start_hold: Mutex<StartHold>,
     roster: Mutex<EndpointRoster>,
-    cells: Mutex<EndpointCells>,
+    counters: Mutex<CounterRegistry>,
     peers: Mutex<EntryRoster>,
     peer_links: Mutex<Vec<PeerLink>>,
     requests: AtomicU64,
@@ -96,17 +96,17 @@
         table: Arc<dyn TableStore>,
         origin: Arc<dyn WeightSource>,
         metrics: EntryMetrics,
-        routed: Option<Arc<RoutedInterface>>,
+        routed: Option<Arc<RoutedState>>,
     ) -> Self {
         let now = Timestamp::now();
         // Where the operators' rows can be followed, the first read of them is
         // the newest state; other entries only know it later.
         let mut sources = match &routed {
             Some(_) => Vec::new(),
-            None => spread::chosen_peers(&settings),
+            None => peers::dialled_peers(&settings),
         };
         sources.push(settings.platform.table);
-        let store = Arc::new(BudgetedTable::new(table, &settings.control, &metrics));
+        let store = Arc::new(MeteredTable::new(table, &settings.control, &metrics));
         Self {
             settings,
             incarnation: now.0,
@@ -116,21 +116,21 @@
             routes: ArcSwap::default(),
             admissions: ArcSwap::default(),
             links: ArcSwap::default(),
-            force: ArcSwapOption::empty(),
-            ahead: ArcSwapOption::empty(),
+            active_preset: ArcSwapOption::empty(),
+            staging: ArcSwapOption::empty(),
             plan_stale: AtomicBool::new(false),
             store,
             progress: Mutex::default(),
             routed,
-            retries: Arc::default(),
+            default_retries: Arc::default(),
             in_flight: AtomicU32::new(0),
             leaving: AtomicBool::new(false),
             advised: AtomicBool::new(false),
             holder: Mutex::default(),
-            settled: AtomicBool::new(false),
-            start_hold: Mutex::new(StartHold::new(sources, now.deadline_after(START_TIME))),
+            start_hold_over: AtomicBool::new(false),
+            start_hold: Mutex::new(StartHold::new(sources, now.deadline_after(START_HOLD_TIMEOUT))),
             roster: Mutex::default(),
-            cells: Mutex::default(),
+            counters: Mutex::default(),
             peers: Mutex::default(),
             peer_links: Mutex::default(),
             requests: AtomicU64::new(0),
@@ -173,8 +173,8 @@
 
     /// The origin of weights, where it comes with the preset.
     pub(crate) fn origin_place(&self) -> Option<OriginPlace> {
-        let force = self.force.load();
-        let mut services = force.as_ref()?.content.services.values();
+        let active_preset = self.active_preset.load();
+        let mut services = active_preset.as_ref()?.content.services.values();
         services.find_map(|target| target.engine.as_ref()?.origin.clone())
     }
 
@@ -188,7 +188,7 @@
     pub(crate) fn retry_budget(&self, service: &ServiceName) -> Arc<RetryBudget> {
         match &self.routed {
             Some(routed) => routed.retry_budget(service, self.peers().values().count() + 1),
-            None => self.retries.clone(),
+            None => self.default_retries.clone(),
         }
     }
 
@@ -200,26 +200,26 @@
         now: Timestamp,
     ) -> Option<Vec<ModelVersion>> {
         let routed = self.routed.as_ref()?;
-        let force = self.force.load();
-        let target = force.as_ref()?.content.services.get(service)?;
+        let active_preset = self.active_preset.load();
+        let target = active_preset.as_ref()?.content.services.get(service)?;
         routed.allowed_versions(target, now)
     }
 
     /// Until when an answer to a request for `service` may begin from `version`.
-    pub(crate) fn begin_by(
+    pub(crate) fn start_by(
         &self,
         service: &ServiceName,
         version: Option<&ModelVersion>,
     ) -> Option<Deadline> {
         let routed = self.routed.as_ref()?;
-        let force = self.force.load();
-        let engine = force.as_ref()?.content.services.get(service)?.engine.as_ref()?;
+        let active_preset = self.active_preset.load();
+        let engine = active_preset.as_ref()?.content.services.get(service)?.engine.as_ref()?;
         let barred_from = routed.versions.load().barred_from(&engine.model, version?)?;
-        Some(Timestamp(barred_from.0).deadline_after(BEGIN_TIME))
+        Some(Timestamp(barred_from.0).deadline_after(MAX_START_DELAY))
     }
 
     /// An id that no other request has.
-    pub(crate) fn next_request(&self) -> anyhow::Result<RequestId> {
+    pub(crate) fn next_request_id(&self) -> anyhow::Result<RequestId> {
         let number = self.requests.fetch_add(1, Ordering::Relaxed);
         let instance = &self.settings.place.instance;
         Ok(RequestId::new(&format!("{instance}-{:x}-{number:x}", self.incarnation))?)
@@ -229,7 +229,7 @@
     pub(crate) fn offer_preset(&self, preset: &Arc<ForcedPreset>) -> bool {
         let mut holder = self.holder();
         match holder.offer(preset.clone()) {
-            Adoption::Adopted if self.settled.load(Ordering::Acquire) => {
+            Adoption::Adopted if self.start_hold_over.load(Ordering::Acquire) => {
                 self.publish(preset);
                 true
             }
@@ -243,9 +243,9 @@
     }
 
     /// Ends the hold of the start; the preset that is in force from now on, if one is known.
-    pub(crate) fn publish_held(&self) -> Option<Arc<ForcedPreset>> {
+    pub(crate) fn end_start_hold(&self) -> Option<Arc<ForcedPreset>> {
         let holder = self.holder();
-        self.settled.store(true, Ordering::Release);
+        self.start_hold_over.store(true, Ordering::Release);
         let preset = holder.current()?.clone();
         self.publish(&preset);
         Some(preset)
@@ -269,12 +269,12 @@
     /// Whether a preset is in force and each of its services has an endpoint here,
     /// or the time for them to come has passed.
     fn has_endpoints(&self) -> bool {
-        let force = self.force.load();
-        let Some(preset) = force.as_ref() else {
+        let active_preset = self.active_preset.load();
+        let Some(preset) = active_preset.as_ref() else {
             return false;
         };
         let started_at = Timestamp(self.incarnation);
-        if Timestamp::now().since(started_at) > CONNECT_TIME {
+        if Timestamp::now().since(started_at) > AGENT_CONNECT_TIMEOUT {
             return true;
         }
         if let Some(routed) = &self.routed {
@@ -303,9 +303,9 @@
     fn publish(&self, preset: &Arc<ForcedPreset>) {
         let revision = preset.revision.0;
         if let Some(routed) = &self.routed {
-            routed.take_preset(preset);
+            routed.apply_preset(preset);
         }
-        self.force.store(Some(preset.clone()));
+        self.active_preset.store(Some(preset.clone()));
         if self.routed.is_some() {
             // The list may be known already; without this look its endpoints
             // would get nothing until it changes.
@@ -338,7 +338,7 @@
         // was noticed; without this look it would vanish until its next report.
         if let Some(routed) = &self.routed {
             // Another entry may still be connected to the agent.
-            routed.overlay.note_change();
+            routed.overlay.notify_change();
         } else if !self.links.load().contains_key(&link.instance) {
             self.roster().remove(&link.instance, link.incarnation);
             self.rebuild_routes();
@@ -360,11 +360,11 @@
     }
 
     /// Takes an agent's word of its endpoint's load.
-    pub(crate) fn hear_load(&self, agent: &InstanceId, load: &LoadReport, limit: u32) {
+    pub(crate) fn update_load(&self, agent: &InstanceId, load: &LoadReport, limit: u32) {
         // The clocks of two machines differ; only the own one tells an age.
         let load = LoadReport { measured_at: Timestamp::now(), ..*load };
         let Some(routed) = &self.routed else {
-            self.cells().of(agent).apply_report(&load, limit);
+            self.counters().endpoint(agent).apply_report(&load, limit);
             return;
         };
         let roster = self.roster();
@@ -377,17 +377,17 @@
             return;
         };
         drop((listing, roster));
-        let cell = self.cells().of(&instance);
+        let cell = self.counters().endpoint(&instance);
         cell.apply_report(&load, cell.hard_limit());
     }
 
     /// Takes an endpoint out at whose address another process answers.
-    pub(crate) fn forget_listed(&self, instance: &InstanceId) {
+    pub(crate) fn drop_listed(&self, instance: &InstanceId) {
         let Some(routed) = &self.routed else {
             return;
         };
-        let is_news = routed.listing().forget(instance);
-        if is_news {
+        let is_new = routed.listing().forget(instance);
+        if is_new {
             log::info!(target: "list", endpoint:% = instance; "Another process answers for an endpoint.");
             self.rebuild_routes();
         }
@@ -396,14 +396,14 @@
     /// Publishes which endpoints requests may be routed to.
     pub(crate) fn rebuild_routes(&self) {
         let roster = self.roster();
-        let mut cells = self.cells();
+        let mut counters = self.counters();
         let services = match &self.routed {
-            Some(routed) => self.listed_candidates(routed, &roster, &mut cells),
-            None => self.reported_candidates(&roster, &mut cells),
+            Some(routed) => self.listed_candidates(routed, &roster, &mut counters),
+            None => self.reported_candidates(&roster, &mut counters),
         };
-        cells.forget_unused();
+        counters.drop_unused();
         let routed = services.into_iter().map(|(service, candidates)| {
-            let in_flight = cells.service(&service);
+            let in_flight = counters.service(&service);
             (service, ServiceRoutes::new(candidates, in_flight))
         });
         let snapshot = RouteSnapshot::new(routed.collect());
@@ -416,7 +416,7 @@
     fn reported_candidates(
         &self,
         roster: &EndpointRoster,
-        cells: &mut EndpointCells,
+        counters: &mut CounterRegistry,
     ) -> ServiceCandidates {
         let own_domain = &self.settings.place.failure_domain;
         let mut services = ServiceCandidates::new();
@@ -425,7 +425,7 @@
             let EndpointState::Serving { version, .. } = &report.state else {
                 continue;
             };
-            let tracker = cells.of(&report.instance);
+            let tracker = counters.endpoint(&report.instance);
             if tracker.limit() == 0 {
                 tracker.apply_report(&report.load, report.limit);
             }
@@ -443,27 +443,27 @@
     /// Endpoints that the platform lists, as far as they serve.
     fn listed_candidates(
         &self,
-        routed: &RoutedInterface,
+        routed: &RoutedState,
         roster: &EndpointRoster,
-        cells: &mut EndpointCells,
+        counters: &mut CounterRegistry,
     ) -> ServiceCandidates {
         let mut services = ServiceCandidates::new();
-        let Some(preset) = self.force.load_full() else {
+        let Some(preset) = self.active_preset.load_full() else {
             return services;
         };
-        let mut load_cells = HashMap::new();
+        let mut counters_by_agent = HashMap::new();
         let reports = reports_by_endpoint(roster.members().map(|member| &member.report));
         let listing = routed.listing();
         for candidate in direct_candidates(&listing, &preset, &reports) {
             let listed = candidate.listed;
-            if cells.lives.observe_start(&listed.instance, listed.born_at) {
-                cells.reset(&listed.instance);
-                routed.direct.keep_only(|instance| *instance != listed.instance);
+            if counters.processes.observe_start(&listed.instance, listed.born_at) {
+                counters.reset(&listed.instance);
+                routed.direct.retain_listed(|instance| *instance != listed.instance);
             }
-            let tracker = cells.of(&listed.instance);
+            let tracker = counters.endpoint(&listed.instance);
             tracker.set_hard_limit(candidate.limit);
             if let Some(report) = reports.get(&listed.addr) {
-                load_cells.insert(subject_of(report.instance.as_str()), tracker.clone());
+                counters_by_agent.insert(subject_of(report.instance.as_str()), tracker.clone());
             }
             services.entry(listed.service.clone()).or_default().push(RouteCandidate {
                 instance: listed.instance.clone(),
@@ -474,14 +474,14 @@
             });
         }
         let listed: HashSet<_> = listing.endpoints().map(|listed| &listed.instance).collect();
-        routed.direct.keep_only(|instance| listed.contains(instance));
-        cells.lives.keep_only(|instance| listed.contains(instance));
-        routed.load_cells.store(Arc::new(load_cells));
+        routed.direct.retain_listed(|instance| listed.contains(instance));
+        counters.processes.keep_only(|instance| listed.contains(instance));
+        routed.counters_by_agent.store(Arc::new(counters_by_agent));
         services
     }
 
-    fn cells(&self) -> MutexGuard<'_, EndpointCells> {
-        self.cells.lock().unwrap_or_else(|poison| poison.into_inner())
+    fn counters(&self) -> MutexGuard<'_, CounterRegistry> {
+        self.counters.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 }
 
