--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -77,4 +77,4 @@
     ChunkBits, ChunkPicker, ChunkSource, FetchFailure, FetchOrder, PeerPlace, PickerSettings,
 };
 pub use turns::TurnLedger;
-pub use versions::{VersionBook, WantedVersion};
+pub use versions::{VersionRecord, VersionRegistry};
--- a/crates/decide/src/plan.rs
+++ b/crates/decide/src/plan.rs
@@ -13,7 +13,7 @@
 //! takes fewer endpoints for finished and so releases fewer, never others:
 //! several entries together keep the share that each of them keeps.
 
-mod pace;
+mod schedule;
 mod service;
 mod weights;
 mod window;
@@ -26,7 +26,7 @@
 };
 use macro_rules_attribute::apply;
 
-pub use self::pace::{PacedVersion, PlanPace};
+pub use self::schedule::{RolloutSchedule, ScheduledVersion};
 use self::{
     service::ServicePlan,
     weights::{HELD_WHOLE, WantedWeights, held_share},
@@ -43,7 +43,7 @@
     /// Reports of the endpoints that do not leave.
     pub reports: &'a [&'a EndpointReport],
     /// What the platform asks of versions, if it does.
-    pub pace: Option<&'a PlanPace>,
+    pub schedule: Option<&'a RolloutSchedule>,
 }
 /// An order that an endpoint has to get.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -64,7 +64,7 @@
 
 impl PlannedOrder {
     /// Whether the endpoint is to exchange its weights while it serves others.
-    pub fn is_turn(&self) -> bool {
+    pub fn is_switch(&self) -> bool {
         self.reason == PlanReason::TurnToSwitch
     }
 }
@@ -99,9 +99,9 @@
             wanted,
             ahead: ahead.filter(|ahead| ahead.manifest != wanted.manifest),
             at_a_time: switches_at_a_time(target, chosen.len()),
-            pace: input.pace,
-            steppers: match input.pace {
-                Some(pace) => pace.steppers(&chosen),
+            schedule: input.schedule,
+            steppers: match input.schedule {
+                Some(schedule) => schedule.steppers(&chosen),
                 None => BTreeSet::new(),
             },
             chosen,
--- a/crates/decide/src/plan/pace.rs
+++ b/crates/decide/src/plan/schedule.rs
@@ -11,24 +11,24 @@
 
 /// By when endpoints have to serve a version, and which versions no longer count.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PlanPace {
+pub struct RolloutSchedule {
     /// Versions that were named, the oldest first.
-    pub versions: Vec<PacedVersion>,
+    pub versions: Vec<ScheduledVersion>,
     /// Versions that may not answer any more; their endpoints serve nothing.
-    pub barred: Vec<ModelVersion>,
+    pub retired: Vec<ModelVersion>,
     /// The present moment.
     pub now: Timestamp,
 }
 
 /// A named version, and from when on nothing older may answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PacedVersion {
+pub struct ScheduledVersion {
     /// The version.
     pub version: ModelVersion,
     /// Pins its bytes, once known.
     pub manifest: Option<ManifestDigest>,
     /// When the last endpoint with an older one should begin to switch.
-    pub alone_from: Deadline,
+    pub exclusive_from: Deadline,
 }
 
 /// Time in which an endpoint that holds nothing of a version comes to serve it, in milliseconds.
@@ -48,7 +48,7 @@
 /// 24 events, and loads in 0.3 s.
 const SWITCH_MS: u64 = 2_000;
 
-impl PlanPace {
+impl RolloutSchedule {
     /// How many endpoints have to switch at a time to keep every time, if those
     /// in `waiting` have not begun and `under_way` have.
     ///
@@ -57,13 +57,13 @@
     /// at the first one, and all of them would switch at once.
     ///
     /// Those under way are half done on the average. Counted in full until the
-    /// first of them ends, they made the pace rise with every moment: 21 of 26
+    /// first of them ends, they made the count rise with every moment: 21 of 26
     /// engines were out of service at a time where 12 keep the time as well.
     pub(super) fn at_a_time(&self, waiting: &[&EndpointReport], under_way: usize) -> usize {
         let needed = self.versions.iter().enumerate().map(|(age, paced)| {
             let older = waiting.iter().filter(|report| self.age_of(report) < age).count();
             let halves = (2 * older + under_way) as u64;
-            let span = paced.alone_from.remaining(self.now).as_millis() as u64 + SWITCH_MS;
+            let span = paced.exclusive_from.remaining(self.now).as_millis() as u64 + SWITCH_MS;
             (halves * SWITCH_MS).div_ceil(2 * span) as usize
         });
         needed.max().unwrap_or(waiting.len())
@@ -93,10 +93,10 @@
     }
 
     /// Whether it is worth to serve `paced` until only `next` may answer.
-    fn is_worth(&self, paced: &PacedVersion, next: &PacedVersion, is_empty: bool) -> bool {
+    fn is_worth(&self, paced: &ScheduledVersion, next: &ScheduledVersion, is_empty: bool) -> bool {
         let left_ms = |deadline: Deadline| deadline.remaining(self.now).as_millis() as u64;
-        let is_urgent = is_empty || left_ms(paced.alone_from) < FETCH_AND_SWITCH_MS;
-        is_urgent && left_ms(next.alone_from) >= WORTH_SERVING_MS
+        let is_urgent = is_empty || left_ms(paced.exclusive_from) < FETCH_AND_SWITCH_MS;
+        is_urgent && left_ms(next.exclusive_from) >= WORTH_SERVING_MS
     }
 
     /// The endpoints that may take a step between: half of all, those first that
@@ -117,10 +117,10 @@
         ranked.iter().take(half).map(|report| report.instance.clone()).collect()
     }
 
-    pub(super) fn bars(&self, report: &EndpointReport) -> bool {
+    pub(super) fn is_retired(&self, report: &EndpointReport) -> bool {
         let EndpointState::Serving { version: Some(version), .. } = &report.state else {
             return false;
         };
-        self.barred.contains(version)
+        self.retired.contains(version)
     }
 }
--- a/crates/decide/src/plan/service.rs
+++ b/crates/decide/src/plan/service.rs
@@ -6,7 +6,7 @@
 
 use super::{
     PlanReason, PlannedOrder,
-    pace::PlanPace,
+    schedule::RolloutSchedule,
     weights::{WantedWeights, has_staged, is_ordered, is_serving, serves},
     window::SwitchWindow,
 };
@@ -21,7 +21,7 @@
     pub(super) ahead: Option<WantedWeights<'a>>,
     /// How many may be without service at a time, where no time is set.
     pub(super) at_a_time: usize,
-    pub(super) pace: Option<&'a PlanPace>,
+    pub(super) schedule: Option<&'a RolloutSchedule>,
     pub(super) chosen: Vec<&'a EndpointReport>,
     /// The endpoints that may serve an older version than the newest meanwhile.
     pub(super) steppers: BTreeSet<InstanceId>,
@@ -30,13 +30,13 @@
 impl ServicePlan<'_> {
     pub(super) fn orders(mut self) -> Vec<PlannedOrder> {
         let subject = subject_of(&self.wanted.manifest.to_string());
-        let pace = self.pace;
+        let schedule = self.schedule;
         self.chosen.sort_by_key(|report| {
-            let age = pace.map_or(0, |pace| pace.age_of(report));
+            let age = schedule.map_or(0, |schedule| schedule.age_of(report));
             (age, Reverse(rendezvous_weight(subject, report.instance.as_str())))
         });
-        match pace {
-            Some(pace) => self.paced_orders(pace),
+        match schedule {
+            Some(schedule) => self.paced_orders(schedule),
             None => self.shared_orders(),
         }
     }
@@ -57,16 +57,16 @@
     ///
     /// Endpoints that serve nothing do not count: new ones come all day, and
     /// the others would wait for them until they may not answer any more.
-    fn paced_orders(&self, pace: &PlanPace) -> Vec<PlannedOrder> {
+    fn paced_orders(&self, schedule: &RolloutSchedule) -> Vec<PlannedOrder> {
         let mut under_way = self.chosen.iter().filter(|report| self.is_under_way(report)).count();
         let waiting = self.chosen.iter().copied().filter(|report| {
             is_serving(report) && !serves(report, self.wanted) && !self.is_under_way(report)
         });
-        let at_a_time = pace.at_a_time(&waiting.collect::<Vec<_>>(), under_way);
+        let at_a_time = schedule.at_a_time(&waiting.collect::<Vec<_>>(), under_way);
         let mut orders = Vec::new();
         for report in &self.chosen {
             let order = self.order_for(report, under_way < at_a_time);
-            under_way += usize::from(order.as_ref().is_some_and(PlannedOrder::is_turn));
+            under_way += usize::from(order.as_ref().is_some_and(PlannedOrder::is_switch));
             orders.extend(order);
         }
         orders
@@ -82,7 +82,7 @@
 
     /// What the endpoint should serve next.
     fn goal(&self, report: &EndpointReport) -> WantedWeights<'_> {
-        let step = self.pace.and_then(|pace| pace.step_between(report));
+        let step = self.schedule.and_then(|schedule| schedule.step_between(report));
         step.filter(|_| self.steppers.contains(&report.instance)).unwrap_or(self.wanted)
     }
 
@@ -91,7 +91,9 @@
         let (weights, serve, reason) = match &report.state {
             EndpointState::Switching | EndpointState::Draining => return None,
             EndpointState::Empty => (goal, true, PlanReason::ServesNothing),
-            EndpointState::Serving { .. } if self.pace.is_some_and(|pace| pace.bars(report)) => {
+            EndpointState::Serving { .. }
+                if self.schedule.is_some_and(|schedule| schedule.is_retired(report)) =>
+            {
                 (goal, true, PlanReason::ServesNothing)
             }
             EndpointState::Serving { .. } if serves(report, self.wanted) => {
--- a/crates/decide/src/turns.rs
+++ b/crates/decide/src/turns.rs
@@ -37,8 +37,8 @@
         rank: u32,
         now: Timestamp,
     ) -> Vec<PlannedOrder> {
-        let is_turn = |order: &PlannedOrder| order.reason == PlanReason::TurnToSwitch;
-        let turns = orders.iter().filter(|order| is_turn(order));
+        let is_switch = |order: &PlannedOrder| order.reason == PlanReason::TurnToSwitch;
+        let turns = orders.iter().filter(|order| is_switch(order));
         let since = |instance: &InstanceId| self.wanted.get(instance).copied().unwrap_or(now);
         let wanted = turns.map(|order| (order.instance.clone(), since(&order.instance))).collect();
         self.wanted = wanted;
--- a/crates/decide/src/versions.rs
+++ b/crates/decide/src/versions.rs
@@ -10,14 +10,14 @@
     AgeSource, Deadline, ManifestDigest, ModelName, ModelVersion, NamedVersion, Timestamp,
 };
 
-use crate::plan::{PacedVersion, PlanPace};
+use crate::plan::{RolloutSchedule, ScheduledVersion};
 
 /// Versions of a model that are remembered; older ones have long been replaced.
 const REMEMBERED: usize = 8;
 
 /// A version that was named.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WantedVersion {
+pub struct VersionRecord {
     /// Rises with every version that is named.
     pub number: u64,
     /// The version.
@@ -25,28 +25,28 @@
     /// Pins its bytes, once known.
     pub manifest: Option<ManifestDigest>,
     /// From when on no older version may answer.
-    pub alone_from: Deadline,
+    pub exclusive_from: Deadline,
     named_at: Timestamp,
     age_source: AgeSource,
 }
 
 /// The versions of each model, the newest last.
 #[derive(Debug, Clone, Default)]
-pub struct VersionBook {
-    models: BTreeMap<ModelName, Vec<WantedVersion>>,
+pub struct VersionRegistry {
+    models: BTreeMap<ModelName, Vec<VersionRecord>>,
 }
 
-impl VersionBook {
+impl VersionRegistry {
     /// Takes in a named version; true if it or its manifest was not known.
     ///
     /// `span` is the time after which no older version may answer.
-    pub fn offer(&mut self, named: &NamedVersion, span: Duration, now: Timestamp) -> bool {
+    pub fn record(&mut self, named: &NamedVersion, span: Duration, now: Timestamp) -> bool {
         let named_at = Timestamp(now.0.saturating_sub(named.age_ms));
-        let fresh = WantedVersion {
+        let fresh = VersionRecord {
             number: named.number,
             version: named.version.clone(),
             manifest: named.manifest,
-            alone_from: named_at.deadline_after(span),
+            exclusive_from: named_at.deadline_after(span),
             named_at,
             age_source: named.age_source,
         };
@@ -63,14 +63,14 @@
     }
 
     /// The newest version of `model`.
-    pub fn wanted(&self, model: &str) -> Option<&WantedVersion> {
+    pub fn newest(&self, model: &str) -> Option<&VersionRecord> {
         self.models.get(model)?.last()
     }
 
     /// The only versions of `model` that may answer now; none if all may.
     pub fn allowed(&self, model: &str, now: Timestamp) -> Option<Vec<ModelVersion>> {
         let versions = self.models.get(model)?;
-        let oldest = versions.iter().rposition(|known| known.alone_from.is_past(now))?;
+        let oldest = versions.iter().rposition(|known| known.exclusive_from.is_past(now))?;
         if oldest == 0 {
             // Nothing older was ever heard of.
             return None;
@@ -79,31 +79,31 @@
     }
 
     /// From when on `version` of `model` may not answer any more, if that is known.
-    pub fn barred_from(&self, model: &str, version: &ModelVersion) -> Option<Deadline> {
+    pub fn expires_at(&self, model: &str, version: &ModelVersion) -> Option<Deadline> {
         let versions = self.models.get(model)?;
         let position = versions.iter().position(|known| known.version == *version)?;
-        versions[position + 1..].iter().map(|newer| newer.alone_from).min()
+        versions[position + 1..].iter().map(|newer| newer.exclusive_from).min()
     }
 
     /// What the versions of `model` ask of a plan.
-    pub fn pace(&self, model: &str, now: Timestamp) -> Option<PlanPace> {
+    pub fn schedule(&self, model: &str, now: Timestamp) -> Option<RolloutSchedule> {
         let versions = self.models.get(model)?;
         let names = versions.iter().map(|known| known.version.clone());
-        let barred = match self.allowed(model, now) {
+        let retired = match self.allowed(model, now) {
             Some(allowed) => names.filter(|name| !allowed.contains(name)).collect(),
             None => Vec::new(),
         };
-        let paced = versions.iter().map(|known| PacedVersion {
+        let scheduled = versions.iter().map(|known| ScheduledVersion {
             version: known.version.clone(),
             manifest: known.manifest,
-            alone_from: known.alone_from,
+            exclusive_from: known.exclusive_from,
         });
-        Some(PlanPace { versions: paced.collect(), barred, now })
+        Some(RolloutSchedule { versions: scheduled.collect(), retired, now })
     }
 
     /// All versions that are remembered, as other processes have to know them.
     pub fn named(&self, now: Timestamp) -> Vec<NamedVersion> {
-        let of_model = |(model, versions): (&ModelName, &Vec<WantedVersion>)| {
+        let of_model = |(model, versions): (&ModelName, &Vec<VersionRecord>)| {
             let named = versions.iter().map(|known| known.named(model, now));
             named.collect::<Vec<_>>()
         };
@@ -111,7 +111,7 @@
     }
 }
 
-impl WantedVersion {
+impl VersionRecord {
     /// Takes in what another process knows of the same version; true if the manifest is new.
     fn merge(&mut self, other: &Self) -> bool {
         self.merge_age(other);
@@ -137,7 +137,7 @@
         };
         if takes_other {
             self.named_at = other.named_at;
-            self.alone_from = other.alone_from;
+            self.exclusive_from = other.exclusive_from;
             self.age_source = other.age_source;
         }
     }
--- a/crates/decide/tests/plan.rs
+++ b/crates/decide/tests/plan.rs
@@ -5,7 +5,7 @@
 use cassiawheel_decide::{
     TurnLedger,
     fencing::{OrderToken, next_token},
-    plan::{PacedVersion, PlanInput, PlanPace, PlanReason, PlannedOrder, plan_orders},
+    plan::{PlanInput, PlanReason, PlannedOrder, RolloutSchedule, ScheduledVersion, plan_orders},
 };
 use cassiawheel_model::{
     ChangeId, Deadline, EndpointReport, EndpointRole, EndpointState, FailureDomain, ForcedPreset,
@@ -85,7 +85,7 @@
 
 fn plan(preset: &ForcedPreset, reports: &[EndpointReport]) -> Vec<PlannedOrder> {
     let reports: Vec<_> = reports.iter().collect();
-    plan_orders(PlanInput { preset, ahead: None, reports: &reports, pace: None })
+    plan_orders(PlanInput { preset, ahead: None, reports: &reports, schedule: None })
 }
 
 /// An endpoint with its agent and engine, reduced to what orders do to it.
@@ -312,7 +312,7 @@
             preset: &preset,
             ahead: Some(&ahead),
             reports: &[endpoint],
-            pace: None,
+            schedule: None,
         })
     };
     let orders = plan(&endpoint);
@@ -340,28 +340,30 @@
     assert!(!ordered.contains(&reports[1].instance));
 }
 
-fn pace(barred: &[&str], left_ms: u64) -> PlanPace {
-    pace_of(barred, [0, left_ms, left_ms])
+fn schedule(retired: &[&str], left_ms: u64) -> RolloutSchedule {
+    schedule_of(retired, [0, left_ms, left_ms])
 }
 
-/// A pace with the time left of each version.
-fn pace_of(barred: &[&str], left_ms: [u64; 3]) -> PlanPace {
-    let paced = ["v1", "v2", "v3"].into_iter().zip(left_ms).map(|(name, left_ms)| PacedVersion {
-        version: version(name),
-        manifest: Some(manifest(name)),
-        alone_from: Deadline(10_000 + left_ms),
-    });
-    PlanPace {
+/// A schedule with the time left of each version.
+fn schedule_of(retired: &[&str], left_ms: [u64; 3]) -> RolloutSchedule {
+    let paced =
+        ["v1", "v2", "v3"].into_iter().zip(left_ms).map(|(name, left_ms)| ScheduledVersion {
+            version: version(name),
+            manifest: Some(manifest(name)),
+            exclusive_from: Deadline(10_000 + left_ms),
+        });
+    RolloutSchedule {
         versions: paced.collect(),
-        barred: barred.iter().map(|name| version(name)).collect(),
+        retired: retired.iter().map(|name| version(name)).collect(),
         now: Timestamp(10_000),
     }
 }
 
-fn paced(reports: &[EndpointReport], pace: &PlanPace) -> Vec<InstanceId> {
+fn paced(reports: &[EndpointReport], schedule: &RolloutSchedule) -> Vec<InstanceId> {
     let preset = preset(1, content("v3", 50, None));
     let reports: Vec<_> = reports.iter().collect();
-    let input = PlanInput { preset: &preset, ahead: None, reports: &reports, pace: Some(pace) };
+    let input =
+        PlanInput { preset: &preset, ahead: None, reports: &reports, schedule: Some(schedule) };
     let switching = plan_orders(input).into_iter().filter(|order| order.serve);
     switching.map(|order| order.instance).collect()
 }
@@ -376,28 +378,28 @@
 #[test]
 fn as_many_switch_at_a_time_as_the_time_needs() {
     let reports: Vec<_> = (0..12).map(|index| ready_report(index, "v2")).collect();
-    assert_eq!(paced(&reports, &pace(&[], 10_000)).len(), 2);
-    assert_eq!(paced(&reports, &pace(&[], 4_000)).len(), 4);
-    assert_eq!(paced(&reports, &pace(&[], 0)).len(), 12);
+    assert_eq!(paced(&reports, &schedule(&[], 10_000)).len(), 2);
+    assert_eq!(paced(&reports, &schedule(&[], 4_000)).len(), 4);
+    assert_eq!(paced(&reports, &schedule(&[], 0)).len(), 12);
 }
 
 /// Twelve engines switch within four seconds, each in two, and none has finished
-/// after one second. The pace must not rise because the time grows shorter while
+/// after one second. The number of switches must not rise because the time grows shorter while
 /// they are at it: one more would go out of service every tenth of a second, until
 /// no engine is left for the callers.
 #[test]
 fn the_pace_holds_while_the_first_engines_switch() {
     let mut reports: Vec<_> = (0..12).map(|index| ready_report(index, "v2")).collect();
-    let first = paced(&reports, &pace(&[], 4_000));
+    let first = paced(&reports, &schedule(&[], 4_000));
     assert_eq!(first.len(), 4);
     for report in reports.iter_mut().filter(|report| first.contains(&report.instance)) {
         report.state = EndpointState::Switching;
     }
     for left_ms in (3_000..=4_000).step_by(50) {
-        assert!(paced(&reports, &pace(&[], left_ms)).is_empty(), "{left_ms} ms are left");
+        assert!(paced(&reports, &schedule(&[], left_ms)).is_empty(), "{left_ms} ms are left");
     }
     // Those that are late all the same go before the time is over.
-    assert!(!paced(&reports, &pace(&[], 0)).is_empty());
+    assert!(!paced(&reports, &schedule(&[], 0)).is_empty());
 }
 
 /// A version was named two seconds after another one, and both are late. All
@@ -406,9 +408,9 @@
 #[test]
 fn the_nearest_deadline_sets_the_pace() {
     let reports: Vec<_> = (0..12).map(|index| ready_report(index, "v1")).collect();
-    assert_eq!(paced(&reports, &pace_of(&[], [0, 2_000, 4_000])).len(), 6);
+    assert_eq!(paced(&reports, &schedule_of(&[], [0, 2_000, 4_000])).len(), 6);
     let reports: Vec<_> = (0..12).map(|index| ready_report(index, "v2")).collect();
-    assert_eq!(paced(&reports, &pace_of(&[], [0, 2_000, 4_000])).len(), 4);
+    assert_eq!(paced(&reports, &schedule_of(&[], [0, 2_000, 4_000])).len(), 4);
 }
 
 /// Engines with the oldest version switch first: its time is over first, and
@@ -417,7 +419,7 @@
 fn the_oldest_version_switches_first() {
     let mut reports: Vec<_> = (0..8).map(|index| ready_report(index, "v2")).collect();
     reports.extend((8..11).map(|index| ready_report(index, "v1")));
-    let first = paced(&reports, &pace(&[], 5_400));
+    let first = paced(&reports, &schedule(&[], 5_400));
     let old: Vec<_> = reports[8..].iter().map(|report| report.instance.clone()).collect();
     assert_eq!(first.len(), 3);
     assert!(first.iter().all(|instance| old.contains(instance)), "{first:?}");
@@ -429,7 +431,7 @@
 fn engines_that_may_not_answer_switch_at_once() {
     let mut reports: Vec<_> = (0..8).map(|index| ready_report(index, "v2")).collect();
     reports.extend((8..12).map(|index| ready_report(index, "v1")));
-    let first = paced(&reports, &pace(&["v1"], 20_000));
+    let first = paced(&reports, &schedule(&["v1"], 20_000));
     assert!(reports[8..].iter().all(|report| first.contains(&report.instance)), "{first:?}");
 }
 
@@ -438,9 +440,9 @@
 #[test]
 fn new_engines_hold_up_no_switch() {
     let mut reports: Vec<_> = (0..8).map(|index| ready_report(index, "v2")).collect();
-    let before = paced(&reports, &pace(&[], 4_000)).len();
+    let before = paced(&reports, &schedule(&[], 4_000)).len();
     reports.extend((8..18).map(|index| report(index, EndpointState::Empty)));
-    let after = paced(&reports, &pace(&[], 4_000));
+    let after = paced(&reports, &schedule(&[], 4_000));
     let switching = after.iter().filter(|i| reports[..8].iter().any(|r| r.instance == **i)).count();
     assert!(switching >= before, "{switching} of {before}");
 }
@@ -469,13 +471,13 @@
     let early: Vec<_> = (0..12).map(|index| ready_report(index, "v2")).collect();
     let orders = |reports: &[EndpointReport]| {
         let preset = preset(1, content("v3", 50, None));
-        let pace = pace(&[], 4_000);
+        let schedule = schedule(&[], 4_000);
         let reports: Vec<_> = reports.iter().collect();
         plan_orders(PlanInput {
             preset: &preset,
             ahead: None,
             reports: &reports,
-            pace: Some(&pace),
+            schedule: Some(&schedule),
         })
     };
     let first = TurnLedger::default().release(orders(&early), 0, Timestamp(10_000));
@@ -491,9 +493,10 @@
 fn the_next_entry_takes_over_after_a_while() {
     let reports: Vec<_> = (0..12).map(|index| ready_report(index, "v2")).collect();
     let preset = preset(1, content("v3", 50, None));
-    let pace = pace(&[], 4_000);
+    let schedule = schedule(&[], 4_000);
     let reports: Vec<_> = reports.iter().collect();
-    let input = PlanInput { preset: &preset, ahead: None, reports: &reports, pace: Some(&pace) };
+    let input =
+        PlanInput { preset: &preset, ahead: None, reports: &reports, schedule: Some(&schedule) };
     let mut ledger = TurnLedger::default();
     assert!(ledger.release(plan_orders(input), 2, Timestamp(10_000)).is_empty());
     assert_eq!(ledger.release(plan_orders(input), 2, Timestamp(10_500)).len(), 4);
@@ -504,9 +507,14 @@
         |index| EndpointReport { staged: staged("v2", ready), ..report(index, serving("v1")) };
     let reports: Vec<_> = (0..12).map(held).collect();
     let preset = preset(1, content("v3", 50, None));
-    let pace = pace_of(&[], left_ms);
+    let schedule = schedule_of(&[], left_ms);
     let reports: Vec<_> = reports.iter().collect();
-    plan_orders(PlanInput { preset: &preset, ahead: None, reports: &reports, pace: Some(&pace) })
+    plan_orders(PlanInput {
+        preset: &preset,
+        ahead: None,
+        reports: &reports,
+        schedule: Some(&schedule),
+    })
 }
 
 /// A version is whole everywhere when a newer one is named. Thrown away, it would
--- a/crates/entry/src/control/manifests.rs
+++ b/crates/entry/src/control/manifests.rs
@@ -124,7 +124,7 @@
     // The newest one is what endpoints have to serve; the origin may have
     // dropped the others.
     named.into_iter().rev().find(|named| {
-        let wanted = versions.wanted(&named.model).map(|wanted| wanted.number);
+        let wanted = versions.newest(&named.model).map(|wanted| wanted.number);
         named.manifest.is_none() && wanted == Some(named.number)
     })
 }
--- a/crates/entry/src/control/orders.rs
+++ b/crates/entry/src/control/orders.rs
@@ -79,12 +79,14 @@
     let ahead = ahead.as_ref().map(|ahead| &ahead.staged.content);
     match &shared.routed {
         Some(routed) => {
-            let pace = routed.pace(&preset, Timestamp::now());
+            let schedule = routed.pace(&preset, Timestamp::now());
             let preset = routed.with_versions(&preset);
-            let pace = pace.as_ref();
-            plan_orders(PlanInput { preset: &preset, ahead, reports: &reports, pace })
+            let schedule = schedule.as_ref();
+            plan_orders(PlanInput { preset: &preset, ahead, reports: &reports, schedule })
+        }
+        None => {
+            plan_orders(PlanInput { preset: &preset, ahead, reports: &reports, schedule: None })
         }
-        None => plan_orders(PlanInput { preset: &preset, ahead, reports: &reports, pace: None }),
     }
 }
 
@@ -116,7 +118,7 @@
     let mut turns = Vec::new();
     for planned in released {
         let instance = planned.instance.clone();
-        if planned.is_turn() {
+        if planned.is_switch() {
             turns.push(EndpointOrder { instance, order: order_of(shared, &planned) });
         }
         send_order(shared, planned);
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -13,8 +13,8 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use cassiawheel_decide::{
-    CallerIndex, EndpointCell, EndpointListing, PresetPull, RetryBudget, RowDuty, VersionBook,
-    plan::PlanPace,
+    CallerIndex, EndpointCell, EndpointListing, PresetPull, RetryBudget, RowDuty, VersionRegistry,
+    plan::RolloutSchedule,
 };
 use cassiawheel_edge::{
     CallerProtocol, EndpointProtocol, ListingFeed, OperatorFeed, TableStore, WeightSource,
@@ -69,7 +69,7 @@
     /// Routes and keys of the preset in force; read without a lock.
     pub(crate) index: ArcSwapOption<CallerIndex>,
     /// The versions that operators named; read without a lock.
-    pub(crate) versions: ArcSwap<VersionBook>,
+    pub(crate) versions: ArcSwap<VersionRegistry>,
     /// Manifests of named versions.
     pub(crate) manifests: ManifestCache,
     /// Whether the last call for the operators' rows was answered.
@@ -185,9 +185,9 @@
         let now = Timestamp::now();
         let mut is_new = false;
         self.versions.rcu(|known| {
-            let mut book = VersionBook::clone(known);
-            is_new = book.offer(named, span, now);
-            book
+            let mut versions = VersionRegistry::clone(known);
+            is_new = versions.record(named, span, now);
+            versions
         });
         if is_new {
             let _ = self.versions_changed.0.try_send(());
@@ -211,10 +211,10 @@
     }
 
     /// What the platform asks of the versions of the preset's model.
-    pub(crate) fn pace(&self, preset: &ForcedPreset, now: Timestamp) -> Option<PlanPace> {
+    pub(crate) fn pace(&self, preset: &ForcedPreset, now: Timestamp) -> Option<RolloutSchedule> {
         let mut targets = preset.content.services.values();
         let engine = targets.find_map(|target| target.engine.as_ref())?;
-        self.versions.load().pace(&engine.model, now)
+        self.versions.load().schedule(&engine.model, now)
     }
 
     /// `preset` with the versions that were named since.
@@ -224,7 +224,7 @@
         planned.content.callers = None;
         for target in planned.content.services.values_mut() {
             let model = target.engine.as_ref().map(|engine| engine.model.as_str());
-            if let Some(wanted) = model.and_then(|model| versions.wanted(model)) {
+            if let Some(wanted) = model.and_then(|model| versions.newest(model)) {
                 target.version = Some(wanted.version.clone());
                 target.manifest = wanted.manifest;
             }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -214,8 +214,8 @@
         let routed = self.routed.as_ref()?;
         let force = self.force.load();
         let engine = force.as_ref()?.content.services.get(service)?.engine.as_ref()?;
-        let barred_from = routed.versions.load().barred_from(&engine.model, version?)?;
-        Some(Timestamp(barred_from.0).deadline_after(BEGIN_TIME))
+        let expires_at = routed.versions.load().expires_at(&engine.model, version?)?;
+        Some(Timestamp(expires_at.0).deadline_after(BEGIN_TIME))
     }
 
     /// An id that no other request has.
