--- a/crates/agent/src/entry_link.rs
+++ b/crates/agent/src/entry_link.rs
@@ -43,7 +43,7 @@
             Err(error) => {
                 shared.entry_choice().avoid(addr, Timestamp::now());
                 shared.note_entries_changed();
-                shared.start_hold().heard(addr);
+                shared.start_hold().mark_answered(addr);
                 log::debug!(target: "link", entry:% = addr, cause:% = error; "Cannot reach an entry.");
             }
         }
@@ -90,7 +90,7 @@
                 let told = matches!(message, ControlMessage::Force(_));
                 handle_control(shared, addr, &sender, message);
                 if told {
-                    shared.start_hold().heard(addr);
+                    shared.start_hold().mark_answered(addr);
                 }
             }
             Ok(WireMessage::Request(message)) => attempts.handle(shared, &sender, message),
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -42,7 +42,7 @@
         Adoption::Conflicting => {
             log::error!(target: "preset", revision = revision.0; "Two presets have the same revision.");
         }
-        Adoption::Known | Adoption::Older => {}
+        Adoption::Unchanged | Adoption::Stale => {}
     }
 }
 
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -23,7 +23,6 @@
 pub mod gate;
 pub mod gossip;
 pub mod heartbeat;
-pub mod holder;
 pub mod identity;
 pub mod latch;
 pub mod limit_book;
@@ -32,6 +31,7 @@
 pub mod manifest_search;
 pub mod overlay;
 pub mod plan;
+pub mod preset_holder;
 pub mod preset_pull;
 pub mod rank;
 pub mod repeats;
@@ -39,7 +39,7 @@
 pub mod roster;
 pub mod route;
 pub mod select;
-pub mod turns;
+pub mod switch_stagger;
 pub mod versions;
 
 pub use acquaint::{AgentPlace, acquaintances};
@@ -59,13 +59,13 @@
 pub use gate::{GateState, SwitchError};
 pub use gossip::{GossipStore, LinkMark, LinkNumber};
 pub use heartbeat::{LoadPace, ToldReport};
-pub use holder::{Adoption, PresetHolder, StartHold};
 pub use latch::RunLatch;
 pub use limit_book::{HolderPlace, LimitBook};
 pub use listing::{EndpointListing, ListingNews};
 pub use lives::EndpointLives;
 pub use manifest_search::{ManifestSearch, SearchStep};
 pub use overlay::{EntryPlace, RowDuty, chosen_links, near_or_all, reachable_entries, row_duty};
+pub use preset_holder::{Adoption, PresetHolder, StartHold};
 pub use preset_pull::{PresetPull, PullStep, PullView, ToldRevision};
 pub use repeats::RepeatSchedule;
 pub use retry::{AttemptEnd, RepeatGuard, RetryBudget, RetryStep, RetryTracker};
@@ -76,5 +76,5 @@
 pub use select::{
     ChunkBits, ChunkPicker, ChunkSource, FetchFailure, FetchOrder, PeerPlace, PickerSettings,
 };
-pub use turns::TurnLedger;
+pub use switch_stagger::SwitchStagger;
 pub use versions::{VersionRecord, VersionRegistry};
--- a/crates/decide/src/plan.rs
+++ b/crates/decide/src/plan.rs
@@ -43,7 +43,7 @@
     /// Reports of the endpoints that do not leave.
     pub reports: &'a [&'a EndpointReport],
     /// What the platform asks of versions, if it does.
-    pub schedule: Option<&'a RolloutSchedule>,
+    pub rollout: Option<&'a RolloutSchedule>,
 }
 /// An order that an endpoint has to get.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -99,8 +99,8 @@
             wanted,
             ahead: ahead.filter(|ahead| ahead.manifest != wanted.manifest),
             at_a_time: switches_at_a_time(target, chosen.len()),
-            schedule: input.schedule,
-            steppers: match input.schedule {
+            schedule: input.rollout,
+            steppers: match input.rollout {
                 Some(schedule) => schedule.steppers(&chosen),
                 None => BTreeSet::new(),
             },
--- a/crates/decide/src/holder.rs
+++ b/crates/decide/src/preset_holder.rs
@@ -14,9 +14,9 @@
     /// It is in force here from now on.
     Adopted,
     /// It is the one that is in force already.
-    Known,
+    Unchanged,
     /// It is older than the one in force and was ignored.
-    Older,
+    Stale,
     /// It has the revision of the one in force but another content.
     ///
     /// The table's compare-and-set excludes this; it would mean that two
@@ -38,11 +38,11 @@
             return Adoption::Adopted;
         };
         if offered.revision < current.revision {
-            return Adoption::Older;
+            return Adoption::Stale;
         }
         if offered.revision == current.revision {
             let same = offered.change == current.change && offered.content == current.content;
-            return if same { Adoption::Known } else { Adoption::Conflicting };
+            return if same { Adoption::Unchanged } else { Adoption::Conflicting };
         }
         self.current = Some(offered);
         Adoption::Adopted
@@ -78,7 +78,7 @@
     }
 
     /// Notes that a source told what it knows or cannot be reached.
-    pub fn heard(&mut self, source: SocketAddr) {
+    pub fn mark_answered(&mut self, source: SocketAddr) {
         self.silent.remove(&source);
     }
 
--- a/crates/decide/src/turns.rs
+++ b/crates/decide/src/switch_stagger.rs
@@ -25,11 +25,11 @@
 
 /// The engines that this entry wants to switch, and since when.
 #[derive(Debug, Clone, Default)]
-pub struct TurnLedger {
+pub struct SwitchStagger {
     wanted: BTreeMap<InstanceId, Timestamp>,
 }
 
-impl TurnLedger {
+impl SwitchStagger {
     /// Of the planned `orders` those that the entry of `rank` gives now.
     pub fn release(
         &mut self,
--- a/crates/decide/tests/history/world.rs
+++ b/crates/decide/tests/history/world.rs
@@ -300,7 +300,7 @@
                 continue;
             }
             if self.is_cut(node, other) {
-                self.nodes[node].hold.heard(addr(other));
+                self.nodes[node].hold.mark_answered(addr(other));
                 continue;
             }
             self.send(node, other, Message::Greeting(self.in_use(node)));
@@ -464,7 +464,7 @@
                 if let Some(preset) = &preset {
                     self.offer(to, preset);
                 }
-                self.nodes[to].hold.heard(addr(from));
+                self.nodes[to].hold.mark_answered(addr(from));
             }
             Message::Force(preset) => {
                 self.offer(to, &preset);
@@ -592,7 +592,7 @@
                 self.offer(node, &row.preset);
             }
         }
-        self.nodes[node].hold.heard(store_addr());
+        self.nodes[node].hold.mark_answered(store_addr());
     }
 
     fn ask(&mut self, operation: usize, ask: u64) {
--- a/crates/decide/tests/plan.rs
+++ b/crates/decide/tests/plan.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use cassiawheel_decide::{
-    TurnLedger,
+    SwitchStagger,
     fencing::{OrderToken, next_token},
     plan::{PlanInput, PlanReason, PlannedOrder, RolloutSchedule, ScheduledVersion, plan_orders},
 };
@@ -85,7 +85,7 @@
 
 fn plan(preset: &ForcedPreset, reports: &[EndpointReport]) -> Vec<PlannedOrder> {
     let reports: Vec<_> = reports.iter().collect();
-    plan_orders(PlanInput { preset, ahead: None, reports: &reports, schedule: None })
+    plan_orders(PlanInput { preset, ahead: None, reports: &reports, rollout: None })
 }
 
 /// An endpoint with its agent and engine, reduced to what orders do to it.
@@ -312,7 +312,7 @@
             preset: &preset,
             ahead: Some(&ahead),
             reports: &[endpoint],
-            schedule: None,
+            rollout: None,
         })
     };
     let orders = plan(&endpoint);
@@ -363,7 +363,7 @@
     let preset = preset(1, content("v3", 50, None));
     let reports: Vec<_> = reports.iter().collect();
     let input =
-        PlanInput { preset: &preset, ahead: None, reports: &reports, schedule: Some(schedule) };
+        PlanInput { preset: &preset, ahead: None, reports: &reports, rollout: Some(schedule) };
     let switching = plan_orders(input).into_iter().filter(|order| order.serve);
     switching.map(|order| order.instance).collect()
 }
@@ -477,12 +477,12 @@
             preset: &preset,
             ahead: None,
             reports: &reports,
-            schedule: Some(&schedule),
+            rollout: Some(&schedule),
         })
     };
-    let first = TurnLedger::default().release(orders(&early), 0, Timestamp(10_000));
+    let first = SwitchStagger::default().release(orders(&early), 0, Timestamp(10_000));
     assert_eq!(first.len(), 4);
-    let mut second = TurnLedger::default();
+    let mut second = SwitchStagger::default();
     assert!(second.release(orders(&early[4..]), 1, Timestamp(10_000)).is_empty());
     assert!(second.release(orders(&early[4..]), 1, Timestamp(10_100)).is_empty());
 }
@@ -496,8 +496,8 @@
     let schedule = schedule(&[], 4_000);
     let reports: Vec<_> = reports.iter().collect();
     let input =
-        PlanInput { preset: &preset, ahead: None, reports: &reports, schedule: Some(&schedule) };
-    let mut ledger = TurnLedger::default();
+        PlanInput { preset: &preset, ahead: None, reports: &reports, rollout: Some(&schedule) };
+    let mut ledger = SwitchStagger::default();
     assert!(ledger.release(plan_orders(input), 2, Timestamp(10_000)).is_empty());
     assert_eq!(ledger.release(plan_orders(input), 2, Timestamp(10_500)).len(), 4);
 }
@@ -513,7 +513,7 @@
         preset: &preset,
         ahead: None,
         reports: &reports,
-        schedule: Some(&schedule),
+        rollout: Some(&schedule),
     })
 }
 
--- a/crates/entry/src/control/operators.rs
+++ b/crates/entry/src/control/operators.rs
@@ -66,7 +66,7 @@
                 let position = Some(page.position);
                 followed = FollowedRows { position, until: Some(now), by_others: false };
                 take_page(&shared, &routed, page, age);
-                shared.start_hold().heard(shared.settings.platform.table);
+                shared.start_hold().mark_answered(shared.settings.platform.table);
             }
             Err(FeedError::HistoryLost) => {
                 log::info!(target: "preset", position:? = followed.position; "The history of the operators' rows is gone; reads all of them.");
--- a/crates/entry/src/control/orders.rs
+++ b/crates/entry/src/control/orders.rs
@@ -11,7 +11,7 @@
 };
 
 use cassiawheel_decide::{
-    TurnLedger,
+    SwitchStagger,
     plan::{PlanInput, PlannedOrder, plan_orders},
 };
 use cassiawheel_model::{InstanceId, PresetRevision, Timestamp};
@@ -46,7 +46,7 @@
 /// Plans again whenever a report or the preset changed, and now and then without a change.
 pub(crate) async fn plan_regularly(shared: Arc<EntryShared>) {
     let mut repeat_at = Timestamp::now().deadline_after(REPEAT_TIME);
-    let mut turns = TurnLedger::default();
+    let mut turns = SwitchStagger::default();
     let mut sent = SentOrders::default();
     loop {
         Timer::after(PLAN_TIME).await;
@@ -79,14 +79,12 @@
     let ahead = ahead.as_ref().map(|ahead| &ahead.staged.content);
     match &shared.routed {
         Some(routed) => {
-            let schedule = routed.pace(&preset, Timestamp::now());
+            let rollout = routed.pace(&preset, Timestamp::now());
             let preset = routed.with_versions(&preset);
-            let schedule = schedule.as_ref();
-            plan_orders(PlanInput { preset: &preset, ahead, reports: &reports, schedule })
-        }
-        None => {
-            plan_orders(PlanInput { preset: &preset, ahead, reports: &reports, schedule: None })
+            let rollout = rollout.as_ref();
+            plan_orders(PlanInput { preset: &preset, ahead, reports: &reports, rollout })
         }
+        None => plan_orders(PlanInput { preset: &preset, ahead, reports: &reports, rollout: None }),
     }
 }
 
--- a/crates/entry/src/control/poll.rs
+++ b/crates/entry/src/control/poll.rs
@@ -66,7 +66,7 @@
                 log::warn!(target: "preset", revision = revision, cause:% = error; "The table service cannot be read.");
             }
         }
-        shared.start_hold().heard(shared.settings.platform.table);
+        shared.start_hold().mark_answered(shared.settings.platform.table);
         let wait_ms = poll_wait_ms(shared.settings.control.poll_ms, failures);
         Timer::after(jittered(wait_ms)).await;
     }
--- a/crates/entry/src/control/spread.rs
+++ b/crates/entry/src/control/spread.rs
@@ -241,7 +241,7 @@
                 let _ = sender.try_send(shared.hello());
                 converse(&shared, sender, receiver, Some(addr)).await;
             }
-            Err(_) => shared.start_hold().heard(addr),
+            Err(_) => shared.start_hold().mark_answered(addr),
         }
         Timer::after(DIAL_AGAIN).await;
     }
@@ -272,7 +272,7 @@
         other = told_process(&message).or(other);
         handle_peer(shared, &sender, message);
         if let Some(addr) = dialled.filter(|_| is_beat) {
-            shared.start_hold().heard(addr);
+            shared.start_hold().mark_answered(addr);
         }
     }
     sender.close();
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -238,7 +238,7 @@
                 log::error!(target: "preset", revision = revision; "Two presets have the same revision.");
                 false
             }
-            Adoption::Adopted | Adoption::Known | Adoption::Older => false,
+            Adoption::Adopted | Adoption::Unchanged | Adoption::Stale => false,
         }
     }
 
