--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -61,7 +61,7 @@
 pub use heartbeat::{LoadPace, ToldReport};
 pub use latch::RunLatch;
 pub use limit_book::{HolderPlace, LimitBook};
-pub use listing::{EndpointListing, ListingNews};
+pub use listing::{EndpointListing, ListingUpdate};
 pub use lives::EndpointLives;
 pub use manifest_search::{ManifestSearch, SearchStep};
 pub use overlay::{EntryPlace, RowDuty, chosen_links, near_or_all, reachable_entries, row_duty};
--- a/crates/decide/src/listing.rs
+++ b/crates/decide/src/listing.rs
@@ -37,7 +37,7 @@
 
 /// Rows of a list, and where it stands.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ListingNews {
+pub struct ListingUpdate {
     /// Rows that changed; all rows if `base` is zero.
     pub rows: Vec<ListedRow>,
     /// Whoever knows the list up to here knows it up to `position` with these rows.
@@ -98,7 +98,7 @@
     /// notice that half of all callers are refused for seconds after everything
     /// is back. Two processes never share an address, so the older row is of one
     /// that is gone.
-    pub fn present(&self, is_known: impl Fn(&ServiceName) -> bool) -> Vec<&ListedEndpoint> {
+    pub fn latest_per_addr(&self, is_known: impl Fn(&ServiceName) -> bool) -> Vec<&ListedEndpoint> {
         let mut newest: HashMap<SocketAddr, (u64, &ListedEndpoint)> = HashMap::new();
         for row in self.rows.values() {
             let Some(endpoint) = row.endpoint.as_ref().filter(|e| is_known(&e.service)) else {
@@ -115,7 +115,7 @@
     }
 
     /// The newest endpoint of `service` at `addr`.
-    pub fn present_at(&self, service: &ServiceName, addr: SocketAddr) -> Option<&ListedEndpoint> {
+    pub fn latest_at(&self, service: &ServiceName, addr: SocketAddr) -> Option<&ListedEndpoint> {
         let rows =
             self.rows.values().filter_map(|row| Some((row.position, row.endpoint.as_ref()?)));
         let there = rows.filter(|(_, e)| e.addr == addr && e.service == *service);
@@ -123,7 +123,7 @@
     }
 
     /// When to read the list as the entry of this rank.
-    pub fn read_at(&self, rank: u32) -> Deadline {
+    pub fn next_read_at(&self, rank: u32) -> Deadline {
         let Some(asked_at) = self.asked_at else {
             return Deadline(0);
         };
@@ -131,10 +131,10 @@
     }
 
     /// All that is known here, for an entry that knows too little.
-    pub fn whole(&self) -> Option<ListingNews> {
+    pub fn snapshot(&self) -> Option<ListingUpdate> {
         let rows = self.rows.values().cloned().collect();
         let asked_at = self.asked_at?;
-        Some(ListingNews { rows, base: 0, position: self.position, asked_at })
+        Some(ListingUpdate { rows, base: 0, position: self.position, asked_at })
     }
 
     /// Whether to ask another entry for the whole list now: no answer is expected.
@@ -144,7 +144,7 @@
     /// 46 MB of lists in half a second, and whatever crossed regions was seconds
     /// late: one would notice requests to endpoints that had left. An answer that
     /// does not come is made up for by the next word of the list, or by a read.
-    pub fn begin_asking(&mut self, now: Timestamp) -> bool {
+    pub fn begin_snapshot_request(&mut self, now: Timestamp) -> bool {
         let may_ask = self.whole_until.is_past(now);
         if may_ask {
             self.whole_until = now.deadline_after(WHOLE_TIME);
@@ -153,7 +153,7 @@
     }
 
     /// Takes in what the platform told this entry; what the other entries have to know.
-    pub fn take_read(&mut self, mut news: ListingNews, now: Timestamp) -> ListingNews {
+    pub fn apply_read(&mut self, mut news: ListingUpdate, now: Timestamp) -> ListingUpdate {
         let after_outage = self.asked_at.is_some_and(|asked_at| {
             news.asked_at.since(asked_at).as_millis() as u64 > self.outage_ms
         });
@@ -172,7 +172,7 @@
     }
 
     /// Takes in what another entry tells; false if this one knows too little for it.
-    pub fn take_told(&mut self, news: &ListingNews) -> bool {
+    pub fn apply_update(&mut self, news: &ListingUpdate) -> bool {
         if news.base > self.position {
             return false;
         }
@@ -189,7 +189,7 @@
     }
 
     /// Removes the endpoints that did not come back in time; what the others have to know.
-    pub fn settle(&mut self, now: Timestamp) -> Vec<ListedRow> {
+    pub fn expire_missing(&mut self, now: Timestamp) -> Vec<ListedRow> {
         let over: Vec<_> = self
             .doubted
             .iter()
@@ -216,7 +216,7 @@
         }
     }
 
-    fn vanished(&self, news: &ListingNews) -> Vec<ListedRow> {
+    fn vanished(&self, news: &ListingUpdate) -> Vec<ListedRow> {
         let known = self.rows.values().filter(|row| row.endpoint.is_some());
         let listed = |row: &ListedRow| news.rows.iter().any(|new| new.instance == row.instance);
         known
@@ -259,7 +259,7 @@
         }
     }
 
-    fn advance(&mut self, news: &ListingNews) {
+    fn advance(&mut self, news: &ListingUpdate) {
         self.position = self.position.max(news.position);
         self.asked_at = self.asked_at.max(Some(news.asked_at));
     }
--- a/crates/decide/tests/listing.rs
+++ b/crates/decide/tests/listing.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use cassiawheel_decide::{EndpointListing, ListingNews};
+use cassiawheel_decide::{EndpointListing, ListingUpdate};
 use cassiawheel_model::{
     Deadline, FailureDomain, InstanceId, ListedEndpoint, ListedRow, ServiceName, Timestamp,
 };
@@ -40,8 +40,8 @@
     ListedRow { instance: instance(name), position, endpoint: None, is_unusable: false }
 }
 
-fn news(rows: Vec<ListedRow>, base: u64, position: u64, asked_at: Timestamp) -> ListingNews {
-    ListingNews { rows, base, position, asked_at }
+fn news(rows: Vec<ListedRow>, base: u64, position: u64, asked_at: Timestamp) -> ListingUpdate {
+    ListingUpdate { rows, base, position, asked_at }
 }
 
 fn names(listing: &EndpointListing) -> Vec<String> {
@@ -50,7 +50,7 @@
 
 fn read(rows: Vec<ListedRow>, position: u64) -> EndpointListing {
     let mut listing = EndpointListing::new(HEARTBEAT_MS);
-    listing.take_read(news(rows, 0, position, START), START);
+    listing.apply_read(news(rows, 0, position, START), START);
     listing
 }
 
@@ -59,7 +59,7 @@
 #[test]
 fn a_row_that_vanishes_while_the_list_answers_is_gone_at_once() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
-    let told = listing.take_read(news(vec![gone("a", 3)], 2, 3, at(500)), at(505));
+    let told = listing.apply_read(news(vec![gone("a", 3)], 2, 3, at(500)), at(505));
     assert_eq!(names(&listing), ["b"]);
     assert_eq!(told.rows, [gone("a", 3)]);
 }
@@ -71,12 +71,12 @@
 fn rows_that_lapsed_in_an_outage_may_come_back() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
     let back_at = at(6_000);
-    let told = listing.take_read(news(vec![gone("a", 3), gone("b", 4)], 2, 4, back_at), back_at);
+    let told = listing.apply_read(news(vec![gone("a", 3), gone("b", 4)], 2, 4, back_at), back_at);
     assert_eq!(names(&listing), ["a", "b"]);
     assert!(told.rows.is_empty(), "the others must not drop them either: {told:?}");
-    listing.take_read(news(vec![row("a", 5)], 4, 5, at(6_500)), at(6_500));
-    assert!(listing.settle(at(7_500)).is_empty());
-    let removed = listing.settle(at(8_400));
+    listing.apply_read(news(vec![row("a", 5)], 4, 5, at(6_500)), at(6_500));
+    assert!(listing.expire_missing(at(7_500)).is_empty());
+    let removed = listing.expire_missing(at(8_400));
     assert_eq!(names(&listing), ["a"]);
     assert_eq!(removed.iter().map(|row| &row.instance).collect::<Vec<_>>(), [&instance("b")]);
 }
@@ -86,7 +86,7 @@
 #[test]
 fn a_whole_read_shows_what_was_removed() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
-    let told = listing.take_read(news(vec![row("b", 2)], 0, 7, at(500)), at(500));
+    let told = listing.apply_read(news(vec![row("b", 2)], 0, 7, at(500)), at(500));
     assert_eq!(names(&listing), ["b"]);
     assert!(told.rows.contains(&gone("a", 7)));
 }
@@ -96,8 +96,8 @@
 #[test]
 fn an_older_row_changes_nothing() {
     let mut listing = read(vec![row("a", 1)], 1);
-    assert!(listing.take_told(&news(vec![gone("a", 5)], 1, 5, at(600))));
-    assert!(listing.take_told(&news(vec![row("a", 3)], 1, 3, at(300))));
+    assert!(listing.apply_update(&news(vec![gone("a", 5)], 1, 5, at(600))));
+    assert!(listing.apply_update(&news(vec![row("a", 3)], 1, 3, at(300))));
     assert!(names(&listing).is_empty());
     assert_eq!(listing.position(), 5);
 }
@@ -107,9 +107,9 @@
 #[test]
 fn news_with_a_gap_are_not_taken() {
     let mut listing = read(vec![row("a", 1)], 1);
-    assert!(!listing.take_told(&news(vec![row("c", 9)], 8, 9, at(900))));
+    assert!(!listing.apply_update(&news(vec![row("c", 9)], 8, 9, at(900))));
     assert_eq!(names(&listing), ["a"]);
-    assert!(listing.take_told(&news(vec![row("b", 4), row("c", 9)], 0, 9, at(900))));
+    assert!(listing.apply_update(&news(vec![row("b", 4), row("c", 9)], 0, 9, at(900))));
     assert_eq!(names(&listing), ["b", "c"]);
 }
 
@@ -118,9 +118,9 @@
 #[test]
 fn the_next_rank_reads_when_the_first_falls_silent() {
     let listing = read(vec![row("a", 1)], 1);
-    assert_eq!(listing.read_at(0), Deadline(at(500).0));
-    assert_eq!(listing.read_at(1), Deadline(at(750).0));
-    assert!(listing.read_at(400).0 <= at(2_000).0, "a leaving endpoint has two seconds");
+    assert_eq!(listing.next_read_at(0), Deadline(at(500).0));
+    assert_eq!(listing.next_read_at(1), Deadline(at(750).0));
+    assert!(listing.next_read_at(400).0 <= at(2_000).0, "a leaving endpoint has two seconds");
 }
 
 /// All instances lose power. Their engines start again at the same addresses
@@ -132,17 +132,17 @@
     let mut restarted = endpoint("z", false);
     restarted.addr = endpoint("a", false).addr;
     let restarted = ListedRow { endpoint: Some(restarted), ..row("z", 5) };
-    listing.take_read(news(vec![restarted], 2, 5, at(500)), at(500));
+    listing.apply_read(news(vec![restarted], 2, 5, at(500)), at(500));
     let present = |listing: &EndpointListing| -> Vec<String> {
-        let present = listing.present(|_| true);
+        let present = listing.latest_per_addr(|_| true);
         present.iter().map(|endpoint| endpoint.instance.to_string()).collect()
     };
     assert_eq!(present(&listing), ["b", "z"]);
     let service = ServiceName::new("desk").expect("valid");
-    let at_address = listing.present_at(&service, endpoint("a", false).addr);
+    let at_address = listing.latest_at(&service, endpoint("a", false).addr);
     assert_eq!(at_address.map(|endpoint| &endpoint.instance), Some(&instance("z")));
     // A row of a service that nobody knows is somebody else's and hides none.
-    assert!(listing.present(|service| service.as_str() == "other").is_empty());
+    assert!(listing.latest_per_addr(|service| service.as_str() == "other").is_empty());
 }
 
 /// An entry learns that another process answers at an endpoint's address. A word
@@ -152,9 +152,9 @@
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
     assert!(listing.forget(&instance("a")));
     assert!(!listing.forget(&instance("a")));
-    assert!(listing.take_told(&news(vec![row("a", 1)], 2, 2, at(300))));
+    assert!(listing.apply_update(&news(vec![row("a", 1)], 2, 2, at(300))));
     assert_eq!(names(&listing), ["b"]);
-    assert!(listing.take_told(&news(vec![row("a", 3)], 2, 3, at(400))));
+    assert!(listing.apply_update(&news(vec![row("a", 3)], 2, 3, at(400))));
     assert_eq!(names(&listing), ["a", "b"]);
 }
 
@@ -166,9 +166,9 @@
 fn an_unusable_row_ends_its_endpoint_also_after_an_outage() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
     let unusable = ListedRow { is_unusable: true, ..gone("a", 3) };
-    listing.take_read(news(vec![unusable, gone("b", 4)], 2, 4, at(6_000)), at(6_000));
+    listing.apply_read(news(vec![unusable, gone("b", 4)], 2, 4, at(6_000)), at(6_000));
     assert_eq!(names(&listing), ["b"]);
-    assert!(listing.take_told(&news(vec![row("a", 5)], 4, 5, at(6_500))));
+    assert!(listing.apply_update(&news(vec![row("a", 5)], 4, 5, at(6_500))));
     assert_eq!(names(&listing), ["a", "b"]);
 }
 
@@ -178,8 +178,8 @@
 #[test]
 fn one_entry_at_a_time_is_asked_for_the_whole_list() {
     let mut listing = EndpointListing::new(1_200);
-    assert!(listing.begin_asking(Timestamp(1_000)));
-    assert!(!listing.begin_asking(Timestamp(1_001)));
-    assert!(!listing.begin_asking(Timestamp(1_200)));
-    assert!(listing.begin_asking(Timestamp(1_250)));
+    assert!(listing.begin_snapshot_request(Timestamp(1_000)));
+    assert!(!listing.begin_snapshot_request(Timestamp(1_001)));
+    assert!(!listing.begin_snapshot_request(Timestamp(1_200)));
+    assert!(listing.begin_snapshot_request(Timestamp(1_250)));
 }
--- a/crates/entry/src/control/listing.rs
+++ b/crates/entry/src/control/listing.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use cassiawheel_decide::ListingNews;
+use cassiawheel_decide::ListingUpdate;
 use cassiawheel_edge::{FeedError, FeedPage};
 use cassiawheel_model::{ListedEndpoint, ListedRow, Timestamp};
 use cassiawheel_wire::{ControlMessage, WireSender};
@@ -32,7 +32,7 @@
     loop {
         let now = Timestamp::now();
         settle(&shared, &routed, now);
-        let due = routed.listing().read_at(read_rank(&shared, now)).max(again_at);
+        let due = routed.listing().next_read_at(read_rank(&shared, now)).max(again_at);
         if !due.is_past(now) {
             Timer::after(due.remaining(now).min(LOOK_TIME)).await;
             continue;
@@ -77,12 +77,12 @@
     base: u64,
     asked_at: Timestamp,
 ) {
-    let news = ListingNews { rows: page.rows, base, position: page.position, asked_at };
+    let news = ListingUpdate { rows: page.rows, base, position: page.position, asked_at };
     let now = Timestamp::now();
     let mut listing = routed.listing();
     let is_first = listing.position() == 0;
     let before: Vec<_> = listing.endpoints().cloned().collect();
-    let told = listing.take_read(news, now);
+    let told = listing.apply_read(news, now);
     let changed = !listing.endpoints().eq(before.iter());
     drop(listing);
     // What a process reads at its start is news to itself. The others read at
@@ -97,7 +97,7 @@
 }
 
 /// Sends the other entries what they have to know; rows that only repeat a heartbeat stay out.
-fn tell(shared: &EntryShared, news: ListingNews, before: &[ListedEndpoint]) {
+fn tell(shared: &EntryShared, news: ListingUpdate, before: &[ListedEndpoint]) {
     let is_news = |row: &ListedRow| match &row.endpoint {
         Some(endpoint) => !before.contains(endpoint),
         None => true,
@@ -114,13 +114,13 @@
 
 fn settle(shared: &EntryShared, routed: &RoutedInterface, now: Timestamp) {
     let mut listing = routed.listing();
-    let rows = listing.settle(now);
+    let rows = listing.expire_missing(now);
     let (position, asked_at) = (listing.position(), listing.asked_at());
     drop(listing);
     let Some(asked_at) = asked_at.filter(|_| !rows.is_empty()) else {
         return;
     };
-    tell(shared, ListingNews { rows, base: position, position, asked_at }, &[]);
+    tell(shared, ListingUpdate { rows, base: position, position, asked_at }, &[]);
     log_change(shared, routed, "not-returned");
 }
 
@@ -129,11 +129,11 @@
     shared: &EntryShared,
     routed: &RoutedInterface,
     sender: &WireSender,
-    news: ListingNews,
+    news: ListingUpdate,
 ) {
     let mut listing = routed.listing();
     let before: Vec<_> = listing.endpoints().cloned().collect();
-    let is_known = listing.take_told(&news);
+    let is_known = listing.apply_update(&news);
     let changed = !listing.endpoints().eq(before.iter());
     drop(listing);
     if !is_known {
@@ -146,7 +146,7 @@
 
 /// Asks an entry for the whole list, unless another one is about to send it.
 pub(crate) fn ask_whole(routed: &RoutedInterface, sender: &WireSender) {
-    if routed.listing().begin_asking(Timestamp::now()) {
+    if routed.listing().begin_snapshot_request(Timestamp::now()) {
         let _ = sender.try_send(ControlMessage::ListingWanted);
     }
 }
@@ -164,7 +164,7 @@
 
 /// Sends the whole list to an entry that knows too little of it.
 pub(crate) fn send_whole(routed: &RoutedInterface, sender: &WireSender) {
-    let Some(whole) = routed.listing().whole() else {
+    let Some(whole) = routed.listing().snapshot() else {
         return;
     };
     let age_ms = Timestamp::now().since(whole.asked_at).as_millis() as u64;
--- a/crates/entry/src/control/spread.rs
+++ b/crates/entry/src/control/spread.rs
@@ -10,7 +10,7 @@
 };
 
 use cassiawheel_decide::{
-    ListingNews, PeerEntry,
+    ListingUpdate, PeerEntry,
     advice::AdviceInput,
     rank::{first_ranked, subject_of},
 };
@@ -171,7 +171,7 @@
         ControlMessage::Manifest(manifest) => routed.manifests.keep(manifest),
         ControlMessage::Listing { rows, base, position, age_ms } => {
             let asked_at = Timestamp(Timestamp::now().0.saturating_sub(age_ms));
-            let news = ListingNews { rows, base, position, asked_at };
+            let news = ListingUpdate { rows, base, position, asked_at };
             listing::hear_listing(shared, routed, sender, news);
         }
         ControlMessage::ListingWanted => listing::send_whole(routed, sender),
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -114,7 +114,7 @@
         let limits = Arc::new(LimitWatch::new(overlay.waker()));
         let mut listing = EndpointListing::new(edges.settings.list_heartbeat_ms);
         // The first read of the table is under way as soon as the process runs.
-        listing.begin_asking(Timestamp::now());
+        listing.begin_snapshot_request(Timestamp::now());
         Self {
             listing: Mutex::new(listing),
             settings: edges.settings,
@@ -258,7 +258,7 @@
     preset: &ForcedPreset,
     reports: &HashMap<SocketAddr, &EndpointReport>,
 ) -> Vec<DirectCandidate<'a>> {
-    let present = listing.present(|service| preset.content.services.contains_key(service));
+    let present = listing.latest_per_addr(|service| preset.content.services.contains_key(service));
     let present = present.into_iter().filter(|listed| !listed.is_leaving);
     let candidate = |listed: &'a ListedEndpoint| {
         let target = preset.content.services.get(&listed.service)?;
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -372,7 +372,7 @@
             return;
         };
         let listing = routed.listing();
-        let listed = report.endpoint_addr.and_then(|a| listing.present_at(&report.service, a));
+        let listed = report.endpoint_addr.and_then(|a| listing.latest_at(&report.service, a));
         let Some(instance) = listed.map(|listed| listed.instance.clone()) else {
             return;
         };
