--- a/crates/agent/src/transfer/manifest.rs
+++ b/crates/agent/src/transfer/manifest.rs
@@ -56,7 +56,7 @@
                     }
                 }
             }
-            SearchStep::Others(asked) => {
+            SearchStep::Peers(asked) => {
                 if let Some(manifest) = from_agents(shared, order, &peers, &asked).await {
                     return Some(manifest);
                 }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -66,7 +66,7 @@
 pub use manifest_search::{ManifestSearch, SearchStep};
 pub use overlay::{EntryPlace, RowDuty, chosen_links, near_or_all, reachable_entries, row_duty};
 pub use preset_holder::{Adoption, PresetHolder, StartHold};
-pub use preset_pull::{PresetPull, PullStep, PullView, ToldRevision};
+pub use preset_pull::{PresetPull, PullStep, PullView, PeerRevision};
 pub use repeats::RepeatSchedule;
 pub use retry::{AttemptEnd, RepeatGuard, RetryBudget, RetryStep, RetryTracker};
 pub use roster::{EndpointRoster, EntryRoster, PeerEntry};
--- a/crates/decide/src/manifest_search.rs
+++ b/crates/decide/src/manifest_search.rs
@@ -70,7 +70,7 @@
     /// Read the origin.
     Origin,
     /// Ask these others at the same time.
-    Others(Vec<InstanceId>),
+    Peers(Vec<InstanceId>),
     /// Nothing before this moment.
     Wait(Deadline),
 }
@@ -125,7 +125,7 @@
             self.ask_wait_ms = (self.ask_wait_ms * 2).min(LONGEST_ASK_MS);
             self.others_from = Deadline(now.0 + self.ask_wait_ms);
             self.asks += 1;
-            return SearchStep::Others(asked(&ranked, self.asks, rng));
+            return SearchStep::Peers(asked(&ranked, self.asks, rng));
         }
         SearchStep::Wait(self.others_from.min(origin_from))
     }
--- a/crates/decide/src/preset_pull.rs
+++ b/crates/decide/src/preset_pull.rs
@@ -53,7 +53,7 @@
 /// An entry that told of a revision, and when it told first of a newer one than was known.
 #[derive(Debug, Clone)]
 struct RevisionTeller<H> {
-    told: ToldRevision<H>,
+    told: PeerRevision<H>,
     told_at: Timestamp,
 }
 
@@ -67,7 +67,7 @@
 
 /// What an entry tells of itself.
 #[derive(Debug, Clone)]
-pub struct ToldRevision<H> {
+pub struct PeerRevision<H> {
     /// The entry.
     pub instance: InstanceId,
     /// The highest revision that it has adopted.
@@ -99,7 +99,7 @@
     /// Look again at this moment, or when something is told.
     Wait(Deadline),
     /// Ask this entry.
-    Ask(H),
+    Request(H),
 }
 
 /// The pull of a preset by one entry.
@@ -134,7 +134,7 @@
 
 impl<H: Clone> PresetPull<H> {
     /// Takes what another entry tells; true if steps have to be made from now on.
-    pub fn hear(&mut self, told: ToldRevision<H>, known: PresetRevision, now: Timestamp) -> bool {
+    pub fn observe(&mut self, told: PeerRevision<H>, known: PresetRevision, now: Timestamp) -> bool {
         let before = self.tellers.iter().position(|teller| teller.told.instance == told.instance);
         let before = before.map(|position| self.tellers.swap_remove(position));
         if told.revision <= known {
@@ -187,17 +187,17 @@
             true => self.near_question = question,
             false => self.far_question = question,
         }
-        PullStep::Ask(handle)
+        PullStep::Request(handle)
     }
 
     /// One of those that told of the newest revision; one that was not asked yet if
     /// there is one, since the others may be frozen.
-    fn draw_teller(&self, is_near: bool, rng: &mut impl Rng) -> Option<&ToldRevision<H>> {
+    fn draw_teller(&self, is_near: bool, rng: &mut impl Rng) -> Option<&PeerRevision<H>> {
         let tellers = self.tellers.iter().map(|teller| &teller.told);
         let tellers: Vec<_> = tellers.filter(|told| told.is_near == is_near).collect();
         let newest = tellers.iter().map(|told| told.revision).max()?;
         let newest: Vec<_> = tellers.into_iter().filter(|told| told.revision == newest).collect();
-        let is_other = |told: &&ToldRevision<H>| !self.asked.contains(&told.instance);
+        let is_other = |told: &&PeerRevision<H>| !self.asked.contains(&told.instance);
         let others: Vec<_> = newest.iter().copied().filter(is_other).collect();
         others.choose(rng).or_else(|| newest.choose(rng)).copied()
     }
--- a/crates/decide/tests/manifest_search.rs
+++ b/crates/decide/tests/manifest_search.rs
@@ -135,7 +135,7 @@
             }
             doing[index] = match searches[index].next(&listed[index], now, &mut rng) {
                 SearchStep::Origin => play.read(ms, &doing),
-                SearchStep::Others(others) => {
+                SearchStep::Peers(others) => {
                     let is_dead = |other: &InstanceId| play.dead.contains(&index_of[other]);
                     let holds = |other: &InstanceId| found[index_of[other]].is_some();
                     let is_slow = others.iter().any(is_dead) && !others.iter().any(holds);
--- a/crates/decide/tests/preset_pull.rs
+++ b/crates/decide/tests/preset_pull.rs
@@ -1,6 +1,6 @@
 //! Entries that miss a preset and ask others for it, over links that are shared.
 
-use cassiawheel_decide::{PresetPull, PullStep, PullView, ToldRevision};
+use cassiawheel_decide::{PresetPull, PullStep, PullView, PeerRevision};
 use cassiawheel_model::{InstanceId, PresetRevision, Timestamp};
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
 use rstest::rstest;
@@ -118,14 +118,14 @@
     }
 
     /// Hears of the preset from `teller`.
-    fn hear(&mut self, teller: usize, now: u64) {
-        let told = ToldRevision {
+    fn observe(&mut self, teller: usize, now: u64) {
+        let told = PeerRevision {
             instance: instance(teller),
             revision: NEW,
             is_near: self.region == teller / ENTRIES_A_REGION,
             handle: teller,
         };
-        self.is_running |= self.pull.hear(told, OLD, Timestamp(now));
+        self.is_running |= self.pull.observe(told, OLD, Timestamp(now));
         if self.last_teller.replace(teller).is_none() {
             self.asks_again_at = now + ASK_AGAIN_MS;
         }
@@ -139,7 +139,7 @@
                 self.last_teller
             }
             PullRule::OneQuestion if self.is_running => match self.pull.step(view, |_| true, rng) {
-                PullStep::Ask(teller) => Some(teller),
+                PullStep::Request(teller) => Some(teller),
                 PullStep::Wait(_) | PullStep::Done => None,
             },
             PullRule::AskAnew | PullRule::OneQuestion => None,
--- a/crates/entry/src/control/manifests.rs
+++ b/crates/entry/src/control/manifests.rs
@@ -60,7 +60,7 @@
                 }
             }
             // The others tell what they have pinned without being asked.
-            SearchStep::Others(_) => {}
+            SearchStep::Peers(_) => {}
             SearchStep::Wait(until) => {
                 let span = until.remaining(Timestamp::now()).min(TICK);
                 timeout(span, routed.versions_changed()).await;
--- a/crates/entry/src/control/pull.rs
+++ b/crates/entry/src/control/pull.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{PullStep, PullView, RowDuty, ToldRevision};
+use cassiawheel_decide::{PullStep, PullView, RowDuty, PeerRevision};
 use cassiawheel_model::{FailureDomain, InstanceId, PresetRevision, Timestamp};
 use cassiawheel_runtime::spawn;
 use cassiawheel_wire::{ControlMessage, WireSender};
@@ -25,13 +25,13 @@
     failure_domain: &FailureDomain,
     revision: PresetRevision,
 ) {
-    let told = ToldRevision {
+    let told = PeerRevision {
         instance: instance.clone(),
         revision,
         is_near: routed.settings.near_domains.contains(failure_domain),
         handle: sender.clone(),
     };
-    let begins = routed.pull().hear(told, shared.known_revision(), Timestamp::now());
+    let begins = routed.pull().observe(told, shared.known_revision(), Timestamp::now());
     if begins {
         spawn(pull_preset(shared.clone(), routed.clone())).detach();
     }
@@ -52,7 +52,7 @@
         let step = routed.pull().step(view, is_open, &mut rand::rng());
         match step {
             PullStep::Done => return,
-            PullStep::Ask(sender) => {
+            PullStep::Request(sender) => {
                 log::info!(target: "preset", revision = view.known.0; "Asks another entry for a newer preset.");
                 let _ = sender.try_send(ControlMessage::PresetWanted);
             }
