--- a/crates/decide/src/change.rs
+++ b/crates/decide/src/change.rs
@@ -79,7 +79,7 @@
     /// Insert the record of a refusal, unless the id has a record.
     Refuse(ChangeRecord),
     /// Answer the operator.
-    Done(ChangeVerdict),
+    Done(ChangeOutcome),
 }
 
 /// What the table service answered.
@@ -108,7 +108,7 @@
 
 /// What the operator is told.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ChangeVerdict {
+pub enum ChangeOutcome {
     /// In force from this revision on.
     Accepted(Arc<ForcedPreset>),
     /// Another change won; this one will never take effect.
@@ -222,7 +222,7 @@
         answer: ChangeAnswer,
     ) -> ChangeStep {
         match answer {
-            ChangeAnswer::Written => ChangeStep::Done(ChangeVerdict::Accepted(preset)),
+            ChangeAnswer::Written => ChangeStep::Done(ChangeOutcome::Accepted(preset)),
             ChangeAnswer::Blocked { record: Some(record), .. } => self.settled(record),
             ChangeAnswer::Blocked { record: None, winner } => {
                 let detail = "another change came first".to_owned();
@@ -290,26 +290,26 @@
         if self.loose {
             return unknown(&detail);
         }
-        ChangeStep::Done(ChangeVerdict::NotAccepted(detail))
+        ChangeStep::Done(ChangeOutcome::NotAccepted(detail))
     }
 
     fn settled(&self, record: ChangeRecord) -> ChangeStep {
         ChangeStep::Done(match record {
             ChangeRecord::Made(made) if made.preset == self.request.preset => {
-                ChangeVerdict::Accepted(made)
+                ChangeOutcome::Accepted(made)
             }
-            ChangeRecord::Made(made) => ChangeVerdict::NotAccepted(format!(
+            ChangeRecord::Made(made) => ChangeOutcome::NotAccepted(format!(
                 "the change id belongs to the change to {} at revision {}",
                 made.preset, made.revision.0
             )),
             ChangeRecord::Refused { winner: Some(winner), .. } => {
-                ChangeVerdict::Conflict(Some(winner))
+                ChangeOutcome::Conflict(Some(winner))
             }
-            ChangeRecord::Refused { winner: None, detail } => ChangeVerdict::NotAccepted(detail),
+            ChangeRecord::Refused { winner: None, detail } => ChangeOutcome::NotAccepted(detail),
         })
     }
 }
 
 fn unknown(detail: &str) -> ChangeStep {
-    ChangeStep::Done(ChangeVerdict::Unknown(detail.to_owned()))
+    ChangeStep::Done(ChangeOutcome::Unknown(detail.to_owned()))
 }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -48,7 +48,7 @@
 pub use caller_index::{CallerIndex, UnknownKey, draw_service};
 pub use cell::{EndpointCell, EndpointPace};
 pub use change::{
-    ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeVerdict, ChangeWriter, ForceRow,
+    ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeOutcome, ChangeWriter, ForceRow,
 };
 pub use claim::{ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimView};
 pub use crash_book::{BAR_TIME, CrashBook, CrashVerdict};
--- a/crates/decide/tests/change.rs
+++ b/crates/decide/tests/change.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cassiawheel_decide::{
-    ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeVerdict, ChangeWriter, ForceRow,
+    ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeOutcome, ChangeWriter, ForceRow,
 };
 use cassiawheel_model::{
     ChangeId, ForcedPreset, OperatorName, PresetContent, PresetName, PresetRevision, Timestamp,
@@ -68,11 +68,11 @@
     let step = writer.next(blocked, NOW);
     match step {
         ChangeStep::Done(verdict) if fresh => {
-            assert_eq!(verdict, ChangeVerdict::Conflict(Some(winner)));
+            assert_eq!(verdict, ChangeOutcome::Conflict(Some(winner)));
         }
         ChangeStep::Refuse(_) if !fresh => {
             let step = writer.next(ChangeAnswer::Lost("cut".to_owned()), NOW);
-            assert!(matches!(step, ChangeStep::Done(ChangeVerdict::Unknown(_))));
+            assert!(matches!(step, ChangeStep::Done(ChangeOutcome::Unknown(_))));
         }
         other => panic!("fresh {fresh}: {other:?}"),
     }
@@ -90,7 +90,7 @@
     let ChangeStep::Done(verdict) = step else {
         panic!("a verdict was due, not {step:?}");
     };
-    assert_eq!(verdict, ChangeVerdict::Accepted(preset));
+    assert_eq!(verdict, ChangeOutcome::Accepted(preset));
 }
 
 /// An operator asks again while the table is down. The ask wrote nothing, but
@@ -102,8 +102,8 @@
     let (mut writer, _) = ChangeWriter::start(request(fresh, 4));
     let step = writer.next(ChangeAnswer::NoEffect("refused".to_owned()), NOW);
     match step {
-        ChangeStep::Done(ChangeVerdict::NotAccepted(_)) => assert!(fresh),
-        ChangeStep::Done(ChangeVerdict::Unknown(_)) => assert!(!fresh),
+        ChangeStep::Done(ChangeOutcome::NotAccepted(_)) => assert!(fresh),
+        ChangeStep::Done(ChangeOutcome::Unknown(_)) => assert!(!fresh),
         other => panic!("{other:?}"),
     }
 }
@@ -115,5 +115,5 @@
     let (mut writer, _) = ChangeWriter::start(request(false, 4));
     let record = ChangeRecord::Made(forced("ordinary", 3));
     let step = writer.next(ChangeAnswer::Record(Some(record)), NOW);
-    assert!(matches!(step, ChangeStep::Done(ChangeVerdict::NotAccepted(_))));
+    assert!(matches!(step, ChangeStep::Done(ChangeOutcome::NotAccepted(_))));
 }
--- a/crates/decide/tests/history/check.rs
+++ b/crates/decide/tests/history/check.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use cassiawheel_decide::ChangeVerdict;
+use cassiawheel_decide::ChangeOutcome;
 use todc_utils::{
     linearizability::{WGLChecker, history::Action, history::History},
     specifications::Specification,
@@ -58,15 +58,15 @@
     found.false_answers += made.values().filter(|count| **count > 1).count() as u64;
     for (change, verdict) in &world.verdicts {
         match verdict {
-            ChangeVerdict::Accepted(preset) => {
+            ChangeOutcome::Accepted(preset) => {
                 found.accepted += 1;
                 let kept = world.store.changes.get(&preset.revision);
                 found.lost += u64::from(kept.map(|kept| &kept.change) != Some(change));
             }
-            ChangeVerdict::Conflict(_) | ChangeVerdict::NotAccepted(_) => {
+            ChangeOutcome::Conflict(_) | ChangeOutcome::NotAccepted(_) => {
                 found.false_answers += u64::from(made.contains_key(change));
             }
-            ChangeVerdict::Unknown(_) => {}
+            ChangeOutcome::Unknown(_) => {}
         }
     }
     let last = world.store.force().map(|row| row.preset.revision).unwrap_or_default();
--- a/crates/decide/tests/history/world.rs
+++ b/crates/decide/tests/history/world.rs
@@ -7,7 +7,7 @@
 };
 
 use cassiawheel_decide::{
-    Adoption, ChangeAnswer, ChangeRequest, ChangeStep, ChangeVerdict, ChangeWriter, GateState,
+    Adoption, ChangeAnswer, ChangeRequest, ChangeStep, ChangeOutcome, ChangeWriter, GateState,
     PresetHolder, StartHold,
 };
 use cassiawheel_model::{
@@ -171,7 +171,7 @@
     adopted: BTreeMap<PresetRevision, ChangeId>,
     pub store: ModelStore,
     pub operations: Vec<Operation>,
-    pub verdicts: Vec<(ChangeId, ChangeVerdict)>,
+    pub verdicts: Vec<(ChangeId, ChangeOutcome)>,
     pub reverts: u64,
     pub two_in_force: u64,
     pub stale_dispatches: u64,
@@ -404,7 +404,7 @@
             Event::Ask { operation, ask } => self.ask(operation, ask),
             Event::AskTimeout { operation, ask } => {
                 let detail = "the entry did not answer".to_owned();
-                self.conclude(operation, ask, ChangeVerdict::Unknown(detail));
+                self.conclude(operation, ask, ChangeOutcome::Unknown(detail));
             }
         }
     }
@@ -620,7 +620,7 @@
             ChangeStep::Write { preset, guard } => StoreCall::Write { preset, guard },
             ChangeStep::Refuse(record) => StoreCall::Refuse { change, record },
             ChangeStep::Done(verdict) => {
-                if let ChangeVerdict::Accepted(preset) = &verdict {
+                if let ChangeOutcome::Accepted(preset) = &verdict {
                     self.offer(node, preset);
                 }
                 return self.conclude(operation, ask, verdict);
@@ -630,7 +630,7 @@
     }
 
     /// An operator hears a verdict, or asks again by the same id if it is unknown.
-    fn conclude(&mut self, operation: usize, ask: u64, verdict: ChangeVerdict) {
+    fn conclude(&mut self, operation: usize, ask: u64, verdict: ChangeOutcome) {
         let asked = &self.operations[operation];
         if asked.ended.is_some() || asked.asks != ask {
             return;
@@ -638,11 +638,11 @@
         let now = self.now;
         let change = asked.change.clone().expect("operators change");
         let outcome = match &verdict {
-            ChangeVerdict::Accepted(preset) => OperationKind::Change(Some(preset.revision.0)),
-            ChangeVerdict::Conflict(_) | ChangeVerdict::NotAccepted(_) => {
+            ChangeOutcome::Accepted(preset) => OperationKind::Change(Some(preset.revision.0)),
+            ChangeOutcome::Conflict(_) | ChangeOutcome::NotAccepted(_) => {
                 OperationKind::Change(None)
             }
-            ChangeVerdict::Unknown(_) => {
+            ChangeOutcome::Unknown(_) => {
                 self.operations[operation].asks = ask + 1;
                 let at = now + self.rng.random_range(50..800);
                 return self.at(at, Event::Ask { operation, ask: ask + 1 });
--- a/crates/entry/src/control/change.rs
+++ b/crates/entry/src/control/change.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use cassiawheel_decide::{
-    ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeVerdict, ChangeWriter,
+    ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeOutcome, ChangeWriter,
 };
 use cassiawheel_edge::{
     StoreError, TableGuard, TableRow, TableStore, TableWrite, WeightError, WriteVerdict,
@@ -225,15 +225,15 @@
     Ok(reply_of(shared, change, verdict))
 }
 
-fn reply_of(shared: &EntryShared, change: ChangeId, verdict: ChangeVerdict) -> ChangeReply {
+fn reply_of(shared: &EntryShared, change: ChangeId, verdict: ChangeOutcome) -> ChangeReply {
     match verdict {
-        ChangeVerdict::Accepted(preset) => {
+        ChangeOutcome::Accepted(preset) => {
             spread::adopt(shared, &preset);
             ChangeReply::Accepted { preset }
         }
-        ChangeVerdict::Conflict(winner) => ChangeReply::Conflict { winner },
-        ChangeVerdict::NotAccepted(detail) => ChangeReply::NotAccepted { detail },
-        ChangeVerdict::Unknown(detail) => ChangeReply::Unknown { change, detail },
+        ChangeOutcome::Conflict(winner) => ChangeReply::Conflict { winner },
+        ChangeOutcome::NotAccepted(detail) => ChangeReply::NotAccepted { detail },
+        ChangeOutcome::Unknown(detail) => ChangeReply::Unknown { change, detail },
     }
 }
 
