--- a/crates/agent/src/keyed.rs
+++ b/crates/agent/src/keyed.rs
@@ -77,7 +77,7 @@
         }
         ClaimStep::Conflict => Err(RunFailure::NotRun(NotRunReason::KeyConflict)),
         ClaimStep::Unknown(detail) => Err(RunFailure::Unknown(detail)),
-        ClaimStep::GiveUp | ClaimStep::Look | ClaimStep::Write(_) => {
+        ClaimStep::GiveUp | ClaimStep::Poll | ClaimStep::Write(_) => {
             Err(RunFailure::NotRun(NotRunReason::StoreUnavailable))
         }
     }
@@ -126,7 +126,7 @@
         let mut step = ClaimStep::Write(ClaimGuard::Absent);
         let mut wait_ms = 0;
         loop {
-            let goes_on = matches!(step, ClaimStep::Write(_) | ClaimStep::Look);
+            let goes_on = matches!(step, ClaimStep::Write(_) | ClaimStep::Poll);
             // A claim that is certain goes on to the run, which begins only if it was
             // not cancelled, and releases the row if it was: given up here, the row
             // would stay held by an attempt that never runs, and whoever asks again
@@ -142,7 +142,7 @@
                     let record = self.tracker.record();
                     row::write_claim(self.shared, &self.row, record, guard, self.give_up_at).await
                 }
-                ClaimStep::Look => {
+                ClaimStep::Poll => {
                     // Waiters would fill the gate, and the run that they wait
                     // for might be the one that is refused.
                     if self.tracker.waits_for_other() {
--- a/crates/agent/src/keyed/row.rs
+++ b/crates/agent/src/keyed/row.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use cassiawheel_decide::claim::{
-    ClaimGuard, ClaimRecord, ClaimState, ClaimTracker, ClaimView, ReleaseStep, release_step,
+    ClaimGuard, ClaimRecord, ClaimState, ClaimTracker, ClaimReply, ReleaseStep, release_step,
 };
 use cassiawheel_edge::{StoreError, TableGuard, TableRow, TableWrite, WriteVerdict};
 use cassiawheel_model::{Deadline, Timestamp};
@@ -29,9 +29,9 @@
     record: &ClaimRecord,
     guard: ClaimGuard,
     give_up_at: Deadline,
-) -> ClaimView {
+) -> ClaimReply {
     let span = give_up_at.remaining(Timestamp::now());
-    timeout(span, write(shared, row, record, guard)).await.unwrap_or(ClaimView::Lost)
+    timeout(span, write(shared, row, record, guard)).await.unwrap_or(ClaimReply::Lost)
 }
 
 /// Reads the row; a read without an answer by `give_up_at` tells nothing.
@@ -42,15 +42,15 @@
     shared: &EndpointShared,
     row: &str,
     give_up_at: Deadline,
-) -> ClaimView {
+) -> ClaimReply {
     let span = give_up_at.remaining(Timestamp::now());
-    timeout(span, look(shared, row)).await.unwrap_or(ClaimView::Lost)
+    timeout(span, look(shared, row)).await.unwrap_or(ClaimReply::Lost)
 }
 
-async fn look(shared: &EndpointShared, row: &str) -> ClaimView {
+async fn look(shared: &EndpointShared, row: &str) -> ClaimReply {
     match shared.table.read(row).await {
         Ok(Some(found)) => view_of(found),
-        Ok(None) => ClaimView::Absent,
+        Ok(None) => ClaimReply::Absent,
         Err(error) => view_of_error(&error),
     }
 }
@@ -60,9 +60,9 @@
     row: &str,
     record: &ClaimRecord,
     guard: ClaimGuard,
-) -> ClaimView {
+) -> ClaimReply {
     let Ok(value) = serde_json::to_value(record) else {
-        return ClaimView::NoEffect;
+        return ClaimReply::NoEffect;
     };
     let guard = match guard {
         ClaimGuard::Absent => TableGuard::Absent,
@@ -74,28 +74,28 @@
     };
     let write = TableWrite { key: row.to_owned(), guard, value };
     match shared.claims.write(write, bytes).await {
-        Ok(WriteVerdict::Written(revision)) => ClaimView::Written(revision),
+        Ok(WriteVerdict::Written(revision)) => ClaimReply::Written(revision),
         Ok(WriteVerdict::Conflict(Some(found))) => view_of(found),
-        Ok(WriteVerdict::Conflict(None)) => ClaimView::Absent,
-        Ok(WriteVerdict::Aborted) => ClaimView::NoEffect,
+        Ok(WriteVerdict::Conflict(None)) => ClaimReply::Absent,
+        Ok(WriteVerdict::Aborted) => ClaimReply::NoEffect,
         Err(error) => view_of_error(&error),
     }
 }
 
-fn view_of(row: TableRow) -> ClaimView {
+fn view_of(row: TableRow) -> ClaimReply {
     match serde_json::from_value(row.value) {
-        Ok(record) => ClaimView::Found { record, revision: row.revision },
+        Ok(record) => ClaimReply::Found { record, revision: row.revision },
         Err(error) => {
             log::error!(target: "claim", row = row.key, cause:% = error; "A row is not a claim.");
-            ClaimView::Lost
+            ClaimReply::Lost
         }
     }
 }
 
-fn view_of_error(error: &StoreError) -> ClaimView {
+fn view_of_error(error: &StoreError) -> ClaimReply {
     match error {
-        StoreError::NoEffect(_) | StoreError::RateLimited { .. } => ClaimView::NoEffect,
-        StoreError::Unknown(_) => ClaimView::Lost,
+        StoreError::NoEffect(_) | StoreError::RateLimited { .. } => ClaimReply::NoEffect,
+        StoreError::Unknown(_) => ClaimReply::Lost,
     }
 }
 
@@ -115,13 +115,13 @@
         let mut backoff = RowBackoff::begin();
         loop {
             match write(&shared, &row, &record, ClaimGuard::Revision(revision)).await {
-                ClaimView::Written(_) => return,
-                ClaimView::Found { record: found, .. } if found == record => return,
-                ClaimView::Found { .. } | ClaimView::Absent => {
+                ClaimReply::Written(_) => return,
+                ClaimReply::Found { record: found, .. } if found == record => return,
+                ClaimReply::Found { .. } | ClaimReply::Absent => {
                     log::error!(target: "claim", row = row; "A held claim was changed by another.");
                     return;
                 }
-                ClaimView::NoEffect | ClaimView::Lost => {}
+                ClaimReply::NoEffect | ClaimReply::Lost => {}
             }
             if !backoff.wait().await {
                 log::warn!(target: "claim", row = row; "An outcome was not recorded.");
@@ -143,8 +143,8 @@
             view = match release_step(&released.nonce, &view) {
                 ReleaseStep::Done => return,
                 ReleaseStep::Write(guard) => write(&shared, &row, &released, guard).await,
-                ReleaseStep::Look if backoff.wait().await => look(&shared, &row).await,
-                ReleaseStep::Look => {
+                ReleaseStep::Poll if backoff.wait().await => look(&shared, &row).await,
+                ReleaseStep::Poll => {
                     log::warn!(target: "claim", row = row; "A claim was not released.");
                     return;
                 }
--- a/crates/decide/src/claim.rs
+++ b/crates/decide/src/claim.rs
@@ -74,7 +74,7 @@
 
 /// What the table service said.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimView {
+pub enum ClaimReply {
     /// Our write took effect and gave the row this revision.
     Written(u64),
     /// The row is this.
@@ -98,7 +98,7 @@
     /// Write the claim under this guard.
     Write(ClaimGuard),
     /// Look at the row after a pause.
-    Look,
+    Poll,
     /// Run the request: the claim is ours and the row has this revision.
     Run(u64),
     /// Give this recorded answer.
@@ -161,26 +161,26 @@
     }
 
     /// Decides after the answer to a write or a look.
-    pub fn next(&mut self, view: ClaimView, now: Timestamp) -> ClaimStep {
-        self.lost_write |= self.writing && view == ClaimView::Lost;
+    pub fn next(&mut self, view: ClaimReply, now: Timestamp) -> ClaimStep {
+        self.lost_write |= self.writing && view == ClaimReply::Lost;
         self.writing = false;
         let step = match view {
-            ClaimView::Written(revision) => {
+            ClaimReply::Written(revision) => {
                 self.lost_write = false;
                 return ClaimStep::Run(revision);
             }
-            ClaimView::Found { record, revision } => self.found(record, revision),
-            ClaimView::Absent => {
+            ClaimReply::Found { record, revision } => self.found(record, revision),
+            ClaimReply::Absent => {
                 self.guard = ClaimGuard::Absent;
                 ClaimStep::Write(self.guard)
             }
-            ClaimView::NoEffect if self.waits_for_other || self.lost_write => ClaimStep::Look,
-            ClaimView::NoEffect => ClaimStep::Write(self.guard),
+            ClaimReply::NoEffect if self.waits_for_other || self.lost_write => ClaimStep::Poll,
+            ClaimReply::NoEffect => ClaimStep::Write(self.guard),
             // The answer is lost, so only the row can tell; its absence does
             // not, but a second write with the same nonce does no harm.
-            ClaimView::Lost => ClaimStep::Look,
+            ClaimReply::Lost => ClaimStep::Poll,
         };
-        let goes_on = matches!(step, ClaimStep::Write(_) | ClaimStep::Look);
+        let goes_on = matches!(step, ClaimStep::Write(_) | ClaimStep::Poll);
         if !goes_on || !self.give_up_at.is_past(now) {
             return step;
         }
@@ -209,7 +209,7 @@
             _ if record.fingerprint != self.own.fingerprint => ClaimStep::Conflict,
             ClaimState::Held => {
                 self.waits_for_other = true;
-                ClaimStep::Look
+                ClaimStep::Poll
             }
             ClaimState::Answered(answer) => ClaimStep::Replay(answer),
             ClaimState::Unanswered { detail } => ClaimStep::Unknown(detail),
@@ -223,7 +223,7 @@
     /// Write the released record under this guard.
     Write(ClaimGuard),
     /// Look at the row after a pause.
-    Look,
+    Poll,
     /// Nothing of this attempt stands in the way of another.
     Done,
 }
@@ -233,10 +233,10 @@
 /// A write that was given up on can take effect minutes later. It would leave
 /// a claim that nobody runs, and every later arrival of the key would be told
 /// "unknown" for ever. A released record in its place makes the late write fail.
-pub fn release_step(nonce: &AttemptNonce, view: &ClaimView) -> ReleaseStep {
+pub fn release_step(nonce: &AttemptNonce, view: &ClaimReply) -> ReleaseStep {
     match view {
-        ClaimView::Absent => ReleaseStep::Write(ClaimGuard::Absent),
-        ClaimView::Found { record, revision } => {
+        ClaimReply::Absent => ReleaseStep::Write(ClaimGuard::Absent),
+        ClaimReply::Found { record, revision } => {
             let ours = record.nonce == *nonce;
             let may_be_ours = match record.state {
                 ClaimState::Held => ours,
@@ -251,8 +251,8 @@
                 ReleaseStep::Done
             }
         }
-        ClaimView::Written(_) => ReleaseStep::Done,
-        ClaimView::NoEffect | ClaimView::Lost => ReleaseStep::Look,
+        ClaimReply::Written(_) => ReleaseStep::Done,
+        ClaimReply::NoEffect | ClaimReply::Lost => ReleaseStep::Poll,
     }
 }
 
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -50,7 +50,7 @@
 pub use change::{
     ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeOutcome, ChangeWriter, ForceRow,
 };
-pub use claim::{ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimView};
+pub use claim::{ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimReply};
 pub use crash_book::{BAR_TIME, CrashBook, CrashVerdict};
 pub use entry_choice::EntryChoice;
 pub use events::{EventError, EventSplicer};
--- a/crates/decide/tests/claim_interleavings.rs
+++ b/crates/decide/tests/claim_interleavings.rs
@@ -6,7 +6,7 @@
 //! moment. The threads take their steps as the agent does.
 
 use cassiawheel_decide::claim::{
-    ClaimGuard, ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimView, RecordedAnswer,
+    ClaimGuard, ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimReply, RecordedAnswer,
     ReleaseStep, release_step,
 };
 use cassiawheel_model::{AttemptNonce, Deadline, PresetRevision, Timestamp};
@@ -69,7 +69,7 @@
         fails && self.lost.fetch_add(1, Ordering::SeqCst) < LOST_CALLS
     }
 
-    fn apply(&self, record: &ClaimRecord, guard: ClaimGuard) -> ClaimView {
+    fn apply(&self, record: &ClaimRecord, guard: ClaimGuard) -> ClaimReply {
         let mut row = self.row.lock().expect("no thread panics");
         let holds = match (guard, &row.record) {
             _ if self.fault == Some(AgentFault::IgnoresGuard) => true,
@@ -80,21 +80,21 @@
         if holds {
             row.revisions += 1;
             row.record = Some((record.clone(), row.revisions));
-            return ClaimView::Written(row.revisions);
+            return ClaimReply::Written(row.revisions);
         }
         view_of(&row)
     }
 
     /// Writes; the effect or the answer may be lost, or the effect come late.
-    fn write(self: &Arc<Self>, record: &ClaimRecord, guard: ClaimGuard) -> ClaimView {
+    fn write(self: &Arc<Self>, record: &ClaimRecord, guard: ClaimGuard) -> ClaimReply {
         if !self.fails() {
             return self.apply(record, guard);
         }
         match thread_rng().gen_range(0..3) {
-            0 => ClaimView::NoEffect,
+            0 => ClaimReply::NoEffect,
             1 => {
                 self.apply(record, guard);
-                ClaimView::Lost
+                ClaimReply::Lost
             }
             _ => {
                 let (world, record) = (self.clone(), record.clone());
@@ -102,14 +102,14 @@
                     world.apply(&record, guard);
                 });
                 self.late.lock().expect("no thread panics").push(late);
-                ClaimView::Lost
+                ClaimReply::Lost
             }
         }
     }
 
-    fn look(&self) -> ClaimView {
+    fn look(&self) -> ClaimReply {
         if self.fails() {
-            return ClaimView::Lost;
+            return ClaimReply::Lost;
         }
         view_of(&self.row.lock().expect("no thread panics"))
     }
@@ -118,7 +118,7 @@
     fn settle(self: &Arc<Self>, record: &ClaimRecord, revision: u64) {
         loop {
             match self.write(record, ClaimGuard::Revision(revision)) {
-                ClaimView::NoEffect | ClaimView::Lost => thread::yield_now(),
+                ClaimReply::NoEffect | ClaimReply::Lost => thread::yield_now(),
                 _ => return,
             }
         }
@@ -132,7 +132,7 @@
             view = match release_step(&released.nonce, &view) {
                 ReleaseStep::Done => return,
                 ReleaseStep::Write(guard) => self.write(&released, guard),
-                ReleaseStep::Look => {
+                ReleaseStep::Poll => {
                     thread::yield_now();
                     self.look()
                 }
@@ -145,7 +145,7 @@
         let mut tracker = ClaimTracker::new(nonce, "same".to_owned(), Deadline(1));
         let mut step = ClaimStep::Write(ClaimGuard::Absent);
         for count in 0.. {
-            let goes_on = matches!(step, ClaimStep::Write(_) | ClaimStep::Look);
+            let goes_on = matches!(step, ClaimStep::Write(_) | ClaimStep::Poll);
             let gives_up = self.fault == Some(AgentFault::KeepsCertainClaim);
             if (goes_on || gives_up) && cancelled.load(Ordering::SeqCst) {
                 break;
@@ -155,7 +155,7 @@
                     tracker.begin_write();
                     self.write(tracker.record(), guard)
                 }
-                ClaimStep::Look => {
+                ClaimStep::Poll => {
                     thread::yield_now();
                     self.look()
                 }
@@ -188,12 +188,12 @@
     }
 }
 
-fn view_of(row: &ClaimRow) -> ClaimView {
+fn view_of(row: &ClaimRow) -> ClaimReply {
     match &row.record {
         Some((record, revision)) => {
-            ClaimView::Found { record: record.clone(), revision: *revision }
+            ClaimReply::Found { record: record.clone(), revision: *revision }
         }
-        None => ClaimView::Absent,
+        None => ClaimReply::Absent,
     }
 }
 
--- a/crates/decide/tests/keyed_history/world.rs
+++ b/crates/decide/tests/keyed_history/world.rs
@@ -4,7 +4,7 @@
 use std::{cmp::Reverse, collections::BinaryHeap};
 
 use cassiawheel_decide::{
-    AttemptEnd, ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimView, GateState,
+    AttemptEnd, ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimReply, GateState,
     RepeatGuard, RetryBudget, RetryStep, RetryTracker, RunLatch,
     claim::{ClaimGuard, RecordedAnswer, ReleaseStep, release_step},
 };
@@ -68,7 +68,7 @@
     Send(usize, StoreCall),
     Apply(usize, StoreCall),
     ApplyUnheard(usize, StoreCall),
-    Answer(usize, StoreCall, ClaimView),
+    Answer(usize, StoreCall, ClaimReply),
     Word(usize, Result<String, AttemptEnd>),
     Deadline(usize),
     Cancel(usize),
@@ -415,26 +415,26 @@
         }
         if self.store_down > 0 {
             let view =
-                if self.rng.random_bool(0.5) { ClaimView::NoEffect } else { ClaimView::Lost };
+                if self.rng.random_bool(0.5) { ClaimReply::NoEffect } else { ClaimReply::Lost };
             return self.soon(Event::Answer(attempt, call, view));
         }
         if self.store_slow > 0 && self.rng.random_bool(0.5) {
             // The client gives up on a write that takes effect long after.
             let late = self.now + self.rng.random_range(50..1_500);
             self.at(late, Event::ApplyUnheard(attempt, call.clone()));
-            return self.at(self.now + 50, Event::Answer(attempt, call, ClaimView::Lost));
+            return self.at(self.now + 50, Event::Answer(attempt, call, ClaimReply::Lost));
         }
         self.soon(Event::Apply(attempt, call));
     }
 
-    fn answered(&mut self, attempt: usize, call: StoreCall, view: ClaimView) {
+    fn answered(&mut self, attempt: usize, call: StoreCall, view: ClaimReply) {
         let again = |call| Event::Send(attempt, call);
         match call {
             // The answer of a call that was given up on before.
             StoreCall::Claim(_) | StoreCall::Look if self.attempts[attempt].ended => {}
             StoreCall::Claim(_) | StoreCall::Look => self.claim_step(attempt, view),
             StoreCall::Settle(state, revision) => match view {
-                ClaimView::NoEffect | ClaimView::Lost => {
+                ClaimReply::NoEffect | ClaimReply::Lost => {
                     self.at(self.now + 60, again(StoreCall::Settle(state, revision)));
                 }
                 _ => {}
@@ -444,13 +444,13 @@
                 match release_step(&nonce, &view) {
                     ReleaseStep::Done => {}
                     ReleaseStep::Write(guard) => self.soon(again(StoreCall::Release(guard))),
-                    ReleaseStep::Look => self.at(self.now + 60, again(StoreCall::ReleaseLook)),
+                    ReleaseStep::Poll => self.at(self.now + 60, again(StoreCall::ReleaseLook)),
                 }
             }
         }
     }
 
-    fn claim_step(&mut self, attempt: usize, view: ClaimView) {
+    fn claim_step(&mut self, attempt: usize, view: ClaimReply) {
         if self.attempts[attempt].latch.is_cancelled() {
             // The shipped loop looks at the latch before each call and keeps
             // what the last answer said.
@@ -469,7 +469,7 @@
         }
         match step {
             ClaimStep::Write(guard) => self.soon(Event::Send(attempt, StoreCall::Claim(guard))),
-            ClaimStep::Look => self.soon(Event::Send(attempt, StoreCall::Look)),
+            ClaimStep::Poll => self.soon(Event::Send(attempt, StoreCall::Look)),
             ClaimStep::Run(revision) => self.begin_run(attempt, revision),
             ClaimStep::Replay(answer) => {
                 self.leave_gate(attempt);
@@ -534,7 +534,7 @@
 
     // The table service.
 
-    fn apply(&mut self, attempt: usize, call: &StoreCall) -> ClaimView {
+    fn apply(&mut self, attempt: usize, call: &StoreCall) -> ClaimReply {
         let key = self.requests[self.attempts[attempt].request].key;
         let tracker = &self.attempts[attempt].tracker;
         let write = match call {
@@ -549,9 +549,9 @@
         let revision = row.as_ref().map(|(_, revision)| *revision);
         let mut view = match row {
             Some((record, revision)) => {
-                ClaimView::Found { record: record.clone(), revision: *revision }
+                ClaimReply::Found { record: record.clone(), revision: *revision }
             }
-            None => ClaimView::Absent,
+            None => ClaimReply::Absent,
         };
         if let Some((guard, record)) = write {
             let holds = match guard {
@@ -561,11 +561,11 @@
             if holds {
                 let next = revision.unwrap_or(0) + 1;
                 *row = Some((record, next));
-                view = ClaimView::Written(next);
+                view = ClaimReply::Written(next);
             }
         }
         if self.answers_lost > 0 && self.rng.random_bool(0.7) {
-            view = ClaimView::Lost;
+            view = ClaimReply::Lost;
         }
         view
     }
