--- a/crates/decide/src/fencing.rs
+++ b/crates/decide/src/fencing.rs
@@ -23,7 +23,7 @@
 
 impl OrderToken {
     /// Reads a token.
-    pub fn read(token: u64) -> Self {
+    pub fn decode(token: u64) -> Self {
         Self { revision: PresetRevision(token >> STEP_BITS), serve: token & 1 == 1 }
     }
 }
@@ -38,5 +38,5 @@
     let lowest = (revision.0 << STEP_BITS).max(passed.checked_add(1)?);
     let matching = (lowest & 1 == 1) == serve;
     let token = if matching { lowest } else { lowest.checked_add(1)? };
-    (OrderToken::read(token).revision == revision).then_some(token)
+    (OrderToken::decode(token).revision == revision).then_some(token)
 }
--- a/crates/decide/src/forecast.rs
+++ b/crates/decide/src/forecast.rs
@@ -6,7 +6,7 @@
 
 /// Progress of one service towards one version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ProgressMark {
+pub struct ProgressSample {
     /// When the progress was first seen.
     pub seen_at: Timestamp,
     /// Chunks that the endpoints held then.
@@ -16,7 +16,7 @@
 /// When all chunks will be there, if the transfer goes on as it has since `start`.
 ///
 /// None while there is no progress to judge by.
-pub fn forecast(start: ProgressMark, chunks: u64, total: u64, now: Timestamp) -> Option<Deadline> {
+pub fn forecast(start: ProgressSample, chunks: u64, total: u64, now: Timestamp) -> Option<Deadline> {
     if chunks >= total {
         return Some(now.deadline_after(Duration::ZERO));
     }
--- a/crates/decide/src/plan/weights.rs
+++ b/crates/decide/src/plan/weights.rs
@@ -43,7 +43,7 @@
     let EndpointState::Serving { version, .. } = &report.state else {
         return false;
     };
-    let ordered = report.ordered.filter(|_| OrderToken::read(report.order).serve);
+    let ordered = report.ordered.filter(|_| OrderToken::decode(report.order).serve);
     let other = ordered.is_some_and(|manifest| manifest != wanted.manifest);
     version.as_ref() == Some(wanted.version) && !other
 }
@@ -60,5 +60,5 @@
 /// again, got it before it knew the engine's token, and cannot carry it out.
 pub(super) fn is_ordered(report: &EndpointReport, manifest: ManifestDigest, serve: bool) -> bool {
     let current = report.order >= report.engine_fencing;
-    current && report.ordered == Some(manifest) && OrderToken::read(report.order).serve == serve
+    current && report.ordered == Some(manifest) && OrderToken::decode(report.order).serve == serve
 }
--- a/crates/decide/tests/forecast.rs
+++ b/crates/decide/tests/forecast.rs
@@ -1,13 +1,13 @@
 //! The forecast against which operators hold `ready_by`.
 
-use cassiawheel_decide::forecast::{ProgressMark, forecast};
+use cassiawheel_decide::forecast::{ProgressSample, forecast};
 use cassiawheel_model::{Deadline, Timestamp};
 
 /// A transfer goes on steadily, then it is done; one that has not begun gives
 /// no forecast, since an operator would take a made-up one for true.
 #[test]
 fn a_steady_transfer_is_forecast_by_its_rate() {
-    let start = ProgressMark { seen_at: Timestamp(1_000), chunks: 10 };
+    let start = ProgressSample { seen_at: Timestamp(1_000), chunks: 10 };
     assert_eq!(forecast(start, 10, 110, Timestamp(5_000)), None);
     assert_eq!(forecast(start, 60, 110, Timestamp(2_000)), Some(Deadline(3_000)));
     assert_eq!(forecast(start, 110, 110, Timestamp(9_000)), Some(Deadline(9_000)));
@@ -16,6 +16,6 @@
 /// Endpoints restart and hold less than before. The forecast waits for new progress.
 #[test]
 fn lost_progress_gives_no_forecast() {
-    let start = ProgressMark { seen_at: Timestamp(1_000), chunks: 50 };
+    let start = ProgressSample { seen_at: Timestamp(1_000), chunks: 50 };
     assert_eq!(forecast(start, 20, 110, Timestamp(2_000)), None);
 }
--- a/crates/decide/tests/plan.rs
+++ b/crates/decide/tests/plan.rs
@@ -255,7 +255,7 @@
             let token = next_token(PresetRevision(revision), &endpoint, serve);
             let token = token.expect("the revision has tokens left");
             assert_eq!(
-                OrderToken::read(token),
+                OrderToken::decode(token),
                 OrderToken { revision: PresetRevision(revision), serve }
             );
             endpoint.order = token;
--- a/crates/entry/src/admin/progress.rs
+++ b/crates/entry/src/admin/progress.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use cassiawheel_decide::forecast::{ProgressMark, forecast};
+use cassiawheel_decide::forecast::{ProgressSample, forecast};
 use cassiawheel_model::{
     Deadline, EndpointReport, ManifestDigest, ServiceName, ServiceTarget, Timestamp, record,
 };
@@ -12,7 +12,7 @@
 const MAX_MARKS: usize = 64;
 
 /// Progress as it was first seen, by service and manifest.
-pub(crate) type ProgressMarks = BTreeMap<(ServiceName, ManifestDigest), ProgressMark>;
+pub(crate) type ProgressMarks = BTreeMap<(ServiceName, ManifestDigest), ProgressSample>;
 
 /// How far a service's endpoints are in staging a version.
 #[apply(record!)]
@@ -53,7 +53,7 @@
     if marks.len() > MAX_MARKS {
         marks.clear();
     }
-    let first = ProgressMark { seen_at: now, chunks: progress.chunks_ready };
+    let first = ProgressSample { seen_at: now, chunks: progress.chunks_ready };
     let mark = *marks.entry((service.clone(), manifest)).or_insert(first);
     if progress.chunks_total > 0 {
         progress.forecast = forecast(mark, progress.chunks_ready, progress.chunks_total, now);
