--- a/crates/agent/src/endpoint.rs
+++ b/crates/agent/src/endpoint.rs
@@ -204,7 +204,7 @@
 
     /// Gives a permit of the gate back.
     pub(crate) fn leave_gate(&self) {
-        self.gate().leave();
+        self.gate().release();
         let _ = self.released.0.try_send(());
     }
 
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -143,7 +143,7 @@
     if gate.state() != before || gate.begin_switch().is_err() {
         return;
     }
-    gate.abandon_switch();
+    gate.abort_switch();
     drop(gate);
     log::warn!(target: "switch", wanted:% = version, told:? = status.version; "The engine lost its weights.");
     shared.transfer.wake();
@@ -237,7 +237,7 @@
     let before = shared.gate().state().clone();
     shared.gate().begin_switch()?;
     announce_switch(shared).await;
-    while !shared.gate().may_exchange() {
+    while !shared.gate().can_swap_weights() {
         shared.permit_released().await;
     }
     if let Err(error) = load(shared, order).await {
@@ -277,7 +277,7 @@
     {
         return;
     }
-    gate.abandon_switch();
+    gate.abort_switch();
 }
 
 async fn load(shared: &EndpointShared, order: &WeightOrder) -> anyhow::Result<()> {
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -48,7 +48,7 @@
         shared: &Arc<EndpointShared>,
         head: &RequestHead,
     ) -> Result<Self, RunFailure> {
-        let entered = shared.gate().enter(head.revision, head.version.as_ref());
+        let entered = shared.gate().acquire(head.revision, head.version.as_ref());
         entered.map_err(RunFailure::NotRun)?;
         Ok(Self { shared: shared.clone() })
     }
--- a/crates/decide/src/gate.rs
+++ b/crates/decide/src/gate.rs
@@ -43,7 +43,7 @@
     }
 
     /// Takes a permit for a request routed under `revision` to `version`.
-    pub fn enter(
+    pub fn acquire(
         &mut self,
         revision: PresetRevision,
         version: Option<&ModelVersion>,
@@ -71,7 +71,7 @@
     }
 
     /// Gives a permit back.
-    pub fn leave(&mut self) {
+    pub fn release(&mut self) {
         self.in_progress = self.in_progress.saturating_sub(1);
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// Whether a begun switch may exchange the weights now.
-    pub fn may_exchange(&self) -> bool {
+    pub fn can_swap_weights(&self) -> bool {
         self.state == EndpointState::Switching && self.in_progress == 0
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Gives a begun switch up; the endpoint serves nothing until the next one.
-    pub fn abandon_switch(&mut self) {
+    pub fn abort_switch(&mut self) {
         if self.state == EndpointState::Switching {
             self.state = EndpointState::Empty;
         }
--- a/crates/decide/tests/gate.rs
+++ b/crates/decide/tests/gate.rs
@@ -19,14 +19,14 @@
 #[test]
 fn a_switch_waits_for_requests_in_progress() {
     let mut gate = serving("v1");
-    gate.enter(PresetRevision(1), version("v1").as_ref()).expect("admitted");
+    gate.acquire(PresetRevision(1), version("v1").as_ref()).expect("admitted");
     gate.begin_switch().expect("the switch begins");
-    assert!(!gate.may_exchange());
+    assert!(!gate.can_swap_weights());
     assert_eq!(gate.commit_switch(version("v2")), Err(SwitchError::Busy));
-    let refused = gate.enter(PresetRevision(1), version("v1").as_ref());
+    let refused = gate.acquire(PresetRevision(1), version("v1").as_ref());
     assert_eq!(refused, Err(NotRunReason::Switching));
-    gate.leave();
-    assert!(gate.may_exchange());
+    gate.release();
+    assert!(gate.can_swap_weights());
 }
 
 /// An entry that has not heard of a change still routes by the old preset. Its
@@ -35,6 +35,6 @@
 fn a_request_of_an_older_preset_is_refused() {
     let mut gate = serving("v1");
     gate.raise_revision(PresetRevision(5));
-    let refused = gate.enter(PresetRevision(4), version("v1").as_ref());
+    let refused = gate.acquire(PresetRevision(4), version("v1").as_ref());
     assert_eq!(refused, Err(NotRunReason::StaleRevision));
 }
--- a/crates/decide/tests/history/world.rs
+++ b/crates/decide/tests/history/world.rs
@@ -490,7 +490,7 @@
             return;
         }
         let node = &mut self.nodes[agent];
-        if guarded && node.gate.enter(revision, None).is_err() {
+        if guarded && node.gate.acquire(revision, None).is_err() {
             return self.answer_older(agent, entry, revision);
         }
         self.reverts += u64::from(revision < node.worked);
--- a/crates/decide/tests/keyed_history/world.rs
+++ b/crates/decide/tests/keyed_history/world.rs
@@ -361,7 +361,7 @@
             return true;
         }
         let gate = &mut self.agents[self.attempts[attempt].agent].gate;
-        match gate.enter(PresetRevision(1), None) {
+        match gate.acquire(PresetRevision(1), None) {
             Ok(_) => {
                 self.attempts[attempt].permit = true;
                 true
@@ -376,7 +376,7 @@
     fn leave_gate(&mut self, attempt: usize) {
         let attempt = &mut self.attempts[attempt];
         if std::mem::take(&mut attempt.permit) {
-            self.agents[attempt.agent].gate.leave();
+            self.agents[attempt.agent].gate.release();
         }
     }
 
@@ -613,7 +613,7 @@
     fn reopened(&self, agent: usize) -> GateState {
         let mut gate = open_gate();
         for _ in 0..self.agents[agent].gate.in_progress() {
-            gate.enter(PresetRevision(1), None).expect("room");
+            gate.acquire(PresetRevision(1), None).expect("room");
         }
         gate
     }
--- a/crates/testkit/benches/hot_paths.rs
+++ b/crates/testkit/benches/hot_paths.rs
@@ -41,8 +41,8 @@
     gate.commit_switch(Some(version.clone())).expect("a switch is under way");
     criterion.bench_function("gate/enter-and-leave", |bencher| {
         bencher.iter(|| {
-            let entered = gate.enter(black_box(PresetRevision(7)), black_box(Some(&version)));
-            gate.leave();
+            let entered = gate.acquire(black_box(PresetRevision(7)), black_box(Some(&version)));
+            gate.release();
             entered.is_ok()
         });
     });
--- a/crates/testkit/tests/bounds.rs
+++ b/crates/testkit/tests/bounds.rs
@@ -87,11 +87,11 @@
         gate.begin_switch().expect("the gate is open");
         gate.commit_switch(Some(version.clone())).expect("a switch is under way");
         for _ in 0..in_progress {
-            gate.enter(PresetRevision(1), Some(&version)).expect("the gate admits");
+            gate.acquire(PresetRevision(1), Some(&version)).expect("the gate admits");
         }
         shortest(|| {
-            let _ = black_box(gate.enter(PresetRevision(1), black_box(Some(&version))));
-            gate.leave();
+            let _ = black_box(gate.acquire(PresetRevision(1), black_box(Some(&version))));
+            gate.release();
         })
     };
     let found = ratio(enter(1_000_000), enter(0));
