--- a/crates/agent/src/keyed/row.rs
+++ b/crates/agent/src/keyed/row.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use cassiawheel_decide::claim::{
-    ClaimGuard, ClaimRecord, ClaimState, ClaimTracker, ClaimReply, ReleaseStep, release_step,
+    ClaimGuard, ClaimRecord, ClaimReply, ClaimState, ClaimTracker, ReleaseStep, release_step,
 };
 use cassiawheel_edge::{StoreError, TableGuard, TableRow, TableWrite, WriteVerdict};
 use cassiawheel_model::{Deadline, Timestamp};
--- a/crates/agent/src/transfer/fetch.rs
+++ b/crates/agent/src/transfer/fetch.rs
@@ -31,8 +31,8 @@
             Self::Staged(_) => "staged",
             Self::Deferred => "busy",
             Self::RateLimited(_) => "rate-limited",
-            Self::Failed(FetchFailure::Damaged) => "damaged",
-            Self::Failed(FetchFailure::Late) => "late",
+            Self::Failed(FetchFailure::Corrupt) => "damaged",
+            Self::Failed(FetchFailure::TimedOut) => "late",
         }
     }
 }
@@ -55,7 +55,7 @@
     let bytes = match received {
         Some(Ok(bytes)) => bytes,
         Some(Err(end)) => return end,
-        None => return FetchEnd::Failed(FetchFailure::Late),
+        None => return FetchEnd::Failed(FetchFailure::TimedOut),
     };
     // The slot stays taken until the link's share has been paid for, so that
     // the transfer never takes what is kept free for live requests. Paying
@@ -78,7 +78,7 @@
             Ok(bytes)
         }
         Err(WeightError::RateLimited { retry_after }) => Err(FetchEnd::RateLimited(retry_after)),
-        Err(_) => Err(FetchEnd::Failed(FetchFailure::Damaged)),
+        Err(_) => Err(FetchEnd::Failed(FetchFailure::Corrupt)),
     }
 }
 
@@ -90,11 +90,11 @@
     let waiting = client
         .ask(manifest.digest, order.index, order.is_import)
         .await
-        .ok_or(FetchEnd::Failed(FetchFailure::Damaged))?;
+        .ok_or(FetchEnd::Failed(FetchFailure::Corrupt))?;
     match waiting.recv().await {
         Ok(Ok(bytes)) => Ok(Bytes::from(bytes)),
         Ok(Err(ChunkRefusal::Busy)) => Err(FetchEnd::Deferred),
-        Ok(Err(ChunkRefusal::NotHeld)) | Err(_) => Err(FetchEnd::Failed(FetchFailure::Damaged)),
+        Ok(Err(ChunkRefusal::NotHeld)) | Err(_) => Err(FetchEnd::Failed(FetchFailure::Corrupt)),
     }
 }
 
@@ -109,7 +109,7 @@
     if let Err(error) = manifest.verify_chunk(order.index, &bytes) {
         shared.metrics.corrupt_chunks.inc();
         log::warn!(target: "transfer", chunk = order.index, source:? = order.source, cause:% = error; "Dropped a chunk.");
-        return FetchEnd::Failed(FetchFailure::Damaged);
+        return FetchEnd::Failed(FetchFailure::Corrupt);
     }
     if matches!(order.source, ChunkSource::Peer(_)) {
         shared.metrics.peer_bytes.inc_by(bytes.len() as u64);
--- a/crates/agent/src/transfer/stage.rs
+++ b/crates/agent/src/transfer/stage.rs
@@ -7,7 +7,7 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use anyhow::Context;
-use cassiawheel_decide::{ChunkPicker, ChunkSource, FetchOrder, PeerPlace, PickerSettings};
+use cassiawheel_decide::{ChunkPicker, ChunkSource, FetchOrder, PeerLocation, PickerSettings};
 use cassiawheel_model::{
     InstanceId, ManifestDigest, OriginPlace, RegionName, Timestamp, WeightManifest,
     flags::set_positions, settings::TransferMode,
@@ -185,13 +185,13 @@
         let origin_region = origin.and_then(|origin| origin.region);
         let settings = PickerSettings {
             origin_chunk_ms: chunk_ms.unwrap_or(0.0),
-            is_near_origin: origin_region.as_ref() == Some(&shared.settings.place.region),
-            most_draws: places.div_ceil(DRAWN_PART),
+            in_origin_region: origin_region.as_ref() == Some(&shared.settings.place.region),
+            max_origin_fetches: places.div_ceil(DRAWN_PART),
             instance: shared.settings.place.instance.clone(),
             stall_ms: shared.settings.transfer.stall_ms,
             origin_step_ms: shared.settings.transfer.origin_step_ms,
-            per_peer: PER_PEER,
-            peer_slots: shared.settings.transfer.download_slots,
+            max_fetches_per_peer: PER_PEER,
+            max_peer_fetches: shared.settings.transfer.download_slots,
             queue_ms: shared.settings.transfer.queue_ms,
             rescue_ms: shared.settings.transfer.rescue_ms,
             extra_copies: match shared.settings.transfer.mode {
@@ -264,11 +264,11 @@
                 continue;
             }
             let now = Timestamp::now();
-            let place = PeerPlace {
-                is_far: peer.region != self.shared.settings.place.region,
-                is_near_origin: self.origin_region.as_ref() == Some(&peer.region),
+            let place = PeerLocation {
+                is_remote: peer.region != self.shared.settings.place.region,
+                in_origin_region: self.origin_region.as_ref() == Some(&peer.region),
             };
-            self.picker.place_peer(&instance, place, now);
+            self.picker.set_peer_location(&instance, place, now);
             self.picker.expect_peer(&instance, now);
             let (manifest, chunks) = (self.manifest.digest, self.manifest.chunks.len());
             let follower =
@@ -292,9 +292,9 @@
                 self.picker.peer_holds(&instance, indices, now);
             }
             TransferEvent::PeerDraws(instance, indices) => {
-                self.picker.peer_draws(&instance, indices, now);
+                self.picker.set_peer_origin_fetches(&instance, indices, now);
             }
-            TransferEvent::PeerToldAll(instance) => self.picker.peer_told_all(&instance),
+            TransferEvent::PeerToldAll(instance) => self.picker.peer_inventory_complete(&instance),
             TransferEvent::Fetched(order, end) => {
                 self.fetch_ended(&order, end, now);
             }
@@ -312,7 +312,7 @@
             FetchEnd::Deferred => self.picker.fetch_deferred(order, now),
             FetchEnd::RateLimited(wait) => {
                 self.picker.fetch_deferred(order, now);
-                self.picker.avoid_origin(now.deadline_after(wait));
+                self.picker.back_off_origin(now.deadline_after(wait));
             }
             FetchEnd::Failed(cause) => self.picker.fetch_failed(order, cause, now),
         }
@@ -333,6 +333,6 @@
             })
             .detach();
         }
-        self.shared.transfer.draw(self.manifest.digest, self.picker.drawing());
+        self.shared.transfer.draw(self.manifest.digest, self.picker.origin_fetches());
     }
 }
--- a/crates/decide/examples/distribution.rs
+++ b/crates/decide/examples/distribution.rs
@@ -66,7 +66,7 @@
         result.rounds,
         result.time_ratio(),
         result.origin_copies(),
-        result.most_draws,
+        result.max_copies,
         if result.complete { "" } else { "  NOT COMPLETE" },
     );
 }
--- a/crates/decide/src/forecast.rs
+++ b/crates/decide/src/forecast.rs
@@ -16,7 +16,12 @@
 /// When all chunks will be there, if the transfer goes on as it has since `start`.
 ///
 /// None while there is no progress to judge by.
-pub fn forecast(start: ProgressSample, chunks: u64, total: u64, now: Timestamp) -> Option<Deadline> {
+pub fn forecast(
+    start: ProgressSample,
+    chunks: u64,
+    total: u64,
+    now: Timestamp,
+) -> Option<Deadline> {
     if chunks >= total {
         return Some(now.deadline_after(Duration::ZERO));
     }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -48,9 +48,9 @@
 pub use caller_index::{CallerIndex, UnknownKey, draw_service};
 pub use cell::{EndpointCell, EndpointPace};
 pub use change::{
-    ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeOutcome, ChangeWriter, ForceRow,
+    ChangeAnswer, ChangeOutcome, ChangeRecord, ChangeRequest, ChangeStep, ChangeWriter, ForceRow,
 };
-pub use claim::{ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimReply};
+pub use claim::{ClaimRecord, ClaimReply, ClaimState, ClaimStep, ClaimTracker};
 pub use crash_book::{BAR_TIME, CrashBook, CrashVerdict};
 pub use entry_choice::EntryChoice;
 pub use events::{EventError, EventSplicer};
@@ -66,7 +66,7 @@
 pub use manifest_search::{ManifestSearch, SearchStep};
 pub use overlay::{EntryPlace, RowDuty, chosen_links, near_or_all, reachable_entries, row_duty};
 pub use preset_holder::{Adoption, PresetHolder, StartHold};
-pub use preset_pull::{PresetPull, PullStep, PullView, PeerRevision};
+pub use preset_pull::{PeerRevision, PresetPull, PullStep, PullView};
 pub use repeats::RepeatSchedule;
 pub use retry::{AttemptEnd, RepeatGuard, RetryBudget, RetryStep, RetryTracker};
 pub use roster::{EndpointRoster, EntryRoster, PeerEntry};
@@ -74,7 +74,7 @@
     EndpointPath, RouteCandidate, RouteChoice, RouteQuery, RouteSnapshot, ServiceRoutes,
 };
 pub use select::{
-    ChunkBits, ChunkPicker, ChunkSource, FetchFailure, FetchOrder, PeerPlace, PickerSettings,
+    ChunkBits, ChunkPicker, ChunkSource, FetchFailure, FetchOrder, PeerLocation, PickerSettings,
 };
 pub use switch_stagger::SwitchStagger;
 pub use versions::{VersionRecord, VersionRegistry};
--- a/crates/decide/src/preset_pull.rs
+++ b/crates/decide/src/preset_pull.rs
@@ -134,7 +134,12 @@
 
 impl<H: Clone> PresetPull<H> {
     /// Takes what another entry tells; true if steps have to be made from now on.
-    pub fn observe(&mut self, told: PeerRevision<H>, known: PresetRevision, now: Timestamp) -> bool {
+    pub fn observe(
+        &mut self,
+        told: PeerRevision<H>,
+        known: PresetRevision,
+        now: Timestamp,
+    ) -> bool {
         let before = self.tellers.iter().position(|teller| teller.told.instance == told.instance);
         let before = before.map(|position| self.tellers.swap_remove(position));
         if told.revision <= known {
--- a/crates/decide/src/select.rs
+++ b/crates/decide/src/select.rs
@@ -32,7 +32,7 @@
 pub use orders::{ChunkSource, FetchOrder};
 pub use peers::FetchFailure;
 use peers::{LONGEST_BACKOFF_MS, PeerView, SourceBackoff};
-pub use settings::{PeerPlace, PickerSettings};
+pub use settings::{PeerLocation, PickerSettings};
 use shares::{AgentSlot, OriginShares};
 use turns::OriginTurns;
 
@@ -45,7 +45,7 @@
     held: ChunkBits,
     missing: usize,
     fetching: HashMap<usize, FetchOrder>,
-    origin_fetches: usize,
+    origin_fetch_count: usize,
     slots: HashMap<InstanceId, AgentSlot>,
     peers: Vec<PeerView>,
     /// Reachable peers that hold each chunk.
@@ -88,7 +88,11 @@
     /// A picker for `chunks` chunks, none of which is held.
     pub fn new(settings: PickerSettings, chunks: usize, now: Timestamp) -> Self {
         Self {
-            shares: OriginShares::new(settings.instance.as_str(), chunks, settings.is_near_origin),
+            shares: OriginShares::new(
+                settings.instance.as_str(),
+                chunks,
+                settings.in_origin_region,
+            ),
             imports: ChunkImports::new(settings.instance.as_str(), chunks),
             turns: OriginTurns::new(settings.origin_chunk_ms, chunks, now),
             settings,
@@ -96,7 +100,7 @@
             held: ChunkBits::empty(chunks),
             missing: chunks,
             fetching: HashMap::new(),
-            origin_fetches: 0,
+            origin_fetch_count: 0,
             slots: HashMap::new(),
             peers: Vec::new(),
             holders: vec![0; chunks],
@@ -123,9 +127,9 @@
     }
 
     /// Notes where `peer` stands; one that nobody tells of stands near.
-    pub fn place_peer(&mut self, peer: &InstanceId, place: PeerPlace, now: Timestamp) {
+    pub fn set_peer_location(&mut self, peer: &InstanceId, place: PeerLocation, now: Timestamp) {
         let slot = self.slot_with(peer, place, now);
-        self.peers[slot - 1].is_far = place.is_far;
+        self.peers[slot - 1].is_remote = place.is_remote;
     }
 
     /// Expects to hear soon what `peer` holds.
@@ -147,7 +151,7 @@
     }
 
     /// Notes that `peer` has told all it holds.
-    pub fn peer_told_all(&mut self, peer: &InstanceId) {
+    pub fn peer_inventory_complete(&mut self, peer: &InstanceId) {
         if let Some(slot) = self.slots.get(peer) {
             self.peers[slot - 1].awaited_until = Deadline(0);
         }
@@ -196,7 +200,7 @@
                 continue;
             }
             self.holders[index] += 1;
-            self.imports.gain(index, self.peers[slot - 1].is_far, now);
+            self.imports.gain(index, self.peers[slot - 1].is_remote, now);
             seeded |= self.unseeded.remove(index);
         }
         if seeded {
@@ -209,7 +213,12 @@
     }
 
     /// Notes which chunks `peer` draws from the origin at present.
-    pub fn peer_draws(&mut self, peer: &InstanceId, indices: Vec<usize>, now: Timestamp) {
+    pub fn set_peer_origin_fetches(
+        &mut self,
+        peer: &InstanceId,
+        indices: Vec<usize>,
+        now: Timestamp,
+    ) {
         if let Some(slot) = self.slots.get(peer).copied() {
             let view = &mut self.peers[slot - 1];
             view.heard_at = now;
@@ -254,13 +263,13 @@
         };
         self.peers[slot - 1].backoff.failed(cause, LONGEST_BACKOFF_MS, now);
         // If nothing else came meanwhile either, the own link has narrowed.
-        if cause == FetchFailure::Late && self.brought_at < order.started_at {
+        if cause == FetchFailure::TimedOut && self.brought_at < order.started_at {
             let waited = now.0.saturating_sub(order.started_at.0);
             self.peer_latency_ms = self.peer_latency_ms.max(waited);
         }
         // A peer that lied or sent corrupt bytes is not asked for this chunk
         // again before it repeats that it holds it.
-        if cause == FetchFailure::Damaged {
+        if cause == FetchFailure::Corrupt {
             self.forget_chunk(slot, order.index);
         }
         // The only copy of a chunk at a peer that cannot be fetched from would
@@ -285,7 +294,7 @@
     }
 
     /// Notes that the origin asks to come back later.
-    pub fn avoid_origin(&mut self, until: Deadline) {
+    pub fn back_off_origin(&mut self, until: Deadline) {
         self.origin.avoid(until);
     }
 
@@ -299,8 +308,8 @@
         if let Some((slot, index)) = self.chunk_of_peer(now, rng) {
             let view = &mut self.peers[slot - 1];
             view.fetching += 1;
-            let (source, is_far) = (ChunkSource::Peer(view.instance.clone()), view.is_far);
-            return Some(self.start(index, source, is_far, now));
+            let (source, is_remote) = (ChunkSource::Peer(view.instance.clone()), view.is_remote);
+            return Some(self.start(index, source, is_remote, now));
         }
         let index = self.extra_chunk(now, rng)?;
         self.extra_draws += 1;
@@ -318,7 +327,7 @@
     }
 
     /// Chunks that are being drawn from the origin.
-    pub fn drawing(&self) -> Vec<usize> {
+    pub fn origin_fetches(&self) -> Vec<usize> {
         let orders = self.fetching.values();
         let drawn = orders.filter(|order| order.source == ChunkSource::Origin);
         drawn.map(|order| order.index).collect()
@@ -328,14 +337,14 @@
         if let Some(slot) = self.slots.get(peer) {
             return *slot;
         }
-        self.slot_with(peer, PeerPlace::default(), now)
+        self.slot_with(peer, PeerLocation::default(), now)
     }
 
-    fn slot_with(&mut self, peer: &InstanceId, place: PeerPlace, now: Timestamp) -> AgentSlot {
+    fn slot_with(&mut self, peer: &InstanceId, place: PeerLocation, now: Timestamp) -> AgentSlot {
         if let Some(slot) = self.slots.get(peer) {
             return *slot;
         }
-        let slot = self.shares.add(peer.as_str(), place.is_near_origin);
+        let slot = self.shares.add(peer.as_str(), place.in_origin_region);
         self.imports.add(peer.as_str());
         let awaited_until = Deadline(now.0 + INVENTORY_MS);
         self.peers.push(PeerView::new(peer, self.holders.len(), now, awaited_until));
@@ -354,7 +363,7 @@
             ChunkSource::Origin => self.origin_wait_ms(),
             ChunkSource::Peer(_) => self.peer_wait_ms(),
         };
-        self.origin_fetches += usize::from(source == ChunkSource::Origin);
+        self.origin_fetch_count += usize::from(source == ChunkSource::Origin);
         self.wanted.remove(index);
         let deadline = Deadline(now.0 + wait);
         let order = FetchOrder { index, source, started_at: now, deadline, is_import };
@@ -371,7 +380,7 @@
             self.wanted.insert(order.index);
         }
         match &order.source {
-            ChunkSource::Origin => self.origin_fetches -= 1,
+            ChunkSource::Origin => self.origin_fetch_count -= 1,
             ChunkSource::Peer(peer) => {
                 if let Some(slot) = self.slots.get(peer) {
                     let view = &mut self.peers[slot - 1];
@@ -391,15 +400,15 @@
 
     fn forget_chunk(&mut self, slot: AgentSlot, index: usize) {
         let view = &mut self.peers[slot - 1];
-        let is_far = view.is_far;
+        let is_remote = view.is_remote;
         if view.held.remove(index) && view.counted {
-            self.release_holder(index, is_far);
+            self.release_holder(index, is_remote);
         }
     }
 
-    fn release_holder(&mut self, index: usize, is_far: bool) {
+    fn release_holder(&mut self, index: usize, is_remote: bool) {
         self.holders[index] -= 1;
-        self.imports.lose(index, is_far);
+        self.imports.lose(index, is_remote);
         if self.holders[index] == 0 && !self.held.contains(index) {
             self.unseeded.insert(index);
         }
--- a/crates/decide/src/select/draws.rs
+++ b/crates/decide/src/select/draws.rs
@@ -79,7 +79,7 @@
         // where the origin is asked in turns it would bring nothing forward.
         let is_one = self.shares.participants() > SMALL_GROUP || self.settings.queue_ms > 0;
         let most = if is_one { 1 } else { 2 };
-        self.origin_fetches < most
+        self.origin_fetch_count < most
             && self.origin.is_over(now)
             && self.peers.iter().all(|view| view.awaited_until.is_past(now))
             && self.is_room_at_origin(now)
@@ -92,13 +92,13 @@
     /// instances that lose power then leave the origin full for everybody. One would
     /// notice that all calls of the origin fail after connecting.
     fn is_room_at_origin(&self, now: Timestamp) -> bool {
-        if self.settings.most_draws == 0 {
+        if self.settings.max_origin_fetches == 0 {
             return true;
         }
         let heard =
             |view: &&PeerView| view.connected && !view.is_silent(now, self.settings.stall_ms);
         let others: usize = self.peers.iter().filter(heard).map(|view| view.drawing.len()).sum();
-        others + self.origin_fetches < self.settings.most_draws
+        others + self.origin_fetch_count < self.settings.max_origin_fetches
     }
 
     pub(super) fn extra_chunk(&self, now: Timestamp, rng: &mut impl Rng) -> Option<usize> {
@@ -107,8 +107,8 @@
         let allowed = self.unseeded.is_empty() && (self.extra_draws as f64) < own_part;
         // Among many agents the origin's queue is long; a chunk that waits
         // there until peers have sent all others would be the last to arrive.
-        let peers_take =
-            self.missing as u64 * self.peer_latency_ms / self.settings.peer_slots.max(1) as u64;
+        let peers_take = self.missing as u64 * self.peer_latency_ms
+            / self.settings.max_peer_fetches.max(1) as u64;
         if peers_take < 2 * self.origin_latency_ms {
             return None;
         }
--- a/crates/decide/src/select/imports.rs
+++ b/crates/decide/src/select/imports.rs
@@ -56,16 +56,16 @@
     }
 
     /// Notes a further holder of a chunk.
-    pub(super) fn gain(&mut self, index: usize, is_far: bool, now: Timestamp) {
+    pub(super) fn gain(&mut self, index: usize, is_remote: bool, now: Timestamp) {
         self.offered_at[index].get_or_insert(now);
-        if !is_far {
+        if !is_remote {
             self.near[index] += 1;
         }
     }
 
     /// Notes that a holder of a chunk is gone.
-    pub(super) fn lose(&mut self, index: usize, is_far: bool) {
-        if !is_far {
+    pub(super) fn lose(&mut self, index: usize, is_remote: bool) {
+        if !is_remote {
             self.near[index] = self.near[index].saturating_sub(1);
         }
     }
--- a/crates/decide/src/select/ownership.rs
+++ b/crates/decide/src/select/ownership.rs
@@ -70,7 +70,7 @@
         view.counted = true;
         for index in view.held.iter() {
             self.holders[index] += 1;
-            self.imports.gain(index, view.is_far, now);
+            self.imports.gain(index, view.is_remote, now);
             self.unseeded.remove(index);
         }
     }
@@ -80,10 +80,10 @@
         if !std::mem::replace(&mut self.peers[slot - 1].counted, false) {
             return;
         }
-        let is_far = self.peers[slot - 1].is_far;
+        let is_remote = self.peers[slot - 1].is_remote;
         let held = std::mem::take(&mut self.peers[slot - 1].held);
         for index in held.iter() {
-            self.release_holder(index, is_far);
+            self.release_holder(index, is_remote);
         }
         self.peers[slot - 1].held = held;
     }
@@ -91,10 +91,10 @@
     pub(super) fn join_shares(&mut self, slot: AgentSlot, now: Timestamp) {
         let view = &self.peers[slot - 1];
         if view.counted && !view.behind && !self.shares.takes_part(slot) {
-            let is_far = view.is_far;
+            let is_remote = view.is_remote;
             self.clear_debt(slot, now);
             self.shares.join(slot);
-            if !is_far {
+            if !is_remote {
                 self.imports.join(slot);
             }
         }
--- a/crates/decide/src/select/peers.rs
+++ b/crates/decide/src/select/peers.rs
@@ -23,9 +23,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FetchFailure {
     /// The bytes were corrupt, or refused although they had been announced.
-    Damaged,
+    Corrupt,
     /// Nothing came before the deadline.
-    Late,
+    TimedOut,
 }
 
 /// Back-off of one source.
@@ -51,8 +51,8 @@
         let doublings = self.failures.min(16);
         self.failures += 1;
         self.blame += match cause {
-            FetchFailure::Damaged => DAMAGE_BLAME,
-            FetchFailure::Late => LATE_BLAME,
+            FetchFailure::Corrupt => DAMAGE_BLAME,
+            FetchFailure::TimedOut => LATE_BLAME,
         };
         let wait = (FIRST_BACKOFF_MS << doublings).min(longest_ms);
         self.avoid(Deadline(now.0 + wait));
@@ -105,7 +105,7 @@
     /// Times in a row that it had no free slot.
     pub(super) busy: u32,
     /// Whether it stands in another region.
-    pub(super) is_far: bool,
+    pub(super) is_remote: bool,
     /// Whether it lost its chunks because it brought none of them.
     pub(super) behind: bool,
     pub(super) heard_at: Timestamp,
@@ -134,7 +134,7 @@
             counted: false,
             backoff: SourceBackoff::default(),
             busy: 0,
-            is_far: false,
+            is_remote: false,
             behind: false,
             heard_at: now,
             owing_since: now,
@@ -143,8 +143,8 @@
         }
     }
 
-    pub(super) fn is_usable(&self, now: Timestamp, per_peer: usize) -> bool {
-        self.connected && self.fetching < per_peer && self.backoff.is_over(now)
+    pub(super) fn is_usable(&self, now: Timestamp, max_fetches_per_peer: usize) -> bool {
+        self.connected && self.fetching < max_fetches_per_peer && self.backoff.is_over(now)
     }
 
     pub(super) fn is_silent(&self, now: Timestamp, silence_ms: u64) -> bool {
--- a/crates/decide/src/select/requests.rs
+++ b/crates/decide/src/select/requests.rs
@@ -14,13 +14,13 @@
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> Option<(AgentSlot, usize)> {
-        if self.fetching.len() - self.origin_fetches >= self.open_slots(now) {
+        if self.fetching.len() - self.origin_fetch_count >= self.open_slots(now) {
             return None;
         }
         let position = self.idle_peer(now, rng).or_else(|| self.least_asked_peer(now, rng))?;
         let view = &self.peers[position];
         let offered = view.held.iter_common(&self.wanted);
-        let offered = offered.filter(|index| !view.is_far || self.imports.may_import(*index));
+        let offered = offered.filter(|index| !view.is_remote || self.imports.may_import(*index));
         let index = pick_least(offered.map(|index| (index, self.holders[index])), rng)?;
         Some((position + 1, index))
     }
@@ -30,7 +30,7 @@
     /// Over a link that has narrowed, chunks queue for as long as many are asked
     /// for, and whatever else the instance receives waits behind them.
     fn open_slots(&self, now: Timestamp) -> usize {
-        let slots = self.settings.peer_slots;
+        let slots = self.settings.max_peer_fetches;
         let goal = self.settings.queue_ms;
         if goal == 0 {
             return slots;
@@ -67,10 +67,10 @@
     }
 
     fn offers_something(&self, view: &PeerView, now: Timestamp) -> bool {
-        if !view.is_usable(now, self.settings.per_peer) {
+        if !view.is_usable(now, self.settings.max_fetches_per_peer) {
             return false;
         }
-        match view.is_far {
+        match view.is_remote {
             false => view.held.intersects(&self.wanted),
             true => {
                 let mut offered = view.held.iter_common(&self.wanted);
--- a/crates/decide/src/select/settings.rs
+++ b/crates/decide/src/select/settings.rs
@@ -12,12 +12,12 @@
     /// Shortest time before an owner that brings nothing loses its chunks, in milliseconds.
     pub origin_step_ms: u64,
     /// Fetches at one peer at a time.
-    pub per_peer: usize,
+    pub max_fetches_per_peer: usize,
     /// Time after which a chunk that hardly anyone holds is drawn from the origin again, in
     /// milliseconds; zero for never.
     pub rescue_ms: u64,
     /// Fetches from peers at a time.
-    pub peer_slots: usize,
+    pub max_peer_fetches: usize,
     /// Time of a fetch from a peer beyond which there are fewer at a time, in milliseconds;
     /// zero for no limit.
     pub queue_ms: u64,
@@ -30,17 +30,17 @@
     /// from the start.
     pub origin_chunk_ms: f64,
     /// Whether this agent stands in the origin's region.
-    pub is_near_origin: bool,
+    pub in_origin_region: bool,
     /// Draws from the origin by the agents that know each other that may be under way at a
     /// time; zero for no limit.
-    pub most_draws: usize,
+    pub max_origin_fetches: usize,
 }
 
 /// Where another agent stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct PeerPlace {
+pub struct PeerLocation {
     /// Whether it stands in another region than this agent.
-    pub is_far: bool,
+    pub is_remote: bool,
     /// Whether it stands in the origin's region.
-    pub is_near_origin: bool,
+    pub in_origin_region: bool,
 }
--- a/crates/decide/tests/change.rs
+++ b/crates/decide/tests/change.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cassiawheel_decide::{
-    ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeOutcome, ChangeWriter, ForceRow,
+    ChangeAnswer, ChangeOutcome, ChangeRecord, ChangeRequest, ChangeStep, ChangeWriter, ForceRow,
 };
 use cassiawheel_model::{
     ChangeId, ForcedPreset, OperatorName, PresetContent, PresetName, PresetRevision, Timestamp,
--- a/crates/decide/tests/chunk_regions.rs
+++ b/crates/decide/tests/chunk_regions.rs
@@ -2,7 +2,7 @@
 //! how many at a time.
 
 use cassiawheel_decide::{
-    ChunkPicker, ChunkSource, FetchFailure, FetchOrder, PeerPlace, PickerSettings,
+    ChunkPicker, ChunkSource, FetchFailure, FetchOrder, PeerLocation, PickerSettings,
 };
 use cassiawheel_model::{InstanceId, Timestamp};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -23,14 +23,14 @@
         instance: instance(name),
         stall_ms: 20_000,
         origin_step_ms: 20_000,
-        per_peer: CHUNKS,
-        peer_slots: CHUNKS,
+        max_fetches_per_peer: CHUNKS,
+        max_peer_fetches: CHUNKS,
         queue_ms: 0,
         rescue_ms: 0,
         extra_copies: 0.0,
         origin_chunk_ms: 0.0,
-        is_near_origin: false,
-        most_draws: 0,
+        in_origin_region: false,
+        max_origin_fetches: 0,
     }
 }
 
@@ -38,15 +38,15 @@
     ChunkPicker::new(settings, CHUNKS, START)
 }
 
-const NEAR: PeerPlace = PeerPlace { is_far: false, is_near_origin: false };
-const FAR: PeerPlace = PeerPlace { is_far: true, is_near_origin: true };
+const NEAR: PeerLocation = PeerLocation { is_remote: false, in_origin_region: false };
+const FAR: PeerLocation = PeerLocation { is_remote: true, in_origin_region: true };
 
-fn connect(picker: &mut ChunkPicker, name: &str, place: PeerPlace, held: &[usize]) {
+fn connect(picker: &mut ChunkPicker, name: &str, place: PeerLocation, held: &[usize]) {
     let peer = instance(name);
-    picker.place_peer(&peer, place, START);
+    picker.set_peer_location(&peer, place, START);
     picker.peer_connected(&peer, START);
     picker.peer_holds(&peer, held.iter().copied(), START);
-    picker.peer_told_all(&peer);
+    picker.peer_inventory_complete(&peer);
 }
 
 fn orders(picker: &mut ChunkPicker, now: Timestamp) -> Vec<FetchOrder> {
@@ -119,7 +119,7 @@
 /// everywhere for its last chunk.
 #[test]
 fn a_chunk_that_is_stuck_is_drawn_again() {
-    let settings = PickerSettings { rescue_ms: 900, peer_slots: 0, ..settings("own-a") };
+    let settings = PickerSettings { rescue_ms: 900, max_peer_fetches: 0, ..settings("own-a") };
     let all: Vec<_> = (0..CHUNKS).collect();
     let mut picker = picker(settings);
     connect(&mut picker, "stuck", NEAR, &all);
@@ -130,7 +130,7 @@
 /// A chunk that spreads is left to the agents, however long it takes to arrive here.
 #[test]
 fn a_chunk_that_spreads_is_not_drawn_again() {
-    let settings = PickerSettings { rescue_ms: 900, peer_slots: 0, ..settings("own-a") };
+    let settings = PickerSettings { rescue_ms: 900, max_peer_fetches: 0, ..settings("own-a") };
     let all: Vec<_> = (0..CHUNKS).collect();
     let mut picker = picker(settings);
     for name in ["one", "two", "three"] {
@@ -143,7 +143,7 @@
 /// lengthen the queue in which the engine's requests wait.
 #[test]
 fn fewer_chunks_are_asked_for_when_they_are_late() {
-    let settings = PickerSettings { queue_ms: 350, peer_slots: 4, ..settings("own-a") };
+    let settings = PickerSettings { queue_ms: 350, max_peer_fetches: 4, ..settings("own-a") };
     let all: Vec<_> = (0..CHUNKS).collect();
     let mut picker = picker(settings);
     connect(&mut picker, "peer", NEAR, &all);
@@ -197,7 +197,7 @@
     let others: Vec<_> = (0..CHUNKS).filter(|index| !owned.contains(index)).collect();
     let (brought, missing) = others.split_at(others.len() - 3);
     picker.peer_holds(&instance("paused"), brought.iter().copied(), at(240));
-    picker.peer_draws(&instance("paused"), missing.to_vec(), at(240));
+    picker.set_peer_origin_fetches(&instance("paused"), missing.to_vec(), at(240));
     assert!(drawn_by_turn(&mut picker, 400).is_empty());
     assert_eq!(drawn_by_turn(&mut picker, 1_000), missing);
 }
@@ -259,7 +259,7 @@
 /// two seconds, and so does the word that its caller has left.
 #[test]
 fn fewer_chunks_are_asked_for_after_none_came_in_time() {
-    let settings = PickerSettings { queue_ms: 350, peer_slots: 4, ..settings("own-a") };
+    let settings = PickerSettings { queue_ms: 350, max_peer_fetches: 4, ..settings("own-a") };
     let all: Vec<_> = (0..CHUNKS).collect();
     let mut picker = picker(settings);
     for name in ["one", "two", "three"] {
@@ -267,7 +267,7 @@
     }
     let first = orders(&mut picker, at(10));
     assert_eq!(first.len(), 4);
-    first.iter().for_each(|order| picker.fetch_failed(order, FetchFailure::Late, at(1_266)));
+    first.iter().for_each(|order| picker.fetch_failed(order, FetchFailure::TimedOut, at(1_266)));
     assert_eq!(orders(&mut picker, at(1_500)).len(), 1);
 }
 
@@ -275,8 +275,12 @@
 /// others come. The link is as wide as before and is used in full.
 #[test]
 fn one_late_agent_is_no_narrow_link() {
-    let settings =
-        PickerSettings { queue_ms: 350, peer_slots: 4, per_peer: 2, ..settings("own-a") };
+    let settings = PickerSettings {
+        queue_ms: 350,
+        max_peer_fetches: 4,
+        max_fetches_per_peer: 2,
+        ..settings("own-a")
+    };
     let all: Vec<_> = (0..CHUNKS).collect();
     let mut picker = picker(settings);
     for name in ["one", "two", "three"] {
@@ -284,7 +288,7 @@
     }
     let first = orders(&mut picker, at(10));
     first[1..].iter().for_each(|order| picker.fetch_succeeded(order, at(180)));
-    picker.fetch_failed(&first[0], FetchFailure::Late, at(1_266));
+    picker.fetch_failed(&first[0], FetchFailure::TimedOut, at(1_266));
     assert_eq!(orders(&mut picker, at(1_500)).len(), 4);
 }
 
@@ -302,7 +306,7 @@
         for order in orders(&mut picker, at(ms)) {
             assert!(ms - last_try <= 330, "nobody asked from {last_try} to {ms} ms");
             last_try = ms;
-            picker.fetch_failed(&order, FetchFailure::Damaged, at(ms));
+            picker.fetch_failed(&order, FetchFailure::Corrupt, at(ms));
         }
     }
     assert!(last_try > 5_600, "the last try was at {last_try} ms");
@@ -326,7 +330,7 @@
         connect(&mut picker, "first", NEAR, &held);
         for ms in (0..6_000).step_by(10) {
             for order in orders(&mut picker, at(ms)) {
-                picker.fetch_failed(&order, FetchFailure::Damaged, at(ms));
+                picker.fetch_failed(&order, FetchFailure::Corrupt, at(ms));
             }
         }
         picker.peer_holds(&instance("first"), [CHUNKS - 1], at(6_000));
@@ -352,14 +356,15 @@
 /// it would keep them all. An agent waits until another one's draw has ended.
 #[test]
 fn agents_leave_the_origin_most_of_its_connections() {
-    let settings = PickerSettings { origin_chunk_ms: 10.0, most_draws: 3, ..settings("own-a") };
+    let settings =
+        PickerSettings { origin_chunk_ms: 10.0, max_origin_fetches: 3, ..settings("own-a") };
     let mut picker = picker(settings);
     for name in ["one", "two", "three"] {
         connect(&mut picker, name, NEAR, &[]);
-        picker.peer_draws(&instance(name), vec![CHUNKS - 1], START);
+        picker.set_peer_origin_fetches(&instance(name), vec![CHUNKS - 1], START);
     }
     assert!(orders(&mut picker, at(400)).is_empty());
-    picker.peer_draws(&instance("two"), Vec::new(), at(401));
+    picker.set_peer_origin_fetches(&instance("two"), Vec::new(), at(401));
     let drawn = from(&orders(&mut picker, at(402)), &ChunkSource::Origin);
     assert_eq!(drawn.len(), 1, "{drawn:?}");
 }
--- a/crates/decide/tests/claim_interleavings.rs
+++ b/crates/decide/tests/claim_interleavings.rs
@@ -6,7 +6,7 @@
 //! moment. The threads take their steps as the agent does.
 
 use cassiawheel_decide::claim::{
-    ClaimGuard, ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimReply, RecordedAnswer,
+    ClaimGuard, ClaimRecord, ClaimReply, ClaimState, ClaimStep, ClaimTracker, RecordedAnswer,
     ReleaseStep, release_step,
 };
 use cassiawheel_model::{AttemptNonce, Deadline, PresetRevision, Timestamp};
--- a/crates/decide/tests/distribution.rs
+++ b/crates/decide/tests/distribution.rs
@@ -124,13 +124,13 @@
         origin_chunk_ms: 0.0,
         queue_ms: 0,
         rescue_ms: 0,
-        is_near_origin: false,
-        most_draws: 0,
+        in_origin_region: false,
+        max_origin_fetches: 0,
         instance: instance(own),
         stall_ms: 2_000,
         origin_step_ms: 500,
-        per_peer: 2,
-        peer_slots: 8,
+        max_fetches_per_peer: 2,
+        max_peer_fetches: 8,
         extra_copies: 0.0,
     };
     ChunkPicker::new(settings, chunks, Timestamp(0))
@@ -147,7 +147,7 @@
     picker.peer_connected(&instance(1), Timestamp(20));
     assert_eq!(picker.next(Timestamp(30), &mut rng), None);
     picker.peer_holds(&instance(1), 0..8, Timestamp(40));
-    picker.peer_told_all(&instance(1));
+    picker.peer_inventory_complete(&instance(1));
     let order = picker.next(Timestamp(50), &mut rng).expect("a fetch");
     assert_eq!(order.source, ChunkSource::Peer(instance(1)));
 }
@@ -171,8 +171,8 @@
     let mut picker = picker(0, 1);
     picker.peer_connected(&instance(1), Timestamp(0));
     picker.peer_holds(&instance(1), [], Timestamp(0));
-    picker.peer_draws(&instance(1), vec![0], Timestamp(0));
-    picker.peer_told_all(&instance(1));
+    picker.set_peer_origin_fetches(&instance(1), vec![0], Timestamp(0));
+    picker.peer_inventory_complete(&instance(1));
     assert_eq!(picker.next(Timestamp(10), &mut rng), None);
 }
 
@@ -205,7 +205,7 @@
     ) {
         let result = run_rounds(&RoundPlan::new(agents, chunks, seed));
         prop_assert!(result.complete, "{:?}", result);
-        prop_assert_eq!(result.most_draws, 1);
+        prop_assert_eq!(result.max_copies, 1);
     }
 
     /// Extra draws of all agents together stay within the copies allowed.
@@ -261,7 +261,7 @@
 
 /// Links of 9.4 Mbit/s that requests share, with chunks of 48 KB.
 const NARROW: LinkProfile =
-    LinkProfile { round_ms: 42, peer_slots: 4, upload_slots: 4, in_turns: true };
+    LinkProfile { round_ms: 42, max_peer_fetches: 4, upload_slots: 4, in_turns: true };
 
 /// After a loss of power no engine holds anything, and callers are refused until engines
 /// serve again. Half of them have to hold the version within 1.4 times the least time: one
--- a/crates/decide/tests/history/world.rs
+++ b/crates/decide/tests/history/world.rs
@@ -7,7 +7,7 @@
 };
 
 use cassiawheel_decide::{
-    Adoption, ChangeAnswer, ChangeRequest, ChangeStep, ChangeOutcome, ChangeWriter, GateState,
+    Adoption, ChangeAnswer, ChangeOutcome, ChangeRequest, ChangeStep, ChangeWriter, GateState,
     PresetHolder, StartHold,
 };
 use cassiawheel_model::{
--- a/crates/decide/tests/keyed_history/world.rs
+++ b/crates/decide/tests/keyed_history/world.rs
@@ -4,7 +4,7 @@
 use std::{cmp::Reverse, collections::BinaryHeap};
 
 use cassiawheel_decide::{
-    AttemptEnd, ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimReply, GateState,
+    AttemptEnd, ClaimRecord, ClaimReply, ClaimState, ClaimStep, ClaimTracker, GateState,
     RepeatGuard, RetryBudget, RetryStep, RetryTracker, RunLatch,
     claim::{ClaimGuard, RecordedAnswer, ReleaseStep, release_step},
 };
--- a/crates/decide/tests/preset_pull.rs
+++ b/crates/decide/tests/preset_pull.rs
@@ -1,6 +1,6 @@
 //! Entries that miss a preset and ask others for it, over links that are shared.
 
-use cassiawheel_decide::{PresetPull, PullStep, PullView, PeerRevision};
+use cassiawheel_decide::{PeerRevision, PresetPull, PullStep, PullView};
 use cassiawheel_model::{InstanceId, PresetRevision, Timestamp};
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
 use rstest::rstest;
@@ -167,7 +167,7 @@
                 continue;
             }
             for teller in told.iter().copied().filter(|teller| *teller != number) {
-                entries[number].hear(teller, now);
+                entries[number].observe(teller, now);
             }
             let near_rank = (number % ENTRIES_A_REGION) as u32;
             let follows_rows = !turned_away.contains(&number);
--- a/crates/decide/tests/support/rounds.rs
+++ b/crates/decide/tests/support/rounds.rs
@@ -48,7 +48,7 @@
     /// Time in which a link carries a chunk, in milliseconds of the pickers' clock.
     pub round_ms: u64,
     /// Fetches from peers that an agent keeps in progress.
-    pub peer_slots: usize,
+    pub max_peer_fetches: usize,
     /// Uploads that may wait at one agent.
     pub upload_slots: usize,
     /// Whether agents ask the origin in turns, and fewer peers over a link that is slow.
@@ -57,7 +57,7 @@
 
 /// Wide links, and an origin that answers everybody at once.
 const WIDE: LinkProfile =
-    LinkProfile { round_ms: ROUND_MS, peer_slots: 8, upload_slots: 32, in_turns: false };
+    LinkProfile { round_ms: ROUND_MS, max_peer_fetches: 8, upload_slots: 32, in_turns: false };
 
 impl RoundPlan {
     pub fn new(agents: usize, chunks: usize, seed: u64) -> Self {
@@ -99,7 +99,7 @@
     pub origin_chunks: usize,
     pub chunks: usize,
     /// Largest number of times that one chunk was drawn from the origin.
-    pub most_draws: usize,
+    pub max_copies: usize,
     pub complete: bool,
     pub selections: u64,
     pub selection_ns: u64,
@@ -188,7 +188,7 @@
         bound,
         origin_chunks: bench.draws.iter().sum(),
         chunks: plan.chunks,
-        most_draws: bench.draws.iter().copied().max().unwrap_or(0),
+        max_copies: bench.draws.iter().copied().max().unwrap_or(0),
         complete: bench.is_complete(),
         selections: bench.selections,
         selection_ns: bench.selection_ns,
@@ -279,7 +279,7 @@
                 picker.expect_peer(&name, now);
                 picker.peer_connected(&name, now);
                 picker.peer_holds(&name, told, now);
-                picker.peer_told_all(&name);
+                picker.peer_inventory_complete(&name);
             }
         }
     }
@@ -305,7 +305,7 @@
         late.sort_by_key(|order| order.index);
         for order in late {
             agent.waiting.remove(&order.index);
-            agent.picker.fetch_failed(&order, FetchFailure::Late, now);
+            agent.picker.fetch_failed(&order, FetchFailure::TimedOut, now);
         }
     }
 
@@ -315,7 +315,7 @@
         }
         let now = self.now();
         // Refusals come back within a fraction of a round; a few are tried again.
-        for _ in 0..4 * self.plan.profile.peer_slots {
+        for _ in 0..4 * self.plan.profile.max_peer_fetches {
             let begun = std::time::Instant::now();
             let order = self.agents[agent].picker.next(now, &mut self.rng);
             self.selection_ns += begun.elapsed().as_nanos() as u64;
@@ -339,7 +339,7 @@
         };
         let source = &mut self.agents[*source];
         if source.lies {
-            self.agents[agent].picker.fetch_failed(&order, FetchFailure::Damaged, now);
+            self.agents[agent].picker.fetch_failed(&order, FetchFailure::Corrupt, now);
         } else if source.upload.len() >= self.plan.profile.upload_slots {
             self.agents[agent].picker.fetch_deferred(&order, now);
         } else {
@@ -381,7 +381,7 @@
         let agent = &mut self.agents[fetch.agent];
         agent.waiting.remove(&fetch.order.index);
         if corrupt {
-            agent.picker.fetch_failed(&fetch.order, FetchFailure::Damaged, now);
+            agent.picker.fetch_failed(&fetch.order, FetchFailure::Corrupt, now);
         } else {
             agent.picker.fetch_succeeded(&fetch.order, now);
             agent.gained.push(fetch.order.index);
@@ -397,7 +397,7 @@
             }
             let gained = std::mem::take(&mut self.agents[about].gained);
             let told = if repeat { self.agents[about].told_chunks() } else { gained };
-            let drawing = self.agents[about].picker.drawing();
+            let drawing = self.agents[about].picker.origin_fetches();
             let draws_differ = drawing != self.agents[about].drawing;
             self.agents[about].drawing.clone_from(&drawing);
             if told.is_empty() && !draws_differ && !repeat {
@@ -410,7 +410,7 @@
                 }
                 other.picker.peer_holds(&name, told.iter().copied(), now);
                 if draws_differ || repeat {
-                    other.picker.peer_draws(&name, drawing.clone(), now);
+                    other.picker.set_peer_origin_fetches(&name, drawing.clone(), now);
                 }
             }
         }
@@ -426,13 +426,13 @@
             origin_chunk_ms: if profile.in_turns { turn_ms } else { 0.0 },
             queue_ms: if profile.in_turns { QUEUE_MS } else { 0 },
             rescue_ms: 0,
-            is_near_origin: false,
-            most_draws: 0,
+            in_origin_region: false,
+            max_origin_fetches: 0,
             instance: name.clone(),
             stall_ms: 2_000,
             origin_step_ms: 500,
-            per_peer: 2,
-            peer_slots: profile.peer_slots,
+            max_fetches_per_peer: 2,
+            max_peer_fetches: profile.max_peer_fetches,
             extra_copies: plan.extra_copies,
         };
         let mut picker = ChunkPicker::new(settings, plan.chunks, Timestamp(1_000));
--- a/crates/entry/src/control/change.rs
+++ b/crates/entry/src/control/change.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use cassiawheel_decide::{
-    ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeOutcome, ChangeWriter,
+    ChangeAnswer, ChangeOutcome, ChangeRecord, ChangeRequest, ChangeStep, ChangeWriter,
 };
 use cassiawheel_edge::{
     StoreError, TableGuard, TableRow, TableStore, TableWrite, WeightError, WriteVerdict,
--- a/crates/entry/src/control/pull.rs
+++ b/crates/entry/src/control/pull.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{PullStep, PullView, RowDuty, PeerRevision};
+use cassiawheel_decide::{PeerRevision, PullStep, PullView, RowDuty};
 use cassiawheel_model::{FailureDomain, InstanceId, PresetRevision, Timestamp};
 use cassiawheel_runtime::spawn;
 use cassiawheel_wire::{ControlMessage, WireSender};
