--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -257,7 +257,7 @@
         request.excluded.push(name);
         request.tracker.begin();
         self.outcome.attempts += 1;
-        match self.gates[endpoint].enter(PresetRevision(1), None) {
+        match self.gates[endpoint].acquire(PresetRevision(1), None) {
             Ok(_) => {
                 entry.cells[endpoint].begin();
                 entry.total.fetch_add(1, Ordering::Relaxed);
@@ -286,7 +286,7 @@
     }
 
     fn done(&mut self, number: usize, endpoint: usize) {
-        self.gates[endpoint].leave();
+        self.gates[endpoint].release();
         let entry = &self.entries[self.requests[number].entry];
         entry.cells[endpoint].succeed();
         entry.cells[endpoint].end();
