--- a/crates/decide/src/crash_tracker.rs
+++ b/crates/decide/src/crash_tracker.rs
@@ -265,7 +265,8 @@
         kept: &[QuarantinedRequest],
         now: Timestamp,
     ) -> Option<Vec<QuarantinedRequest>> {
-        let is_over = |bar: &QuarantinedRequest| bar.ended_at.deadline_after(BAR_DURATION).is_past(now);
+        let is_over =
+            |bar: &QuarantinedRequest| bar.ended_at.deadline_after(BAR_DURATION).is_past(now);
         let is_kept =
             |digest: &RequestDigest| kept.iter().any(|bar| bar.digest == *digest && !is_over(bar));
         let barred = self.requests.iter().filter(|(digest, request)| {
@@ -287,12 +288,7 @@
     }
 
     /// Facts that `link` has to be sent, and up to which change it has all of them then.
-    pub fn rows_since(
-        &self,
-        mark: u64,
-        link: LinkId,
-        now: Timestamp,
-    ) -> (Vec<CrashRecord>, u64) {
+    pub fn rows_since(&self, mark: u64, link: LinkId, now: Timestamp) -> (Vec<CrashRecord>, u64) {
         if mark == self.changes {
             return (Vec::new(), mark);
         }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -22,7 +22,6 @@
 pub mod gate;
 pub mod gossip;
 pub mod heartbeat;
-pub mod holder;
 pub mod idempotency;
 pub mod latch;
 pub mod listing;
@@ -30,6 +29,7 @@
 pub mod overlay;
 pub mod peering;
 pub mod plan;
+pub mod preset_holder;
 pub mod preset_pull;
 pub mod rank;
 pub mod rate_limits;
@@ -39,16 +39,16 @@
 pub mod roster;
 pub mod route;
 pub mod select;
-pub mod turns;
+pub mod switch_stagger;
 pub mod versions;
 
 pub use admit::{AdmitTicket, AdmitTier, AdmitVerdict, ServiceAdmission};
 pub use advice::{EntryAdvice, EntryCandidate, advise};
 pub use caller_index::{CallerIndex, UnknownKey, pick_service};
 pub use change::{
-    ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeVerdict, ChangeWriter, ForceRow,
+    ChangeAnswer, ChangeOutcome, ChangeRecord, ChangeRequest, ChangeStep, ChangeWriter, ForceRow,
 };
-pub use claim::{ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimView};
+pub use claim::{ClaimRecord, ClaimReply, ClaimState, ClaimStep, ClaimTracker};
 pub use crash_tracker::{BAR_DURATION, CrashTracker, CrashVerdict};
 pub use endpoint_tracker::{EndpointPace, EndpointTracker};
 pub use entry_selector::EntrySelector;
@@ -58,15 +58,15 @@
 pub use gate::{GateState, SwitchError};
 pub use gossip::{GossipStore, LinkCursor, LinkId};
 pub use heartbeat::{LoadSchedule, SentReport};
-pub use holder::{Adoption, PresetHolder, StartHold};
 pub use latch::RunLatch;
-pub use listing::{EndpointListing, ListingNews};
+pub use listing::{EndpointListing, ListingUpdate};
 pub use manifest_search::{ManifestSearch, SearchStep};
 pub use overlay::{
     EntryLocation, FeedRole, feed_role, links_to_dial, reachable_entries, same_region_or_all,
 };
 pub use peering::{AgentLocation, chunk_peers};
-pub use preset_pull::{PresetPull, PullStep, PullView, ToldRevision};
+pub use preset_holder::{Adoption, PresetHolder, StartHold};
+pub use preset_pull::{PeerRevision, PresetPull, PullStep, PullView};
 pub use rate_limits::{HolderRank, RateLimits};
 pub use restarts::RestartDetector;
 pub use resync::ResyncSchedule;
@@ -76,7 +76,7 @@
     EndpointPath, RouteCandidate, RouteChoice, RouteQuery, RouteSnapshot, ServiceRoutes,
 };
 pub use select::{
-    ChunkBits, ChunkPicker, ChunkSource, FetchFailure, FetchOrder, PeerPlace, PickerSettings,
+    ChunkBits, ChunkPicker, ChunkSource, FetchFailure, FetchOrder, PeerLocation, PickerSettings,
 };
-pub use turns::TurnLedger;
-pub use versions::{VersionBook, WantedVersion};
+pub use switch_stagger::SwitchStagger;
+pub use versions::{VersionRecord, VersionRegistry};
--- a/crates/decide/src/rate_limits.rs
+++ b/crates/decide/src/rate_limits.rs
@@ -193,12 +193,7 @@
     }
 
     /// Limits that `link` has to be sent, and up to which change it has all of them then.
-    pub fn rows_since(
-        &self,
-        mark: u64,
-        link: LinkId,
-        now: Timestamp,
-    ) -> (Vec<LimitRecord>, u64) {
+    pub fn rows_since(&self, mark: u64, link: LinkId, now: Timestamp) -> (Vec<LimitRecord>, u64) {
         if mark == self.changes {
             return (Vec::new(), mark);
         }
--- a/crates/decide/tests/history/world.rs
+++ b/crates/decide/tests/history/world.rs
@@ -7,7 +7,7 @@
 };
 
 use cassiawheel_decide::{
-    Adoption, ChangeAnswer, ChangeRequest, ChangeStep, ChangeVerdict, ChangeWriter, GateState,
+    Adoption, ChangeAnswer, ChangeOutcome, ChangeRequest, ChangeStep, ChangeWriter, GateState,
     PresetHolder, StartHold,
 };
 use cassiawheel_model::{
@@ -171,7 +171,7 @@
     adopted: BTreeMap<PresetRevision, ChangeId>,
     pub store: ModelStore,
     pub operations: Vec<Operation>,
-    pub verdicts: Vec<(ChangeId, ChangeVerdict)>,
+    pub verdicts: Vec<(ChangeId, ChangeOutcome)>,
     pub reverts: u64,
     pub two_in_force: u64,
     pub stale_dispatches: u64,
@@ -300,7 +300,7 @@
                 continue;
             }
             if self.is_cut(node, other) {
-                self.nodes[node].hold.heard(addr(other));
+                self.nodes[node].hold.mark_answered(addr(other));
                 continue;
             }
             self.send(node, other, Message::Greeting(self.in_use(node)));
@@ -404,7 +404,7 @@
             Event::Ask { operation, ask } => self.ask(operation, ask),
             Event::AskTimeout { operation, ask } => {
                 let detail = "the entry did not answer".to_owned();
-                self.conclude(operation, ask, ChangeVerdict::Unknown(detail));
+                self.conclude(operation, ask, ChangeOutcome::Unknown(detail));
             }
         }
     }
@@ -464,7 +464,7 @@
                 if let Some(preset) = &preset {
                     self.offer(to, preset);
                 }
-                self.nodes[to].hold.heard(addr(from));
+                self.nodes[to].hold.mark_answered(addr(from));
             }
             Message::Force(preset) => {
                 self.offer(to, &preset);
@@ -490,7 +490,7 @@
             return;
         }
         let node = &mut self.nodes[agent];
-        if guarded && node.gate.enter(revision, None).is_err() {
+        if guarded && node.gate.acquire(revision, None).is_err() {
             return self.answer_older(agent, entry, revision);
         }
         self.reverts += u64::from(revision < node.worked);
@@ -592,7 +592,7 @@
                 self.offer(node, &row.preset);
             }
         }
-        self.nodes[node].hold.heard(store_addr());
+        self.nodes[node].hold.mark_answered(store_addr());
     }
 
     fn ask(&mut self, operation: usize, ask: u64) {
@@ -620,7 +620,7 @@
             ChangeStep::Write { preset, guard } => StoreCall::Write { preset, guard },
             ChangeStep::Refuse(record) => StoreCall::Refuse { change, record },
             ChangeStep::Done(verdict) => {
-                if let ChangeVerdict::Accepted(preset) = &verdict {
+                if let ChangeOutcome::Accepted(preset) = &verdict {
                     self.offer(node, preset);
                 }
                 return self.conclude(operation, ask, verdict);
@@ -630,7 +630,7 @@
     }
 
     /// An operator hears a verdict, or asks again by the same id if it is unknown.
-    fn conclude(&mut self, operation: usize, ask: u64, verdict: ChangeVerdict) {
+    fn conclude(&mut self, operation: usize, ask: u64, verdict: ChangeOutcome) {
         let asked = &self.operations[operation];
         if asked.ended.is_some() || asked.asks != ask {
             return;
@@ -638,11 +638,11 @@
         let now = self.now;
         let change = asked.change.clone().expect("operators change");
         let outcome = match &verdict {
-            ChangeVerdict::Accepted(preset) => OperationKind::Change(Some(preset.revision.0)),
-            ChangeVerdict::Conflict(_) | ChangeVerdict::NotAccepted(_) => {
+            ChangeOutcome::Accepted(preset) => OperationKind::Change(Some(preset.revision.0)),
+            ChangeOutcome::Conflict(_) | ChangeOutcome::NotAccepted(_) => {
                 OperationKind::Change(None)
             }
-            ChangeVerdict::Unknown(_) => {
+            ChangeOutcome::Unknown(_) => {
                 self.operations[operation].asks = ask + 1;
                 let at = now + self.rng.random_range(50..800);
                 return self.at(at, Event::Ask { operation, ask: ask + 1 });
--- a/crates/entry/src/control/manifests.rs
+++ b/crates/entry/src/control/manifests.rs
@@ -60,7 +60,7 @@
                 }
             }
             // The others tell what they have pinned without being asked.
-            SearchStep::Others(_) => {}
+            SearchStep::Peers(_) => {}
             SearchStep::Wait(until) => {
                 let span = until.remaining(Timestamp::now()).min(CHECK_INTERVAL);
                 timeout(span, routed.versions_changed()).await;
@@ -124,7 +124,7 @@
     // The newest one is what endpoints have to serve; the origin may have
     // dropped the others.
     named.into_iter().rev().find(|named| {
-        let wanted = versions.wanted(&named.model).map(|wanted| wanted.number);
+        let wanted = versions.newest(&named.model).map(|wanted| wanted.number);
         named.manifest.is_none() && wanted == Some(named.number)
     })
 }
--- a/crates/entry/src/control/orders.rs
+++ b/crates/entry/src/control/orders.rs
@@ -11,7 +11,7 @@
 };
 
 use cassiawheel_decide::{
-    TurnLedger,
+    SwitchStagger,
     plan::{PlanInput, PlannedOrder, plan_orders},
 };
 use cassiawheel_model::{InstanceId, PresetRevision, Timestamp};
@@ -46,7 +46,7 @@
 /// Plans again whenever a report or the preset changed, and now and then without a change.
 pub(crate) async fn run_planner(shared: Arc<EntryShared>) {
     let mut resend_at = Timestamp::now().deadline_after(RESEND_INTERVAL);
-    let mut turns = TurnLedger::default();
+    let mut turns = SwitchStagger::default();
     let mut sent = SentOrders::default();
     loop {
         Timer::after(PLAN_INTERVAL).await;
@@ -79,12 +79,12 @@
     let ahead = ahead.as_ref().map(|ahead| &ahead.staged.content);
     match &shared.routed {
         Some(routed) => {
-            let pace = routed.pace(&preset, Timestamp::now());
+            let rollout = routed.pace(&preset, Timestamp::now());
             let preset = routed.with_versions(&preset);
-            let pace = pace.as_ref();
-            plan_orders(PlanInput { preset: &preset, ahead, reports: &reports, pace })
+            let rollout = rollout.as_ref();
+            plan_orders(PlanInput { preset: &preset, ahead, reports: &reports, rollout })
         }
-        None => plan_orders(PlanInput { preset: &preset, ahead, reports: &reports, pace: None }),
+        None => plan_orders(PlanInput { preset: &preset, ahead, reports: &reports, rollout: None }),
     }
 }
 
@@ -116,7 +116,7 @@
     let mut turns = Vec::new();
     for planned in released {
         let instance = planned.instance.clone();
-        if planned.is_turn() {
+        if planned.is_switch() {
             turns.push(EndpointOrder { instance, order: weight_order(shared, &planned) });
         }
         send_order(shared, planned);
--- a/crates/entry/src/control/peers.rs
+++ b/crates/entry/src/control/peers.rs
@@ -10,7 +10,7 @@
 };
 
 use cassiawheel_decide::{
-    ListingNews, PeerEntry,
+    ListingUpdate, PeerEntry,
     advice::EntryCandidate,
     rank::{first_ranked, subject_of},
 };
@@ -175,7 +175,7 @@
         ControlMessage::Manifest(manifest) => routed.manifests.insert(manifest),
         ControlMessage::Listing { rows, base, position, age_ms } => {
             let asked_at = Timestamp(Timestamp::now().0.saturating_sub(age_ms));
-            let news = ListingNews { rows, base, position, asked_at };
+            let news = ListingUpdate { rows, base, position, asked_at };
             listing::handle_listing(shared, routed, sender, news);
         }
         ControlMessage::ListingWanted => listing::send_listing(routed, sender),
@@ -247,7 +247,7 @@
                 let _ = sender.try_send(shared.hello());
                 serve_peer(&shared, sender, receiver, Some(addr)).await;
             }
-            Err(_) => shared.start_hold().heard(addr),
+            Err(_) => shared.start_hold().mark_answered(addr),
         }
         Timer::after(REDIAL_DELAY).await;
     }
@@ -278,7 +278,7 @@
         other = heartbeat_process(&message).or(other);
         handle_peer_message(shared, &sender, message);
         if let Some(addr) = dialled.filter(|_| is_heartbeat) {
-            shared.start_hold().heard(addr);
+            shared.start_hold().mark_answered(addr);
         }
     }
     sender.close();
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -15,7 +15,7 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 /// Verdicts on requests, and runs of suspects that this entry has under way.
-pub(crate) struct CrashTracker {
+pub(crate) struct CrashGuard {
     verdicts: ArcSwap<HashMap<RequestDigest, CrashVerdict>>,
     running: Mutex<HashSet<RequestDigest>>,
     own_barred: (Sender<()>, Receiver<()>),
@@ -23,7 +23,7 @@
 
 /// The only run of a suspect at this entry, until it is dropped.
 pub(crate) struct SuspectRun {
-    tracker: Arc<CrashTracker>,
+    tracker: Arc<CrashGuard>,
     digest: RequestDigest,
 }
 
@@ -33,13 +33,13 @@
     }
 }
 
-impl Default for CrashTracker {
+impl Default for CrashGuard {
     fn default() -> Self {
         Self { verdicts: ArcSwap::default(), running: Mutex::default(), own_barred: bounded(1) }
     }
 }
 
-impl CrashTracker {
+impl CrashGuard {
     /// Completes when an own run has had a request barred.
     pub(crate) async fn await_own_barred(&self) {
         let _ = self.own_barred.1.recv().await;
--- a/crates/entry/src/overlay.rs
+++ b/crates/entry/src/overlay.rs
@@ -113,7 +113,8 @@
     /// Passes a message on; false if that was done already.
     pub(crate) fn forward_flood(&self, message: &FloodMessage, source: LinkId) -> bool {
         let mut state = self.lock();
-        let is_news = state.seen_floods.insert(&message.origin, message.incarnation, message.number);
+        let is_news =
+            state.seen_floods.insert(&message.origin, message.incarnation, message.number);
         if is_news {
             state.send_flood(message, Some(source));
         }
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -13,8 +13,8 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use cassiawheel_decide::{
-    CallerIndex, EndpointListing, EndpointTracker, FeedRole, PresetPull, RetryBudget, VersionBook,
-    plan::PlanPace,
+    CallerIndex, EndpointListing, EndpointTracker, FeedRole, PresetPull, RetryBudget,
+    VersionRegistry, plan::RolloutSchedule,
 };
 use cassiawheel_edge::{
     CallerProtocol, EndpointFeed, EndpointProtocol, OperatorFeed, TableStore, WeightSource,
@@ -27,7 +27,7 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 use crate::{
-    control::manifest_cache::ManifestCache, crashes::CrashTracker, direct::DirectClient,
+    control::manifest_cache::ManifestCache, crashes::CrashGuard, direct::DirectClient,
     limits::LimitTracker, overlay::Overlay,
 };
 
@@ -69,7 +69,7 @@
     /// Routes and keys of the preset in force; read without a lock.
     pub(crate) index: ArcSwapOption<CallerIndex>,
     /// The versions that operators named; read without a lock.
-    pub(crate) versions: ArcSwap<VersionBook>,
+    pub(crate) versions: ArcSwap<VersionRegistry>,
     /// Manifests of named versions.
     pub(crate) manifests: ManifestCache,
     /// Whether the last call for the operators' rows was answered.
@@ -83,7 +83,7 @@
     /// Limits that endpoints name.
     pub(crate) limits: Arc<LimitTracker>,
     /// Requests under which endpoints have ended.
-    pub(crate) crashes: Arc<CrashTracker>,
+    pub(crate) crashes: Arc<CrashGuard>,
     /// Cells of endpoints by the hashes of their agents; read without a lock.
     pub(crate) counters_by_agent: ArcSwap<HashMap<u64, Arc<EndpointTracker>>>,
     budgets: ArcSwap<HashMap<ServiceName, Arc<RetryBudget>>>,
@@ -114,7 +114,7 @@
         let limits = Arc::new(LimitTracker::new(overlay.waker()));
         let mut listing = EndpointListing::new(adapters.settings.list_heartbeat_ms);
         // The first read of the table is under way as soon as the process runs.
-        listing.begin_asking(Timestamp::now());
+        listing.begin_snapshot_request(Timestamp::now());
         Self {
             listing: Mutex::new(listing),
             settings: adapters.settings,
@@ -185,9 +185,9 @@
         let now = Timestamp::now();
         let mut is_new = false;
         self.versions.rcu(|known| {
-            let mut book = VersionBook::clone(known);
-            is_new = book.offer(named, span, now);
-            book
+            let mut versions = VersionRegistry::clone(known);
+            is_new = versions.record(named, span, now);
+            versions
         });
         if is_new {
             let _ = self.versions_changed.0.try_send(());
@@ -211,10 +211,10 @@
     }
 
     /// What the platform asks of the versions of the preset's model.
-    pub(crate) fn pace(&self, preset: &ForcedPreset, now: Timestamp) -> Option<PlanPace> {
+    pub(crate) fn pace(&self, preset: &ForcedPreset, now: Timestamp) -> Option<RolloutSchedule> {
         let mut targets = preset.content.services.values();
         let engine = targets.find_map(|target| target.engine.as_ref())?;
-        self.versions.load().pace(&engine.model, now)
+        self.versions.load().schedule(&engine.model, now)
     }
 
     /// `preset` with the versions that were named since.
@@ -224,7 +224,7 @@
         planned.content.callers = None;
         for target in planned.content.services.values_mut() {
             let model = target.engine.as_ref().map(|engine| engine.model.as_str());
-            if let Some(wanted) = model.and_then(|model| versions.wanted(model)) {
+            if let Some(wanted) = model.and_then(|model| versions.newest(model)) {
                 target.version = Some(wanted.version.clone());
                 target.manifest = wanted.manifest;
             }
@@ -258,7 +258,7 @@
     preset: &ForcedPreset,
     reports: &HashMap<SocketAddr, &EndpointReport>,
 ) -> Vec<DirectCandidate<'a>> {
-    let present = listing.present(|service| preset.content.services.contains_key(service));
+    let present = listing.latest_per_addr(|service| preset.content.services.contains_key(service));
     let present = present.into_iter().filter(|listed| !listed.is_leaving);
     let candidate = |listed: &'a ListedEndpoint| {
         let target = preset.content.services.get(&listed.service)?;
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -214,8 +214,8 @@
         let routed = self.routed.as_ref()?;
         let active_preset = self.active_preset.load();
         let engine = active_preset.as_ref()?.content.services.get(service)?.engine.as_ref()?;
-        let barred_from = routed.versions.load().barred_from(&engine.model, version?)?;
-        Some(Timestamp(barred_from.0).deadline_after(MAX_START_DELAY))
+        let expires_at = routed.versions.load().expires_at(&engine.model, version?)?;
+        Some(Timestamp(expires_at.0).deadline_after(MAX_START_DELAY))
     }
 
     /// An id that no other request has.
@@ -238,7 +238,7 @@
                 log::error!(target: "preset", revision = revision; "Two presets have the same revision.");
                 false
             }
-            Adoption::Adopted | Adoption::Known | Adoption::Older => false,
+            Adoption::Adopted | Adoption::Unchanged | Adoption::Stale => false,
         }
     }
 
@@ -372,7 +372,7 @@
             return;
         };
         let listing = routed.listing();
-        let listed = report.endpoint_addr.and_then(|a| listing.present_at(&report.service, a));
+        let listed = report.endpoint_addr.and_then(|a| listing.latest_at(&report.service, a));
         let Some(instance) = listed.map(|listed| listed.instance.clone()) else {
             return;
         };
