--- a/crates/decide/src/crash_book.rs
+++ b/crates/decide/src/crash_tracker.rs
@@ -19,9 +19,11 @@
     time::Duration,
 };
 
-use cassiawheel_model::{BarredRequest, CrashEvent, CrashRow, Deadline, RequestDigest, Timestamp};
+use cassiawheel_model::{
+    CrashEvent, CrashRecord, Deadline, QuarantinedRequest, RequestDigest, Timestamp,
+};
 
-use crate::gossip::LinkNumber;
+use crate::gossip::LinkId;
 
 /// Weight of an end before a part of the answer had come.
 const START_WEIGHT: u32 = 2;
@@ -33,7 +35,7 @@
 const BARRED_WEIGHT: u32 = 3 * START_WEIGHT;
 
 /// Time since the last end for which a request is barred, and for which ends count.
-pub const BAR_TIME: Duration = Duration::from_secs(600);
+pub const BAR_DURATION: Duration = Duration::from_secs(600);
 
 /// Wait after an end, in which ends at other entries become known here.
 const SETTLE_TIME: Duration = Duration::from_millis(60);
@@ -64,7 +66,7 @@
     /// Endpoints have ended under it; at most one run at a time should try it further.
     Suspect {
         /// Whether the only end was seen by this entry.
-        is_own: bool,
+        is_local: bool,
         /// When what other entries have seen until now is known here, and the last run
         /// that has begun has shown what it does.
         settled_at: Deadline,
@@ -78,7 +80,7 @@
 
 /// Requests under which endpoints have ended.
 #[derive(Debug, Default)]
-pub struct CrashBook {
+pub struct CrashTracker {
     requests: HashMap<RequestDigest, SuspectRequest>,
     changes: u64,
 }
@@ -96,18 +98,18 @@
     event: CrashEvent,
     at: Timestamp,
     change: u64,
-    source: Option<LinkNumber>,
+    source: Option<LinkId>,
 }
 
 impl CrashVerdict {
     /// When a run of a suspect may begin at the entry of `rank` among `entries`.
-    pub fn turn_at(self, rank: usize, entries: usize) -> Deadline {
+    pub fn not_before(self, rank: usize, entries: usize) -> Deadline {
         match self {
             Self::Clear => Deadline(0),
             // The request of a caller whose endpoint has ended is at this entry alone,
             // unless it is one that comes again and again.
-            Self::Suspect { is_own: true, settled_at } => settled_at,
-            Self::Suspect { is_own: false, settled_at } => {
+            Self::Suspect { is_local: true, settled_at } => settled_at,
+            Self::Suspect { is_local: false, settled_at } => {
                 let wait_ms = SPREAD_TIME.as_millis() as usize * rank / entries.max(1);
                 Deadline(settled_at.0 + wait_ms as u64)
             }
@@ -119,7 +121,7 @@
 impl KnownFact {
     /// Whether `event` is of the same endpoint's end.
     fn is_same_end(&self, event: CrashEvent) -> bool {
-        self.event.endpoint() == event.endpoint()
+        self.event.endpoint_hash() == event.endpoint_hash()
     }
 
     fn weight(&self) -> u32 {
@@ -189,9 +191,9 @@
         let last = self.last_end();
         match self.weight() {
             0 | ANSWER_WEIGHT => CrashVerdict::Clear,
-            BARRED_WEIGHT.. => CrashVerdict::Barred { until: last.deadline_after(BAR_TIME) },
+            BARRED_WEIGHT.. => CrashVerdict::Barred { until: last.deadline_after(BAR_DURATION) },
             _ => CrashVerdict::Suspect {
-                is_own: self.counted().count() == 1
+                is_local: self.counted().count() == 1
                     && self.counted().all(|end| end.source.is_none()),
                 settled_at: self.settled_at(),
             },
@@ -212,14 +214,14 @@
     is_later
 }
 
-impl CrashBook {
+impl CrashTracker {
     /// Takes in what an entry has seen; true if it was not known.
     ///
     /// Beginnings and whole answers are of use only for a request under which endpoints
     /// have ended.
-    pub fn note(&mut self, row: CrashRow, source: Option<LinkNumber>, now: Timestamp) -> bool {
+    pub fn record(&mut self, row: CrashRecord, source: Option<LinkId>, now: Timestamp) -> bool {
         let at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
-        if at.deadline_after(BAR_TIME).is_past(now) {
+        if at.deadline_after(BAR_DURATION).is_past(now) {
             return false;
         }
         let fact = KnownFact { event: row.event, at, change: self.changes + 1, source };
@@ -258,18 +260,19 @@
 
     /// Adds the bars that are not in `kept` to it and drops those that are over; none if
     /// there is nothing to add.
-    pub fn bars_to_keep(
+    pub fn bars_to_persist(
         &self,
-        kept: &[BarredRequest],
+        kept: &[QuarantinedRequest],
         now: Timestamp,
-    ) -> Option<Vec<BarredRequest>> {
-        let is_over = |bar: &BarredRequest| bar.ended_at.deadline_after(BAR_TIME).is_past(now);
+    ) -> Option<Vec<QuarantinedRequest>> {
+        let is_over =
+            |bar: &QuarantinedRequest| bar.ended_at.deadline_after(BAR_DURATION).is_past(now);
         let is_kept =
             |digest: &RequestDigest| kept.iter().any(|bar| bar.digest == *digest && !is_over(bar));
         let barred = self.requests.iter().filter(|(digest, request)| {
             matches!(request.verdict(), CrashVerdict::Barred { .. }) && !is_kept(digest)
         });
-        let added = barred.map(|(digest, request)| BarredRequest {
+        let added = barred.map(|(digest, request)| QuarantinedRequest {
             digest: *digest,
             ended_at: request.last_end(),
         });
@@ -285,7 +288,7 @@
     }
 
     /// Facts that `link` has to be sent, and up to which change it has all of them then.
-    pub fn rows_since(&self, mark: u64, link: LinkNumber, now: Timestamp) -> (Vec<CrashRow>, u64) {
+    pub fn rows_since(&self, mark: u64, link: LinkId, now: Timestamp) -> (Vec<CrashRecord>, u64) {
         if mark == self.changes {
             return (Vec::new(), mark);
         }
@@ -299,7 +302,7 @@
         let is_cut = due.len() > MAX_ROWS;
         due.truncate(MAX_ROWS);
         let last = due.last().map_or(mark, |(_, fact)| fact.change);
-        let rows = due.into_iter().map(|(digest, fact)| CrashRow {
+        let rows = due.into_iter().map(|(digest, fact)| CrashRecord {
             digest,
             event: fact.event,
             age_ms: now.0.saturating_sub(fact.at.0) as u32,
@@ -310,7 +313,7 @@
     /// Forgets requests under which no endpoint has ended for long; true if there were any.
     pub fn expire(&mut self, now: Timestamp) -> bool {
         let before = self.requests.len();
-        let is_old = |fact: &KnownFact| fact.at.deadline_after(BAR_TIME).is_past(now);
+        let is_old = |fact: &KnownFact| fact.at.deadline_after(BAR_DURATION).is_past(now);
         self.requests.retain(|_, request| !request.ends.iter().all(is_old));
         before != self.requests.len()
     }
--- a/crates/decide/src/lives.rs
+++ b/crates/decide/src/restarts.rs
@@ -6,17 +6,17 @@
 
 /// When the present process of each endpoint started, by its own word.
 #[derive(Debug, Clone, Default)]
-pub struct EndpointLives {
+pub struct RestartDetector {
     born: HashMap<InstanceId, Timestamp>,
 }
 
-impl EndpointLives {
+impl RestartDetector {
     /// Notes the start of an endpoint's process; true if a former one ended.
     ///
     /// What was learnt of the former process does not hold for this one: its
     /// failures would keep requests away from an engine that is idle, its loads
     /// would send it more or less than it can take, and its connections are gone.
-    pub fn begin(&mut self, instance: &InstanceId, born_at: Option<Timestamp>) -> bool {
+    pub fn observe_start(&mut self, instance: &InstanceId, born_at: Option<Timestamp>) -> bool {
         let Some(born_at) = born_at else {
             return false;
         };
--- a/crates/decide/src/repeats.rs
+++ b/crates/decide/src/resync.rs
@@ -17,19 +17,19 @@
 
 /// What one other agent has been told.
 #[derive(Debug, Clone, Copy)]
-pub struct RepeatSchedule {
+pub struct ResyncSchedule {
     has_missed: bool,
     repeat_at: Deadline,
 }
 
-impl RepeatSchedule {
+impl ResyncSchedule {
     /// An agent that has just been told everything.
     pub fn new(now: Timestamp) -> Self {
         Self { has_missed: false, repeat_at: now.deadline_after(REPEAT_TIME) }
     }
 
     /// Notes that a word to it went out, or that its queue was full.
-    pub fn note(&mut self, queued: bool) {
+    pub fn record_send(&mut self, queued: bool) {
         self.has_missed |= !queued;
     }
 
--- a/crates/decide/tests/keyed_history/world.rs
+++ b/crates/decide/tests/keyed_history/world.rs
@@ -4,7 +4,7 @@
 use std::{cmp::Reverse, collections::BinaryHeap};
 
 use cassiawheel_decide::{
-    AttemptEnd, ClaimRecord, ClaimState, ClaimStep, ClaimTracker, ClaimView, GateState,
+    AttemptFailure, ClaimRecord, ClaimReply, ClaimState, ClaimStep, ClaimTracker, GateState,
     RepeatGuard, RetryBudget, RetryStep, RetryTracker, RunLatch,
     claim::{ClaimGuard, RecordedAnswer, ReleaseStep, release_step},
 };
@@ -68,8 +68,8 @@
     Send(usize, StoreCall),
     Apply(usize, StoreCall),
     ApplyUnheard(usize, StoreCall),
-    Answer(usize, StoreCall, ClaimView),
-    Word(usize, Result<String, AttemptEnd>),
+    Answer(usize, StoreCall, ClaimReply),
+    Word(usize, Result<String, AttemptFailure>),
     Deadline(usize),
     Cancel(usize),
     Begin(Fault),
@@ -267,10 +267,10 @@
         }
         let free: Vec<_> = (0..AGENTS).filter(|a| !request.excluded.contains(a)).collect();
         let Some(agent) = free.choose(&mut self.rng).copied() else {
-            return self.after(index, AttemptEnd::NotRun(NotRunReason::NoEndpoint));
+            return self.after(index, AttemptFailure::NotRun(NotRunReason::NoEndpoint));
         };
         request.excluded.push(agent);
-        request.tracker.begin();
+        request.tracker.begin_attempt();
         let number = self.attempts.len();
         request.attempts.push(number);
         let nonce = AttemptNonce::new(&format!("attempt-{number}")).expect("a nonce");
@@ -290,7 +290,7 @@
         self.soon(Event::Dispatch(number));
     }
 
-    fn hear_word(&mut self, attempt: usize, word: Result<String, AttemptEnd>) {
+    fn hear_word(&mut self, attempt: usize, word: Result<String, AttemptFailure>) {
         let index = self.attempts[attempt].request;
         let request = &self.requests[index];
         // The answer of an abandoned attempt is late.
@@ -303,18 +303,18 @@
         }
     }
 
-    fn after(&mut self, index: usize, end: AttemptEnd) {
+    fn after(&mut self, index: usize, end: AttemptFailure) {
         let (now, request) = (self.stamp(), &mut self.requests[index]);
         let last = end.clone();
-        match request.tracker.after(end, &self.budget, now, &mut self.rng) {
-            RetryStep::Again(at) | RetryStep::Reroute(at) => self.at(at.0, Event::Try(index)),
+        match request.tracker.next_step(end, &self.budget, now, &mut self.rng) {
+            RetryStep::Retry(at) | RetryStep::Reroute(at) => self.at(at.0, Event::Try(index)),
             RetryStep::Stop(end) => {
                 let end = if self.missing == MissingGuard::UnknownStays { last } else { end };
                 let told = match end {
-                    AttemptEnd::NotRun(reason) => Told::NotRun(reason),
-                    AttemptEnd::Unknown(_) | AttemptEnd::Lost(_) | AttemptEnd::Unanswered(_) => {
-                        Told::Unknown
-                    }
+                    AttemptFailure::NotRun(reason) => Told::NotRun(reason),
+                    AttemptFailure::Unknown(_)
+                    | AttemptFailure::Lost(_)
+                    | AttemptFailure::Unanswered(_) => Told::Unknown,
                 };
                 self.tell(index, told);
             }
@@ -325,7 +325,7 @@
         if self.requests[index].told.is_some() {
             return;
         }
-        self.after(index, AttemptEnd::Unknown("deadline".to_owned()));
+        self.after(index, AttemptFailure::Unknown("deadline".to_owned()));
         self.cancel_last(index);
     }
 
@@ -361,7 +361,7 @@
             return true;
         }
         let gate = &mut self.agents[self.attempts[attempt].agent].gate;
-        match gate.enter(PresetRevision(1), None) {
+        match gate.acquire(PresetRevision(1), None) {
             Ok(_) => {
                 self.attempts[attempt].permit = true;
                 true
@@ -376,15 +376,15 @@
     fn leave_gate(&mut self, attempt: usize) {
         let attempt = &mut self.attempts[attempt];
         if std::mem::take(&mut attempt.permit) {
-            self.agents[attempt.agent].gate.leave();
+            self.agents[attempt.agent].gate.release();
         }
     }
 
     fn refuse(&mut self, attempt: usize, reason: NotRunReason) {
-        self.give_up(attempt, AttemptEnd::NotRun(reason));
+        self.give_up(attempt, AttemptFailure::NotRun(reason));
     }
 
-    fn give_up(&mut self, attempt: usize, end: AttemptEnd) {
+    fn give_up(&mut self, attempt: usize, end: AttemptFailure) {
         self.leave_gate(attempt);
         self.attempts[attempt].ended = true;
         self.soon(Event::Word(attempt, Err(end)));
@@ -415,26 +415,26 @@
         }
         if self.store_down > 0 {
             let view =
-                if self.rng.random_bool(0.5) { ClaimView::NoEffect } else { ClaimView::Lost };
+                if self.rng.random_bool(0.5) { ClaimReply::NoEffect } else { ClaimReply::Lost };
             return self.soon(Event::Answer(attempt, call, view));
         }
         if self.store_slow > 0 && self.rng.random_bool(0.5) {
             // The client gives up on a write that takes effect long after.
             let late = self.now + self.rng.random_range(50..1_500);
             self.at(late, Event::ApplyUnheard(attempt, call.clone()));
-            return self.at(self.now + 50, Event::Answer(attempt, call, ClaimView::Lost));
+            return self.at(self.now + 50, Event::Answer(attempt, call, ClaimReply::Lost));
         }
         self.soon(Event::Apply(attempt, call));
     }
 
-    fn answered(&mut self, attempt: usize, call: StoreCall, view: ClaimView) {
+    fn answered(&mut self, attempt: usize, call: StoreCall, view: ClaimReply) {
         let again = |call| Event::Send(attempt, call);
         match call {
             // The answer of a call that was given up on before.
             StoreCall::Claim(_) | StoreCall::Look if self.attempts[attempt].ended => {}
             StoreCall::Claim(_) | StoreCall::Look => self.claim_step(attempt, view),
             StoreCall::Settle(state, revision) => match view {
-                ClaimView::NoEffect | ClaimView::Lost => {
+                ClaimReply::NoEffect | ClaimReply::Lost => {
                     self.at(self.now + 60, again(StoreCall::Settle(state, revision)));
                 }
                 _ => {}
@@ -444,13 +444,13 @@
                 match release_step(&nonce, &view) {
                     ReleaseStep::Done => {}
                     ReleaseStep::Write(guard) => self.soon(again(StoreCall::Release(guard))),
-                    ReleaseStep::Look => self.at(self.now + 60, again(StoreCall::ReleaseLook)),
+                    ReleaseStep::Poll => self.at(self.now + 60, again(StoreCall::ReleaseLook)),
                 }
             }
         }
     }
 
-    fn claim_step(&mut self, attempt: usize, view: ClaimView) {
+    fn claim_step(&mut self, attempt: usize, view: ClaimReply) {
         if self.attempts[attempt].latch.is_cancelled() {
             // The shipped loop looks at the latch before each call and keeps
             // what the last answer said.
@@ -469,14 +469,14 @@
         }
         match step {
             ClaimStep::Write(guard) => self.soon(Event::Send(attempt, StoreCall::Claim(guard))),
-            ClaimStep::Look => self.soon(Event::Send(attempt, StoreCall::Look)),
+            ClaimStep::Poll => self.soon(Event::Send(attempt, StoreCall::Look)),
             ClaimStep::Run(revision) => self.begin_run(attempt, revision),
             ClaimStep::Replay(answer) => {
                 self.leave_gate(attempt);
                 self.attempts[attempt].ended = true;
                 self.soon(Event::Word(attempt, Ok(answer.body)));
             }
-            ClaimStep::Unknown(detail) => self.give_up(attempt, AttemptEnd::Unanswered(detail)),
+            ClaimStep::Unknown(detail) => self.give_up(attempt, AttemptFailure::Unanswered(detail)),
             ClaimStep::Conflict => self.refuse(attempt, NotRunReason::KeyConflict),
             ClaimStep::GiveUp => self.refuse(attempt, NotRunReason::StoreUnavailable),
         }
@@ -512,7 +512,7 @@
         if self.rng.random_bool(0.1) {
             let detail = "answer cut".to_owned();
             self.settle(attempt, ClaimState::Unanswered { detail: detail.clone() }, revision);
-            return self.soon(Event::Word(attempt, Err(AttemptEnd::Unanswered(detail))));
+            return self.soon(Event::Word(attempt, Err(AttemptFailure::Unanswered(detail))));
         }
         let key = self.requests[self.attempts[attempt].request].key;
         let body = expected_answer(key, attempt);
@@ -534,7 +534,7 @@
 
     // The table service.
 
-    fn apply(&mut self, attempt: usize, call: &StoreCall) -> ClaimView {
+    fn apply(&mut self, attempt: usize, call: &StoreCall) -> ClaimReply {
         let key = self.requests[self.attempts[attempt].request].key;
         let tracker = &self.attempts[attempt].tracker;
         let write = match call {
@@ -549,9 +549,9 @@
         let revision = row.as_ref().map(|(_, revision)| *revision);
         let mut view = match row {
             Some((record, revision)) => {
-                ClaimView::Found { record: record.clone(), revision: *revision }
+                ClaimReply::Found { record: record.clone(), revision: *revision }
             }
-            None => ClaimView::Absent,
+            None => ClaimReply::Absent,
         };
         if let Some((guard, record)) = write {
             let holds = match guard {
@@ -561,11 +561,11 @@
             if holds {
                 let next = revision.unwrap_or(0) + 1;
                 *row = Some((record, next));
-                view = ClaimView::Written(next);
+                view = ClaimReply::Written(next);
             }
         }
         if self.answers_lost > 0 && self.rng.random_bool(0.7) {
-            view = ClaimView::Lost;
+            view = ClaimReply::Lost;
         }
         view
     }
@@ -613,7 +613,7 @@
     fn reopened(&self, agent: usize) -> GateState {
         let mut gate = open_gate();
         for _ in 0..self.agents[agent].gate.in_progress() {
-            gate.enter(PresetRevision(1), None).expect("room");
+            gate.acquire(PresetRevision(1), None).expect("room");
         }
         gate
     }
@@ -631,7 +631,7 @@
         for index in 0..self.attempts.len() {
             if self.attempts[index].agent == agent {
                 self.attempts[index].permit = false;
-                let lost = AttemptEnd::Unknown("connection lost".to_owned());
+                let lost = AttemptFailure::Unknown("connection lost".to_owned());
                 self.soon(Event::Word(index, Err(lost)));
             }
         }
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -1,6 +1,6 @@
 //! Whether a failed attempt is followed by another, and what its caller is told.
 
-use cassiawheel_decide::{AttemptEnd, RepeatGuard, RetryBudget, RetryStep, RetryTracker};
+use cassiawheel_decide::{AttemptFailure, RepeatGuard, RetryBudget, RetryStep, RetryTracker};
 use cassiawheel_model::{Deadline, NotRunReason, Timestamp};
 use rand::{SeedableRng, rngs::SmallRng};
 use rstest::rstest;
@@ -20,25 +20,25 @@
         Self { tracker: RetryTracker::new(guard, DEADLINE, 3), budget: RetryBudget::default(), rng }
     }
 
-    fn after(&mut self, end: AttemptEnd) -> RetryStep {
-        self.tracker.begin();
-        self.tracker.after(end, &self.budget, NOW, &mut self.rng)
+    fn after(&mut self, end: AttemptFailure) -> RetryStep {
+        self.tracker.begin_attempt();
+        self.tracker.next_step(end, &self.budget, NOW, &mut self.rng)
     }
 }
 
-fn unknown() -> AttemptEnd {
-    AttemptEnd::Unknown("the connection was lost".to_owned())
+fn unknown() -> AttemptFailure {
+    AttemptFailure::Unknown("the connection was lost".to_owned())
 }
 
-fn refused(reason: NotRunReason) -> AttemptEnd {
-    AttemptEnd::NotRun(reason)
+fn refused(reason: NotRunReason) -> AttemptFailure {
+    AttemptFailure::NotRun(reason)
 }
 
 /// A card charge is sent, the connection breaks, and nothing tells whether the
 /// card was charged. A second attempt could charge it twice.
 #[test]
 fn a_request_without_key_is_not_sent_again_after_a_possible_run() {
-    let mut tries = Tries::new(RepeatGuard::Nothing);
+    let mut tries = Tries::new(RepeatGuard::None);
     assert_eq!(tries.after(unknown()), RetryStep::Stop(unknown()));
 }
 
@@ -50,9 +50,9 @@
 #[case(NotRunReason::StoreUnavailable)]
 fn a_refusal_after_a_possible_run_stays_unknown(#[case] reason: NotRunReason) {
     let mut tries = Tries::new(RepeatGuard::Claimed);
-    assert!(matches!(tries.after(unknown()), RetryStep::Again(_)));
+    assert!(matches!(tries.after(unknown()), RetryStep::Retry(_)));
     let mut step = tries.after(refused(reason));
-    while let RetryStep::Again(_) = step {
+    while let RetryStep::Retry(_) = step {
         step = tries.after(refused(reason));
     }
     assert_eq!(step, RetryStep::Stop(unknown()));
@@ -63,8 +63,8 @@
 #[test]
 fn a_claim_that_is_held_elsewhere_ends_the_attempts() {
     let mut tries = Tries::new(RepeatGuard::Claimed);
-    let step = tries.after(AttemptEnd::Unanswered("held".to_owned()));
-    assert!(matches!(step, RetryStep::Stop(AttemptEnd::Unknown(_))));
+    let step = tries.after(AttemptFailure::Unanswered("held".to_owned()));
+    assert!(matches!(step, RetryStep::Stop(AttemptFailure::Unknown(_))));
 }
 
 /// The only endpoint is full. "No endpoint" would send the operator to look for
@@ -72,7 +72,7 @@
 #[test]
 fn the_last_refusal_is_told_and_not_that_no_other_endpoint_is_left() {
     let mut tries = Tries::new(RepeatGuard::Idempotent);
-    assert!(matches!(tries.after(refused(NotRunReason::Overloaded)), RetryStep::Again(_)));
+    assert!(matches!(tries.after(refused(NotRunReason::Overloaded)), RetryStep::Retry(_)));
     let step = tries.after(refused(NotRunReason::NoEndpoint));
     assert_eq!(step, RetryStep::Stop(refused(NotRunReason::Overloaded)));
 }
@@ -81,7 +81,7 @@
 /// healthy and may be the only one; it is asked again under the newer preset.
 #[test]
 fn a_stale_revision_is_routed_anew() {
-    let mut tries = Tries::new(RepeatGuard::Nothing);
+    let mut tries = Tries::new(RepeatGuard::None);
     let step = tries.after(refused(NotRunReason::StaleRevision));
     assert!(matches!(step, RetryStep::Reroute(_)));
 }
@@ -95,12 +95,12 @@
     let mut attempts = 0;
     for _ in 0..10_000 {
         let mut tracker = RetryTracker::new(RepeatGuard::Idempotent, DEADLINE, 3);
-        budget.earn();
+        budget.deposit();
         loop {
-            tracker.begin();
+            tracker.begin_attempt();
             attempts += 1;
             let end = refused(NotRunReason::Overloaded);
-            if let RetryStep::Stop(_) = tracker.after(end, &budget, NOW, &mut rng) {
+            if let RetryStep::Stop(_) = tracker.next_step(end, &budget, NOW, &mut rng) {
                 break;
             }
         }
@@ -113,10 +113,10 @@
 fn the_savings_of_all_entries_stay_within_the_slack() {
     let (slack, entries) = (654.0, 149);
     let budgets: Vec<_> = (0..entries).map(|_| RetryBudget::new(0.2, slack / 9.0)).collect();
-    budgets.iter().for_each(|budget| budget.set_savings(slack / f64::from(entries)));
+    budgets.iter().for_each(|budget| budget.set_burst(slack / f64::from(entries)));
     let retries = |budget: &RetryBudget| (0..1_000).take_while(|_| budget.withdraw()).count();
     let total: usize = budgets.iter().map(retries).sum();
     assert!(total as f64 <= slack, "{total} retries at once");
-    budgets[0].set_savings(slack / 9.0);
+    budgets[0].set_burst(slack / 9.0);
     assert_eq!(retries(&budgets[0]), 0, "a larger share is earned and not given");
 }
--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -113,18 +113,18 @@
     if capacity == 0 {
         return Ok(None);
     }
-    if admission.queue.admit_now(request.turn, capacity) {
+    if admission.queue.try_admit(request.turn, capacity) {
         return Ok(Some(AdmitPermit { admission }));
     }
     let ticket = AdmitTicket {
         workspace: head.workspace.clone(),
         priority: head.priority,
         deadline: admit_by,
-        turn: request.turn,
+        tier: request.turn,
     };
     let (sender, verdict) = bounded(1);
     let slot = QueueSlot { admission: admission.clone(), verdict };
-    admission.queue.wait(&ticket, sender, capacity, now, send_verdict);
+    admission.queue.enqueue(&ticket, sender, capacity, now, send_verdict);
     let max_wait: Duration = admit_by.remaining(now) / 2;
     let verdict = timeout(max_wait, slot.verdict.recv()).await;
     let refused = match verdict {
--- a/crates/entry/src/caller/attempts.rs
+++ b/crates/entry/src/caller/attempts.rs
@@ -6,8 +6,8 @@
 };
 
 use cassiawheel_decide::{
-    AttemptEnd, BAR_TIME, EndpointCell, EndpointPath, RepeatGuard, RetryBudget, RetryStep,
-    RetryTracker, RouteQuery, RouteSnapshot,
+    AttemptFailure, BAR_DURATION, EndpointPath, EndpointTracker, RepeatGuard, RetryBudget,
+    RetryStep, RetryTracker, RouteQuery, RouteSnapshot,
 };
 use cassiawheel_model::{
     Deadline, ForcedPreset, InstanceId, ModelVersion, NotRunReason, PresetRevision, Repeatability,
@@ -72,20 +72,20 @@
     /// Creates the result of a request that was refused before any attempt.
     pub(crate) fn before_attempts(shared: &EntryShared, reason: NotRunReason) -> Self {
         let revision = shared.active_preset.load().as_ref().map(|preset| preset.revision);
-        let outcome = final_outcome(AttemptEnd::NotRun(reason));
+        let outcome = final_outcome(AttemptFailure::NotRun(reason));
         Self { outcome, revision: revision.unwrap_or_default(), attempts: 0 }
     }
 }
 
 /// Counts one request at its endpoint and its service until dropped.
 pub(crate) struct LoadGuard {
-    cell: Arc<EndpointCell>,
+    cell: Arc<EndpointTracker>,
     service: Arc<AtomicU32>,
 }
 
 impl LoadGuard {
     /// Takes over a request that the endpoint's counter already includes.
-    fn adopt(cell: Arc<EndpointCell>, service: Arc<AtomicU32>) -> Self {
+    fn adopt(cell: Arc<EndpointTracker>, service: Arc<AtomicU32>) -> Self {
         service.fetch_add(1, Ordering::Relaxed);
         Self { cell, service }
     }
@@ -93,7 +93,7 @@
 
 impl Drop for LoadGuard {
     fn drop(&mut self) {
-        self.cell.end();
+        self.cell.release();
         self.service.fetch_sub(1, Ordering::Relaxed);
     }
 }
@@ -121,7 +121,7 @@
         let head = &request.head;
         let tracker = RetryTracker::new(RepeatGuard::of(head), head.deadline, request.max_attempts);
         let budget = shared.retry_budget(&head.service);
-        budget.earn();
+        budget.deposit();
         Self {
             shared,
             last_event: request.last_event,
@@ -145,7 +145,7 @@
         loop {
             match self.attempt().await {
                 Ok(response) if self.may_retry_elsewhere(&response) => {
-                    let end = AttemptEnd::Unknown(format!("answered {}", response.status));
+                    let end = AttemptFailure::Unknown(format!("answered {}", response.status));
                     if self.await_retry(end).await.is_err() {
                         // No retry is allowed, so the endpoint's own error response is passed on.
                         return Ok(response);
@@ -171,7 +171,7 @@
         &mut self,
         cut: &StartedResponse,
         version: Option<ModelVersion>,
-        end: AttemptEnd,
+        end: AttemptFailure,
     ) -> Result<StartedResponse, FailedRequest> {
         self.version = version;
         let lost_run = LostRun { target: &cut.target, answering: cut.stream.has_data(), end: &end };
@@ -181,13 +181,13 @@
         self.begin().await
     }
 
-    async fn attempt(&mut self) -> Result<StartedResponse, AttemptEnd> {
+    async fn attempt(&mut self) -> Result<StartedResponse, AttemptFailure> {
         let preset =
-            preset_in_force(&self.shared, &self.request.head).map_err(AttemptEnd::NotRun)?;
+            preset_in_force(&self.shared, &self.request.head).map_err(AttemptFailure::NotRun)?;
         self.revision = preset.revision;
         self.suspect_run = None;
         let turn = await_turn(&self.shared, &self.request).await;
-        self.suspect_run = turn.map_err(AttemptEnd::NotRun)?;
+        self.suspect_run = turn.map_err(AttemptFailure::NotRun)?;
         self.route_and_dispatch(&preset).await
     }
 
@@ -197,10 +197,10 @@
     }
 
     /// Waits for the next attempt, or fails if no retry is allowed.
-    async fn await_retry(&mut self, end: AttemptEnd) -> Result<(), FailedRequest> {
+    async fn await_retry(&mut self, end: AttemptFailure) -> Result<(), FailedRequest> {
         let now = Timestamp::now();
-        let next_at = match self.tracker.after(end, &self.budget, now, &mut rand::rng()) {
-            RetryStep::Again(next_at) => next_at,
+        let next_at = match self.tracker.next_step(end, &self.budget, now, &mut rand::rng()) {
+            RetryStep::Retry(next_at) => next_at,
             RetryStep::Reroute(next_at) => {
                 self.excluded.pop();
                 next_at
@@ -217,7 +217,7 @@
     async fn route_and_dispatch(
         &mut self,
         preset: &ForcedPreset,
-    ) -> Result<StartedResponse, AttemptEnd> {
+    ) -> Result<StartedResponse, AttemptFailure> {
         let (shared, head) = (&self.shared, &self.request.head);
         let now = Timestamp::now();
         let allowed = shared.allowed_versions(&head.service, now);
@@ -229,7 +229,7 @@
             excluded: &self.excluded,
             version: self.version.as_ref(),
             allowed: allowed.as_deref(),
-            extra_room: if self.tracker.attempts() > 0 && self.request.is_direct() {
+            extra_capacity: if self.tracker.attempts() > 0 && self.request.is_direct() {
                 RETRY_EXTRA_SLOTS
             } else {
                 0
@@ -238,14 +238,14 @@
             max_in_flight: target.map_or(0, |target| target.max_in_flight),
             now,
         };
-        let choice = routes.take(&query, &mut rand::rng());
+        let choice = routes.acquire(&query, &mut rand::rng());
         let (Some(choice), Some(service)) = (choice, routes.service(&head.service)) else {
             log::info!(target: "route", request:% = head.id, workspace:% = head.workspace, service:% = head.service, revision = preset.revision.0, excluded = self.excluded.len(); "No endpoint for a request.");
-            return Err(AttemptEnd::NotRun(no_endpoint_reason(&routes, head)));
+            return Err(AttemptFailure::NotRun(no_endpoint_reason(&routes, head)));
         };
         let candidate = choice.candidate;
         log::info!(target: "route", request:% = head.id, workspace:% = head.workspace, endpoint:% = candidate.instance, reason = choice.reason.as_str(), cost = choice.cost, near = candidate.is_near, candidates = choice.candidates, revision = preset.revision.0, attempt = self.tracker.attempts() + 1; "Chose an endpoint.");
-        let load = LoadGuard::adopt(candidate.cell.clone(), service.in_flight().clone());
+        let load = LoadGuard::adopt(candidate.tracker.clone(), service.in_flight().clone());
         let (instance, path) = (candidate.instance.clone(), candidate.path);
         let candidate_version = candidate.version.clone();
         let version = match path {
@@ -255,7 +255,7 @@
         };
         drop(routes);
         self.excluded.push(instance.clone());
-        self.tracker.begin();
+        self.tracker.begin_attempt();
         shared.metrics.attempts.inc();
         let routed = RequestHead { revision: preset.revision, version, ..head.clone() };
         let sent = DispatchedRequest {
@@ -276,7 +276,7 @@
                 return Err(end);
             }
         };
-        load.cell.succeed();
+        load.cell.record_success();
         let delay_ms = Timestamp::now().since(now).as_millis() as u64;
         log::info!(target: "answer", request:% = self.request.head.id, endpoint:% = instance, status = response.status, delay_ms = delay_ms; "An answer begins.");
         Ok(StartedResponse {
@@ -322,48 +322,50 @@
     shared: &EntryShared,
     head: &RequestHead,
     instance: Option<&InstanceId>,
-    cell: &EndpointCell,
-    end: &AttemptEnd,
+    cell: &EndpointTracker,
+    end: &AttemptFailure,
 ) {
     let now = Timestamp::now();
     match end {
         // Another attempt with the same idempotency key may be the cause, so the endpoint is not
         // blamed.
-        AttemptEnd::Unanswered(_) => {}
-        AttemptEnd::NotRun(NotRunReason::Overloaded) => cell.refuse(now),
+        AttemptFailure::Unanswered(_) => {}
+        AttemptFailure::NotRun(NotRunReason::Overloaded) => cell.record_refusal(now),
         // The request named no version, so another process answers at this address. It refuses at
         // once and therefore looks idle; unless it is dropped here, it would attract further
         // requests until its row expires.
-        AttemptEnd::NotRun(NotRunReason::VersionMismatch) if head.version.is_none() => {
+        AttemptFailure::NotRun(NotRunReason::VersionMismatch) if head.version.is_none() => {
             if let Some(instance) = instance {
                 shared.drop_listed(instance);
             }
         }
-        AttemptEnd::NotRun(NotRunReason::ConnectFailed)
-        | AttemptEnd::Unknown(_)
-        | AttemptEnd::Lost(_) => {
+        AttemptFailure::NotRun(NotRunReason::ConnectFailed)
+        | AttemptFailure::Unknown(_)
+        | AttemptFailure::Lost(_) => {
             let routes = shared.routes.load();
-            let ejected =
-                routes.service(&head.service).zip(instance).is_some_and(|(s, i)| s.fail(i, now));
+            let ejected = routes
+                .service(&head.service)
+                .zip(instance)
+                .is_some_and(|(s, i)| s.record_failure(i, now));
             if let (true, Some(instance)) = (ejected, instance) {
                 log::warn!(target: "route", endpoint:% = instance; "Ejected an endpoint that fails.");
             }
         }
-        AttemptEnd::NotRun(_) => {}
+        AttemptFailure::NotRun(_) => {}
     }
 }
 
-fn final_outcome(end: AttemptEnd) -> RequestOutcome {
+fn final_outcome(end: AttemptFailure) -> RequestOutcome {
     match end {
-        AttemptEnd::NotRun(reason) => RequestOutcome::NotRun {
+        AttemptFailure::NotRun(reason) => RequestOutcome::NotRun {
             reason,
             retry_at: match reason {
-                NotRunReason::Quarantined => Timestamp::now().deadline_after(BAR_TIME),
+                NotRunReason::Quarantined => Timestamp::now().deadline_after(BAR_DURATION),
                 _ => Deadline(Timestamp::now().0 + RETRY_AFTER_MS),
             },
         },
-        AttemptEnd::Unknown(detail) | AttemptEnd::Lost(detail) | AttemptEnd::Unanswered(detail) => {
-            RequestOutcome::Unknown { detail }
-        }
+        AttemptFailure::Unknown(detail)
+        | AttemptFailure::Lost(detail)
+        | AttemptFailure::Unanswered(detail) => RequestOutcome::Unknown { detail },
     }
 }
--- a/crates/entry/src/caller/crash_detection.rs
+++ b/crates/entry/src/caller/crash_detection.rs
@@ -7,8 +7,10 @@
 
 use std::{io::ErrorKind, net::SocketAddr, time::Duration};
 
-use cassiawheel_decide::{AttemptEnd, CrashVerdict, EndpointPath, rank::subject_of};
-use cassiawheel_model::{CrashEvent, CrashRow, InstanceId, NotRunReason, RequestDigest, Timestamp};
+use cassiawheel_decide::{AttemptFailure, CrashVerdict, EndpointPath, rank::subject_of};
+use cassiawheel_model::{
+    CrashEvent, CrashRecord, InstanceId, NotRunReason, RequestDigest, Timestamp,
+};
 use cassiawheel_runtime::{dial, timeout};
 use smol::Timer;
 
@@ -40,7 +42,7 @@
     /// Whether part of the response body had arrived.
     pub(super) answering: bool,
     /// How the attempt ended.
-    pub(super) end: &'a AttemptEnd,
+    pub(super) end: &'a AttemptFailure,
 }
 
 /// Records a crash if the run ended because its endpoint crashed.
@@ -49,7 +51,8 @@
     request: &IdentifiedRequest,
     lost: LostRun<'_>,
 ) {
-    let (AttemptEnd::Lost(cause), EndpointPath::Direct(addr)) = (lost.end, lost.target.path) else {
+    let (AttemptFailure::Lost(cause), EndpointPath::Direct(addr)) = (lost.end, lost.target.path)
+    else {
         return;
     };
     let Some(routed) = &shared.routed else {
@@ -83,9 +86,9 @@
 
 fn note(routed: &RoutedState, digest: RequestDigest, event: CrashEvent, at: Timestamp) {
     let now = Timestamp::now();
-    let row = CrashRow { digest, event, age_ms: now.since(at).as_millis() as u32 };
+    let row = CrashRecord { digest, event, age_ms: now.since(at).as_millis() as u32 };
     let mut state = routed.overlay.lock();
-    if state.crashes.note(row, None, now) {
+    if state.crashes.record(row, None, now) {
         routed.crashes.apply_rows(&state.crashes, &[row], None);
         drop(state);
         routed.overlay.notify_change();
@@ -152,7 +155,7 @@
                 refuse_barred(shared, request)?;
                 return Ok(None);
             }
-            Some(verdict) if verdict.turn_at(rank, entries).is_past(now) => {
+            Some(verdict) if verdict.not_before(rank, entries).is_past(now) => {
                 if let Some(run) = routed.crashes.begin_suspect_run(digest) {
                     note(routed, digest, CrashEvent::Begun, now);
                     return Ok(Some(run));
--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use cassiawheel_decide::{AttemptEnd, EndpointCell, EndpointPath, RepeatGuard};
-use cassiawheel_edge::{EndpointLeg, ToldLoad};
+use cassiawheel_decide::{AttemptFailure, EndpointPath, EndpointTracker, RepeatGuard};
+use cassiawheel_edge::{ForwardMetadata, ReportedLoad};
 use cassiawheel_model::{
     Deadline, HeaderField, InstanceId, LoadReport, ModelVersion, NotRunReason, PresetRevision,
     Repeatability, RequestHead, Timestamp,
@@ -128,15 +128,15 @@
 
 /// Measures the time until a response starts, also if the attempt is abandoned.
 struct LatencyTimer<'a> {
-    cell: &'a EndpointCell,
+    cell: &'a EndpointTracker,
     started_at: Timestamp,
     answered: bool,
 }
 
 impl<'a> LatencyTimer<'a> {
-    fn start(cell: &'a EndpointCell) -> Self {
+    fn start(cell: &'a EndpointTracker) -> Self {
         let started_at = Timestamp::now();
-        cell.await_answer(started_at);
+        cell.record_sent(started_at);
         Self { cell, started_at, answered: false }
     }
 }
@@ -145,7 +145,7 @@
     fn drop(&mut self) {
         let now = Timestamp::now();
         let delay_ms = now.since(self.started_at).as_millis() as u64;
-        self.cell.note_delay(delay_ms, self.answered, now);
+        self.cell.record_delay(delay_ms, self.answered, now);
     }
 }
 
@@ -154,9 +154,9 @@
     shared: &EntryShared,
     path: EndpointPath,
     sent: DispatchedRequest<'_>,
-    cell: &EndpointCell,
+    cell: &EndpointTracker,
     start_by: Option<Deadline>,
-) -> Result<ResponseHead, AttemptEnd> {
+) -> Result<ResponseHead, AttemptFailure> {
     let mut timer = LatencyTimer::start(cell);
     let starting = send_and_await_start(shared, path, &sent, cell);
     let response = match start_by.filter(|_| sent.head.repeat == Repeatability::Idempotent) {
@@ -164,7 +164,7 @@
         // allowed to respond. It is withdrawn before that, while other endpoints can still serve
         // it.
         Some(start_by) => {
-            let late = || Err(AttemptEnd::Unknown("its version may no longer answer".to_owned()));
+            let late = || Err(AttemptFailure::Unknown("its version may no longer answer".to_owned()));
             let left = start_by.remaining(Timestamp::now());
             timeout(left, starting).await.unwrap_or_else(late)?
         }
@@ -179,8 +179,8 @@
     shared: &EntryShared,
     path: EndpointPath,
     sent: &DispatchedRequest<'_>,
-    cell: &EndpointCell,
-) -> Result<ResponseHead, AttemptEnd> {
+    cell: &EndpointTracker,
+) -> Result<ResponseHead, AttemptFailure> {
     let mut response = match (path, &shared.routed) {
         (EndpointPath::Agent, _) => {
             let link = shared.links.load().get(sent.instance).cloned();
@@ -192,7 +192,7 @@
         }
         // Direct paths come only from the platform's list, which is not read in this mode.
         (EndpointPath::Direct(_), None) => {
-            return Err(AttemptEnd::NotRun(NotRunReason::NoEndpoint));
+            return Err(AttemptFailure::NotRun(NotRunReason::NoEndpoint));
         }
     };
     if sent.head.repeat == Repeatability::Idempotent {
@@ -205,22 +205,22 @@
     routed: &RoutedState,
     target: DirectTarget<'_>,
     sent: &DispatchedRequest<'_>,
-    cell: &EndpointCell,
-) -> Result<ResponseHead, AttemptEnd> {
+    cell: &EndpointTracker,
+) -> Result<ResponseHead, AttemptFailure> {
     let head = sent.head;
-    let leg = EndpointLeg {
+    let leg = ForwardMetadata {
         request: &head.id,
         endpoint: target.instance,
-        left: head.deadline.remaining(Timestamp::now()),
+        remaining: head.deadline.remaining(Timestamp::now()),
         workspace: sent.request.workspace.as_ref(),
         version: head.version.as_ref(),
         last_event: sent.last_event,
-        may_wait: false,
+        is_low_priority: false,
     };
     let (fields, body) = (&sent.request.fields, &sent.request.body);
     let answer = routed.direct.send(target, head, fields, body, &leg).await?;
     if let Some(load) = answer.marks.load {
-        cell.hear(&load_report(load), cell.hard_limit());
+        cell.apply_report(&load_report(load), cell.hard_limit());
     }
     Ok(ResponseHead {
         status: answer.parts.status.as_u16(),
@@ -232,7 +232,7 @@
     })
 }
 
-fn load_report(load: ToldLoad) -> LoadReport {
+fn load_report(load: ReportedLoad) -> LoadReport {
     LoadReport { in_flight: load.running, queued: load.waiting, measured_at: Timestamp::now() }
 }
 
@@ -240,10 +240,10 @@
     link: Option<Arc<AgentLink>>,
     routed: &RequestHead,
     body: &Bytes,
-) -> Result<ResponseHead, AttemptEnd> {
-    let link = link.ok_or(AttemptEnd::NotRun(NotRunReason::ConnectFailed))?;
+) -> Result<ResponseHead, AttemptFailure> {
+    let link = link.ok_or(AttemptFailure::NotRun(NotRunReason::ConnectFailed))?;
     let sent = link.dispatch(routed.clone(), body).await;
-    let stream = sent.map_err(AttemptEnd::NotRun)?;
+    let stream = sent.map_err(AttemptFailure::NotRun)?;
     await_head(stream, routed).await
 }
 
@@ -255,22 +255,22 @@
 async fn await_first_part(
     stream: &mut AttemptStream,
     routed: &RequestHead,
-) -> Result<(), AttemptEnd> {
+) -> Result<(), AttemptFailure> {
     let span = routed.deadline.remaining(Timestamp::now());
     match timeout(span, stream.peek()).await {
-        Some(ResponsePart::Cut(detail)) => Err(AttemptEnd::Lost(detail.clone())),
+        Some(ResponsePart::Cut(detail)) => Err(AttemptFailure::Lost(detail.clone())),
         Some(ResponsePart::Data(_) | ResponsePart::End(_)) => Ok(()),
-        None => Err(AttemptEnd::Unknown("no answer before the deadline".to_owned())),
+        None => Err(AttemptFailure::Unknown("no answer before the deadline".to_owned())),
     }
 }
 
 async fn await_head(
     mut stream: LinkStream,
     routed: &RequestHead,
-) -> Result<ResponseHead, AttemptEnd> {
+) -> Result<ResponseHead, AttemptFailure> {
     let span = routed.deadline.remaining(Timestamp::now());
     let Some(message) = timeout(span, stream.next()).await else {
-        return Err(AttemptEnd::Unknown("no answer before the deadline".to_owned()));
+        return Err(AttemptFailure::Unknown("no answer before the deadline".to_owned()));
     };
     match message {
         Some(RequestMessage::Head {
@@ -287,7 +287,7 @@
             // receives another caller's response. A recorded response names the version that
             // produced it, which may no longer be in use.
             if request != routed.id || (!replayed && version != routed.version) {
-                return Err(AttemptEnd::Unknown(
+                return Err(AttemptFailure::Unknown(
                     "the answer belongs to another request or version".to_owned(),
                 ));
             }
@@ -295,14 +295,14 @@
             let stream = AttemptStream::new(StreamKind::Link(stream));
             Ok(ResponseHead { stream, status, headers, version, revision, replayed })
         }
-        Some(RequestMessage::Refused { reason, .. }) => Err(AttemptEnd::NotRun(reason)),
+        Some(RequestMessage::Refused { reason, .. }) => Err(AttemptFailure::NotRun(reason)),
         Some(RequestMessage::Failed { detail, .. }) => Err(match RepeatGuard::of(routed) {
             // Other agents would find the same idempotency claim and make the caller wait.
-            RepeatGuard::Claimed => AttemptEnd::Unanswered(detail),
-            RepeatGuard::Idempotent | RepeatGuard::Nothing => AttemptEnd::Unknown(detail),
+            RepeatGuard::Claimed => AttemptFailure::Unanswered(detail),
+            RepeatGuard::Idempotent | RepeatGuard::None => AttemptFailure::Unknown(detail),
         }),
-        Some(_) => Err(AttemptEnd::Unknown("the answer has no head".to_owned())),
-        None => Err(AttemptEnd::Unknown("the connection to the endpoint was lost".to_owned())),
+        Some(_) => Err(AttemptFailure::Unknown("the answer has no head".to_owned())),
+        None => Err(AttemptFailure::Unknown("the connection to the endpoint was lost".to_owned())),
     }
 }
 
--- a/crates/entry/src/caller/events.rs
+++ b/crates/entry/src/caller/events.rs
@@ -6,7 +6,7 @@
 use std::{io, time::Duration};
 
 use bytes::Bytes;
-use cassiawheel_decide::{AttemptEnd, EventSplicer, RepeatGuard};
+use cassiawheel_decide::{AttemptFailure, EventSplicer, RepeatGuard};
 use cassiawheel_model::{OutcomeKind, Timestamp};
 use cassiawheel_runtime::{
     http::{ReplyBody, full_body},
@@ -33,7 +33,7 @@
 enum EventStep {
     Events(Bytes),
     End,
-    Cut(AttemptEnd),
+    Cut(AttemptFailure),
     Silent,
 }
 
@@ -92,14 +92,14 @@
     /// by a congested link. If no endpoint can resume, cutting the stream would lose those events,
     /// so it waits for this endpoint until the deadline.
     async fn resume_or_wait(&mut self) {
-        let silent = AttemptEnd::Unknown("the endpoint fell silent".to_owned());
+        let silent = AttemptFailure::Unknown("the endpoint fell silent".to_owned());
         if let Err(cause) = self.resume(silent).await {
             log::info!(target: "outcome", request:% = self.attempts.head().id, cause:% = cause; "Cannot resume a silent stream; waiting for its endpoint.");
         }
     }
 
     /// Resumes at another endpoint after the last event sent; keeps the current stream on failure.
-    async fn resume(&mut self, end: AttemptEnd) -> Result<(), String> {
+    async fn resume(&mut self, end: AttemptFailure) -> Result<(), String> {
         self.attempts.last_event = self.splicer.last_id();
         if RepeatGuard::of(self.attempts.head()) == RepeatGuard::Idempotent {
             log::info!(target: "outcome", request:% = self.attempts.head().id, event:? = self.attempts.last_event, cause:? = end; "Resumes a stream.");
@@ -109,7 +109,7 @@
         if response.status != self.response.status {
             return Err(format!("another endpoint answered {}", response.status));
         }
-        self.splicer.break_off();
+        self.splicer.discard_partial();
         self.response = response;
         Ok(())
     }
@@ -136,7 +136,7 @@
                         Err(error) => cut(error),
                     };
                 }
-                ResponsePart::Cut(detail) => return EventStep::Cut(AttemptEnd::Lost(detail)),
+                ResponsePart::Cut(detail) => return EventStep::Cut(AttemptFailure::Lost(detail)),
             }
         }
     }
@@ -144,5 +144,5 @@
 
 /// A stream that cannot be relayed although its connection is still open.
 fn cut(cause: impl ToString) -> EventStep {
-    EventStep::Cut(AttemptEnd::Unknown(cause.to_string()))
+    EventStep::Cut(AttemptFailure::Unknown(cause.to_string()))
 }
--- a/crates/entry/src/caller/identify.rs
+++ b/crates/entry/src/caller/identify.rs
@@ -3,8 +3,8 @@
 use std::{sync::OnceLock, time::Duration};
 
 use bytes::Bytes;
-use cassiawheel_decide::{CallerTurn, affinity::prefix_of, identity::repeatability};
-use cassiawheel_edge::engine_http::end_to_end_fields;
+use cassiawheel_decide::{AdmitTier, affinity::prefix_digest, idempotency::repeatability};
+use cassiawheel_edge::engine_http::end_to_end_headers;
 use cassiawheel_model::{
     Deadline, PresetRevision, PriorityClass, RequestDigest, RequestHead, RequestKey, ServiceName,
     Timestamp, WorkspaceId,
@@ -54,7 +54,7 @@
     /// Id of the last event that the caller has received.
     pub(crate) last_event: Option<u64>,
     /// Whether this appears to be the caller's first attempt.
-    pub(crate) turn: CallerTurn,
+    pub(crate) turn: AdmitTier,
 }
 
 /// Format in which a response is sent to the caller.
@@ -124,7 +124,7 @@
         method: parts.method.to_string(),
         path,
         content_type: parse(&parts.headers, CONTENT_TYPE.as_str())?,
-        headers: end_to_end_fields(&parts.headers),
+        headers: end_to_end_headers(&parts.headers),
         prefix: None,
         revision: PresetRevision::default(),
         version: None,
@@ -139,13 +139,13 @@
             status: StatusCode::PAYLOAD_TOO_LARGE,
             message: format!("body: longer than {} bytes", settings.max_body_bytes),
         },
-        BodyError::Cut => BadRequest::new("body", "ended early"),
-        BodyError::Slow => BadRequest {
+        BodyError::Truncated => BadRequest::new("body", "ended early"),
+        BodyError::TimedOut => BadRequest {
             status: StatusCode::REQUEST_TIMEOUT,
             message: format!("body: did not arrive within {span:?}"),
         },
     })?;
-    head.prefix = prefix_of(&body, settings.prefix_bytes);
+    head.prefix = prefix_digest(&body, settings.prefix_bytes);
     Ok(IdentifiedRequest {
         workspace: Some(head.workspace.clone()),
         admit_by: head.deadline,
@@ -156,7 +156,7 @@
         max_attempts: settings.max_attempts,
         form: ResponseForm::WithOutcome,
         last_event: None,
-        turn: CallerTurn::Fresh,
+        turn: AdmitTier::Fresh,
     })
 }
 
--- a/crates/entry/src/caller/passthrough.rs
+++ b/crates/entry/src/caller/passthrough.rs
@@ -5,7 +5,7 @@
 //! other request gets an error reply instead of a broken connection.
 
 use bytes::{Bytes, BytesMut};
-use cassiawheel_decide::AttemptEnd;
+use cassiawheel_decide::AttemptFailure;
 use cassiawheel_model::{OutcomeKind, Timestamp};
 use cassiawheel_runtime::{
     http::{ReplyBody, full_body},
@@ -65,19 +65,19 @@
 async fn read_whole(
     attempts: &RequestAttempts,
     response: &mut StartedResponse,
-) -> Result<Bytes, AttemptEnd> {
+) -> Result<Bytes, AttemptFailure> {
     let mut whole = BytesMut::new();
     loop {
         let span = attempts.head().deadline.remaining(Timestamp::now());
         match timeout(span, response.stream.next()).await {
             Some(ResponsePart::Data(bytes)) => whole.extend_from_slice(&bytes),
             Some(ResponsePart::End(_)) => return Ok(whole.freeze()),
-            Some(ResponsePart::Cut(detail)) => return Err(AttemptEnd::Lost(detail)),
-            None => return Err(AttemptEnd::Unknown("the deadline was reached".to_owned())),
+            Some(ResponsePart::Cut(detail)) => return Err(AttemptFailure::Lost(detail)),
+            None => return Err(AttemptFailure::Unknown("the deadline was reached".to_owned())),
         }
         if whole.len() > MAX_WHOLE_BYTES {
             let detail = format!("the answer has more than {MAX_WHOLE_BYTES} bytes");
-            return Err(AttemptEnd::Unknown(detail));
+            return Err(AttemptFailure::Unknown(detail));
         }
     }
 }
--- a/crates/entry/src/caller/relay.rs
+++ b/crates/entry/src/caller/relay.rs
@@ -8,7 +8,7 @@
 use std::io;
 
 use bytes::{Bytes, BytesMut};
-use cassiawheel_decide::AttemptEnd;
+use cassiawheel_decide::AttemptFailure;
 use cassiawheel_model::{OutcomeKind, Repeatability, RequestOutcome, Timestamp};
 use cassiawheel_runtime::{
     http::{ReplyBody, full_body},
@@ -92,7 +92,7 @@
     async fn resume(&mut self, detail: String) -> Result<ResponseStep, String> {
         let version = self.response.version.clone();
         log::info!(target: "outcome", request:% = self.attempts.head().id, cause:% = detail, received = self.received; "Resumes a cut answer.");
-        let end = AttemptEnd::Unknown(detail);
+        let end = AttemptFailure::Unknown(detail);
         let response = self.attempts.retry_cut(&self.response, version, end).await;
         let response = response.map_err(|failed| format!("{:?}", failed.outcome))?;
         let kind = |response: &StartedResponse| response.headers.get(CONTENT_TYPE).cloned();
--- a/crates/entry/src/caller/routed.rs
+++ b/crates/entry/src/caller/routed.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{CallerIndex, CallerTurn, advise, draw_service};
+use cassiawheel_decide::{AdmitTier, CallerIndex, advise, pick_service};
 use cassiawheel_edge::CallerHead;
 use cassiawheel_model::{
     NotRunReason, OutcomeKind, PresetRevision, PriorityClass, Repeatability, RequestHead,
@@ -154,7 +154,7 @@
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
     let (parts, _) = request.into_parts();
-    if !routed.callers.is_ready_probe(&parts) {
+    if !routed.callers.is_readiness_probe(&parts) {
         let message = format!("unknown path {}", parts.uri.path());
         return error_reply(StatusCode::NOT_FOUND, "not-found", message);
     }
@@ -182,7 +182,7 @@
         .map_err(|_| CallerRefusal::UnknownKey)?
         .cloned();
     let head = request_head(&parts, &caller, rule, workspace.as_ref(), now)?;
-    let is_first = caller.patience.is_none_or(|patience| routed.is_first_try(&rule.name, patience));
+    let is_first = caller.timeout.is_none_or(|patience| routed.is_first_try(&rule.name, patience));
     let limits = index.table().limits;
     let span = Duration::from_millis(shared.settings.limits.body_ms)
         .min(head.deadline.remaining(Timestamp::now()));
@@ -200,7 +200,7 @@
             RouteKind::Stream | RouteKind::ResumableStream => ResponseForm::Events,
         },
         last_event: caller.last_event,
-        turn: if is_first { CallerTurn::Fresh } else { CallerTurn::Returned },
+        turn: if is_first { AdmitTier::Fresh } else { AdmitTier::Returned },
     })
 }
 
@@ -224,9 +224,9 @@
         Some(workspace) => workspace.clone(),
         None => WorkspaceId::new(PUBLIC_WORKSPACE).map_err(|error| internal_error(&error))?,
     };
-    let service = draw_service(rule, rand::rng().random()).ok_or(CallerRefusal::NoRoute)?;
+    let service = pick_service(rule, rand::rng().random()).ok_or(CallerRefusal::NoRoute)?;
     let timeout = Duration::from_millis(rule.timeout_ms);
-    let patience = caller.patience.map_or(timeout, |patience| patience.min(timeout));
+    let patience = caller.timeout.map_or(timeout, |patience| patience.min(timeout));
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     Ok(RequestHead {
         id: caller.id.clone(),
@@ -254,10 +254,10 @@
         BodyError::TooLong => {
             CallerRefusal::Bad(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long".to_owned())
         }
-        BodyError::Cut => {
+        BodyError::Truncated => {
             CallerRefusal::Bad(StatusCode::BAD_REQUEST, "the body ended early".to_owned())
         }
-        BodyError::Slow => {
+        BodyError::TimedOut => {
             CallerRefusal::Bad(StatusCode::REQUEST_TIMEOUT, "reading the body timed out".to_owned())
         }
     }
--- a/crates/entry/src/cli/client.rs
+++ b/crates/entry/src/cli/client.rs
@@ -53,7 +53,7 @@
     #[serde(default)]
     message: String,
     #[serde(default)]
-    findings: Vec<cassiawheel_model::FindingPlace>,
+    findings: Vec<cassiawheel_model::InputFinding>,
 }
 
 impl ConnectOptions {
@@ -106,7 +106,7 @@
             .body(Full::new(Bytes::from(body)))
             .map_err(|error| CallFailure::NotSent(error.to_string()))?;
         let client = HttpClient::default();
-        let reply = cassiawheel_runtime::run(1, client.send_whole(request, REPLY_TIMEOUT));
+        let reply = cassiawheel_runtime::run(1, client.send_and_read(request, REPLY_TIMEOUT));
         match reply {
             Ok(Ok(reply)) => Ok(AdminReply { status: reply.status(), body: reply.into_body() }),
             Ok(Err(ClientError::NotSent(detail))) => {
--- a/crates/entry/src/control/change.rs
+++ b/crates/entry/src/control/change.rs
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 
 use cassiawheel_decide::{
-    ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeVerdict, ChangeWriter,
+    ChangeAnswer, ChangeOutcome, ChangeRecord, ChangeRequest, ChangeStep, ChangeWriter,
 };
 use cassiawheel_edge::{
-    StoreError, TableGuard, TableRow, TableStore, TableWrite, WeightError, WriteVerdict,
+    StoreError, TableGuard, TableRow, TableStore, TableWrite, WeightError, WriteOutcome,
 };
 use cassiawheel_model::{
     ChangeId, ForcedPreset, ManifestDigest, ModelVersion, PresetContent, PresetName,
@@ -157,8 +157,8 @@
     }
     let write = TableWrite { key, guard: TableGuard::Absent, value: value.clone() };
     match table.write(&[write], true).await?.pop() {
-        Some(WriteVerdict::Written(_)) => Ok(true),
-        Some(WriteVerdict::Conflict(Some(row))) => Ok(row.value == value),
+        Some(WriteOutcome::Written(_)) => Ok(true),
+        Some(WriteOutcome::Conflict(Some(row))) => Ok(row.value == value),
         _ => Err(PresetError::Conflict),
     }
 }
@@ -176,7 +176,7 @@
     };
     let value = to_value(content)?;
     match table.write(&[TableWrite { key, guard, value }], true).await?.pop() {
-        Some(WriteVerdict::Written(revision)) => Ok(revision),
+        Some(WriteOutcome::Written(revision)) => Ok(revision),
         _ => Err(PresetError::Conflict),
     }
 }
@@ -224,15 +224,15 @@
     Ok(change_reply(shared, change, verdict))
 }
 
-fn change_reply(shared: &EntryShared, change: ChangeId, verdict: ChangeVerdict) -> ChangeReply {
+fn change_reply(shared: &EntryShared, change: ChangeId, verdict: ChangeOutcome) -> ChangeReply {
     match verdict {
-        ChangeVerdict::Accepted(preset) => {
+        ChangeOutcome::Accepted(preset) => {
             peers::adopt(shared, &preset);
             ChangeReply::Accepted { preset }
         }
-        ChangeVerdict::Conflict(winner) => ChangeReply::Conflict { winner },
-        ChangeVerdict::NotAccepted(detail) => ChangeReply::NotAccepted { detail },
-        ChangeVerdict::Unknown(detail) => ChangeReply::Unknown { change, detail },
+        ChangeOutcome::Conflict(winner) => ChangeReply::Conflict { winner },
+        ChangeOutcome::NotAccepted(detail) => ChangeReply::NotAccepted { detail },
+        ChangeOutcome::Unknown(detail) => ChangeReply::Unknown { change, detail },
     }
 }
 
@@ -303,14 +303,14 @@
 /// Takes the conflicting rows from the response to the write itself.
 ///
 /// A read after the write could be served from an earlier state and miss them.
-fn write_answer(verdicts: &[WriteVerdict]) -> Result<ChangeAnswer, PresetError> {
-    if verdicts.iter().all(|verdict| matches!(verdict, WriteVerdict::Written(_))) {
+fn write_answer(verdicts: &[WriteOutcome]) -> Result<ChangeAnswer, PresetError> {
+    if verdicts.iter().all(|verdict| matches!(verdict, WriteOutcome::Written(_))) {
         return Ok(ChangeAnswer::Written);
     }
     let mut record = None;
     let mut winner = None;
     for verdict in verdicts {
-        let WriteVerdict::Conflict(Some(row)) = verdict else {
+        let WriteOutcome::Conflict(Some(row)) = verdict else {
             continue;
         };
         if row.key.starts_with(CHANGE_ID_PREFIX) {
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -6,9 +6,9 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{LinkNumber, PeerEntry, advice::AdviceInput, rank::subject_of, row_duty};
+use cassiawheel_decide::{LinkId, PeerEntry, advice::EntryCandidate, feed_role, rank::subject_of};
 use cassiawheel_model::{
-    Deadline, EndpointReport, EntryRecord, GossipNews, InstanceId, LoadReport, LoadRow,
+    Deadline, EndpointReport, EntryRecord, GossipDelta, InstanceId, LoadRecord, LoadReport,
     PresetRevision, Timestamp,
 };
 use cassiawheel_runtime::timeout;
@@ -88,8 +88,8 @@
     let load = shared.in_flight.load(Ordering::Relaxed);
     let mut state = routed.overlay.lock();
     if load >= MIN_PUBLISHED_LOAD {
-        let subject = subject_of(shared.settings.place.instance.as_str());
-        let row = LoadRow { subject, load, age_ms: 0 };
+        let instance_hash = subject_of(shared.settings.place.instance.as_str());
+        let row = LoadRecord { instance_hash, load, age_ms: 0 };
         state.store.merge_load(row, REMOTE_AGE_TOLERANCE_MS, None, now);
     }
     let OverlayState { store, crashes, links, .. } = &mut *state;
@@ -113,7 +113,7 @@
             continue;
         }
         let mut news =
-            GossipNews { revision, records, reports, loads: Vec::new(), crashes: rows, limits };
+            GossipDelta { revision, records, reports, loads: Vec::new(), crashes: rows, limits };
         let mut loads_at = link.loads_at;
         if loads_are_due {
             (news.loads, mark) = store.loads_since(mark, link.number, now);
@@ -193,8 +193,8 @@
 pub(crate) fn merge_gossip(
     shared: &Arc<EntryShared>,
     routed: &Arc<RoutedState>,
-    source: LinkNumber,
-    news: GossipNews,
+    source: LinkId,
+    news: GossipDelta,
 ) {
     let own = &shared.settings.place.instance;
     let now = Timestamp::now();
@@ -219,7 +219,7 @@
     let mut loads = news.loads;
     loads.retain(|row| state.store.merge_load(*row, tolerance_ms, Some(source), now));
     let mut crashes = news.crashes;
-    crashes.retain(|row| state.crashes.note(*row, Some(source), now));
+    crashes.retain(|row| state.crashes.record(*row, Some(source), now));
     routed.crashes.apply_rows(&state.crashes, &crashes, Some(source));
     drop(state);
     let mut limits = news.limits;
@@ -244,7 +244,7 @@
     for report in reports {
         let known = roster.member(&report.instance).map(|member| &member.report.state);
         let is_change = known != Some(&report.state);
-        changed |= roster.hear(report, now) && is_change;
+        changed |= roster.apply_report(report, now) && is_change;
     }
     drop(roster);
     shared.plan_stale.store(true, Ordering::Release);
@@ -254,21 +254,21 @@
 }
 
 /// Updates the load counters of the endpoints that the rows name.
-fn apply_loads(routed: &RoutedState, rows: &[LoadRow], now: Timestamp) {
+fn apply_loads(routed: &RoutedState, rows: &[LoadRecord], now: Timestamp) {
     let counters = routed.counters_by_agent.load();
     for row in rows {
-        if let Some(cell) = counters.get(&row.subject) {
+        if let Some(cell) = counters.get(&row.instance_hash) {
             let measured_at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
             let load = LoadReport { in_flight: row.load, queued: 0, measured_at };
-            cell.hear(&load, cell.hard_limit());
+            cell.apply_report(&load, cell.hard_limit());
         }
     }
 }
 
 /// Publishes the load of an endpoint whose agent is connected to this entry.
 pub(crate) fn publish_load(routed: &RoutedState, instance: &InstanceId, load: &LoadReport) {
-    let row = LoadRow {
-        subject: subject_of(instance.as_str()),
+    let row = LoadRecord {
+        instance_hash: subject_of(instance.as_str()),
         load: load.in_flight + load.queued,
         age_ms: 0,
     };
@@ -309,7 +309,7 @@
     let now = Timestamp::now();
     let state = routed.overlay.lock();
     let present = state.present(own);
-    routed.set_row_duty(row_duty(own, &present));
+    routed.set_row_duty(feed_role(own, &present));
     let others = present.iter().filter(|record| record.instance != *own);
     let connected = shared.links.load();
     let attached = others.clone().flat_map(|record| record.agents.iter());
@@ -317,14 +317,14 @@
     let peers = others.map(|record| (record.instance.clone(), peer_entry(record, now))).collect();
     shared.peers().replace(peers, now);
     drop(state);
-    if shared.roster().attach(attached) {
+    if shared.roster().set_attached(attached) {
         shared.plan_stale.store(true, Ordering::Release);
         shared.rebuild_routes();
     }
 }
 
 fn peer_entry(record: &EntryRecord, now: Timestamp) -> PeerEntry {
-    let advice = AdviceInput {
+    let advice = EntryCandidate {
         caller_addr: record.caller_addr,
         failure_domain: record.failure_domain.clone(),
         in_flight: 0,
@@ -335,6 +335,6 @@
         incarnation: record.incarnation,
         revision: PresetRevision::default(),
         advised: record.advised,
-        heard_at: now,
+        last_seen: now,
     }
 }
--- a/crates/entry/src/control/manifests.rs
+++ b/crates/entry/src/control/manifests.rs
@@ -8,7 +8,7 @@
 use std::{sync::Arc, time::Duration};
 
 use cassiawheel_decide::{ManifestSearch, SearchStep};
-use cassiawheel_model::{ManifestDigest, ModelVersion, NamedVersion, Timestamp, WeightManifest};
+use cassiawheel_model::{ManifestDigest, ModelVersion, TargetVersion, Timestamp, WeightManifest};
 use cassiawheel_runtime::timeout;
 use cassiawheel_wire::{ControlMessage, WireSender};
 use smol::Timer;
@@ -61,7 +61,7 @@
                 }
             }
             // Other entries send manifests that they have pinned without a request.
-            SearchStep::Others(_) => {}
+            SearchStep::Peers(_) => {}
             SearchStep::Wait(until) => {
                 let span = until.remaining(Timestamp::now()).min(CHECK_INTERVAL);
                 timeout(span, routed.versions_changed()).await;
@@ -82,7 +82,7 @@
     let Some(named) = newest_unpinned(routed).filter(|named| named.version == *version) else {
         return;
     };
-    let pinned = NamedVersion { manifest: Some(manifest.digest), ..named };
+    let pinned = TargetVersion { manifest: Some(manifest.digest), ..named };
     let manifest = Arc::new(manifest);
     routed.manifests.insert(manifest.clone());
     // Sent before the version, so that receivers have it when they order the version.
@@ -91,7 +91,7 @@
 }
 
 /// Requests the manifest of a pinned version from the sender if it is missing here.
-pub(crate) fn request_manifest(routed: &RoutedState, sender: &WireSender, named: &NamedVersion) {
+pub(crate) fn request_manifest(routed: &RoutedState, sender: &WireSender, named: &TargetVersion) {
     let Some(manifest) = named.manifest else {
         return;
     };
@@ -118,19 +118,19 @@
 }
 
 /// Returns the newest named version without a manifest, with its current age.
-fn newest_unpinned(routed: &RoutedState) -> Option<NamedVersion> {
+fn newest_unpinned(routed: &RoutedState) -> Option<TargetVersion> {
     let versions = routed.versions.load();
     let named = versions.named(Timestamp::now());
     // Endpoints have to serve the newest version; the origin may have dropped the others.
     named.into_iter().rev().find(|named| {
-        let wanted = versions.wanted(&named.model).map(|wanted| wanted.number);
+        let wanted = versions.newest(&named.model).map(|wanted| wanted.number);
         named.manifest.is_none() && wanted == Some(named.number)
     })
 }
 
 async fn read_twice(shared: &EntryShared, version: &ModelVersion) -> Option<WeightManifest> {
     if let Some(origin) = shared.origin_place() {
-        shared.origin.relocate(origin.addr);
+        shared.origin.set_addr(origin.addr);
     }
     let first = read_once(shared, version).await?;
     let second = read_once(shared, version).await?;
--- a/crates/entry/src/control/operators.rs
+++ b/crates/entry/src/control/operators.rs
@@ -8,9 +8,9 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{FollowedRows, RowDuty};
+use cassiawheel_decide::{FeedRole, FollowedRows};
 use cassiawheel_edge::{FeedError, FeedPage, OperatorRow};
-use cassiawheel_model::{AgeSource, Deadline, NamedVersion, Timestamp};
+use cassiawheel_model::{AgeSource, Deadline, TargetVersion, Timestamp};
 use cassiawheel_wire::ControlMessage;
 use rand::Rng;
 use smol::Timer;
@@ -40,10 +40,10 @@
     let mut probe_at = Deadline(0);
     loop {
         let started_at = Timestamp::now();
-        let is_due = match routed.row_duty() {
-            RowDuty::Follow => true,
-            RowDuty::Probe => probe_at.is_past(started_at),
-            RowDuty::Rest => followed.position.is_none(),
+        let is_due = match routed.feed_role() {
+            FeedRole::Follow => true,
+            FeedRole::Probe => probe_at.is_past(started_at),
+            FeedRole::Standby => followed.position.is_none(),
         };
         if !is_due {
             followed = FollowedRows { until: Some(started_at), by_others: true, ..followed };
@@ -66,7 +66,7 @@
                 let position = Some(page.position);
                 followed = FollowedRows { position, until: Some(now), by_others: false };
                 apply_page(&shared, &routed, page, age);
-                shared.start_hold().heard(shared.settings.platform.table);
+                shared.start_hold().mark_answered(shared.settings.platform.table);
             }
             Err(FeedError::HistoryLost) => {
                 log::info!(target: "preset", position:? = followed.position; "The history of the operators' rows is gone; reading all rows.");
@@ -93,10 +93,10 @@
         match row {
             OperatorRow::Preset(preset) => peers::adopt(shared, &Arc::new(*preset)),
             OperatorRow::Version(named) => {
-                let named = NamedVersion { age_ms: age.as_millis() as u64, age_source, ..named };
+                let named = TargetVersion { age_ms: age.as_millis() as u64, age_source, ..named };
                 apply_version(shared, routed, &named);
             }
-            OperatorRow::Damaged(detail) => {
+            OperatorRow::Invalid(detail) => {
                 log::error!(target: "preset", cause:% = detail; "Cannot decode an operator's row.");
             }
         }
@@ -104,7 +104,7 @@
 }
 
 /// Adds a named version and, if it is new, sends it to the neighbours.
-pub(crate) fn apply_version(shared: &EntryShared, routed: &RoutedState, named: &NamedVersion) {
+pub(crate) fn apply_version(shared: &EntryShared, routed: &RoutedState, named: &TargetVersion) {
     if !routed.add_version(named) {
         return;
     }
--- a/crates/entry/src/control/peers.rs
+++ b/crates/entry/src/control/peers.rs
@@ -10,8 +10,8 @@
 };
 
 use cassiawheel_decide::{
-    ListingNews, PeerEntry,
-    advice::AdviceInput,
+    ListingUpdate, PeerEntry,
+    advice::EntryCandidate,
     rank::{first_ranked, subject_of},
 };
 use cassiawheel_model::{
@@ -109,10 +109,10 @@
         } => {
             record_link_addr(shared, sender, inner_addr);
             send_if_newer(shared, sender, revision);
-            let advice = AdviceInput { caller_addr, failure_domain, in_flight, leaving };
-            let heard_at = Timestamp::now();
-            let peer = PeerEntry { advice, incarnation, revision, advised, heard_at };
-            shared.peers().hear(&instance, peer);
+            let advice = EntryCandidate { caller_addr, failure_domain, in_flight, leaving };
+            let last_seen = Timestamp::now();
+            let peer = PeerEntry { advice, incarnation, revision, advised, last_seen };
+            shared.peers().apply_heartbeat(&instance, peer);
         }
         ControlMessage::ReportWanted => {
             let _ = sender.try_send(heartbeat_message(shared));
@@ -149,10 +149,10 @@
 /// Marks an entry or an agent as leaving.
 fn mark_leaving(shared: &EntryShared, instance: &InstanceId, incarnation: u64) {
     let now = Timestamp::now();
-    shared.peers().leave(instance, incarnation, now);
+    shared.peers().mark_leaving(instance, incarnation, now);
     log::info!(target: "roster", instance:% = instance; "A process leaves.");
     if shared.routed.is_some() {
-        shared.roster().leave(instance, incarnation, now);
+        shared.roster().mark_leaving(instance, incarnation, now);
         shared.rebuild_routes();
     }
 }
@@ -173,7 +173,7 @@
         ControlMessage::Manifest(manifest) => routed.manifests.insert(manifest),
         ControlMessage::Listing { rows, base, position, age_ms } => {
             let asked_at = Timestamp(Timestamp::now().0.saturating_sub(age_ms));
-            let news = ListingNews { rows, base, position, asked_at };
+            let news = ListingUpdate { rows, base, position, asked_at };
             listing::handle_listing(shared, routed, sender, news);
         }
         ControlMessage::ListingWanted => listing::send_listing(routed, sender),
@@ -185,7 +185,7 @@
 /// Records the address of the entry at the other end of a connection.
 fn record_link_addr(shared: &EntryShared, sender: &WireSender, addr: SocketAddr) {
     let mut links = shared.peer_links();
-    if let Some(link) = links.iter_mut().find(|link| link.sender.is_same(sender)) {
+    if let Some(link) = links.iter_mut().find(|link| link.sender.same_connection(sender)) {
         link.addr = Some(addr);
     }
 }
@@ -244,7 +244,7 @@
                 let _ = sender.try_send(shared.hello());
                 serve_peer(&shared, sender, receiver, Some(addr)).await;
             }
-            Err(_) => shared.start_hold().heard(addr),
+            Err(_) => shared.start_hold().mark_answered(addr),
         }
         Timer::after(REDIAL_DELAY).await;
     }
@@ -275,7 +275,7 @@
         other = heartbeat_process(&message).or(other);
         handle_peer_message(shared, &sender, message);
         if let Some(addr) = dialled.filter(|_| is_heartbeat) {
-            shared.start_hold().heard(addr);
+            shared.start_hold().mark_answered(addr);
         }
     }
     sender.close();
@@ -313,7 +313,7 @@
 ) {
     let now = Timestamp::now();
     let known = other
-        .and_then(|other| shared.peers().alive(&other.instance, other.incarnation, in_flight, now));
+        .and_then(|other| shared.peers().touch(&other.instance, other.incarnation, in_flight, now));
     match known {
         Some(revision) => send_if_newer(shared, sender, revision),
         None => {
--- a/crates/entry/src/control/quarantine.rs
+++ b/crates/entry/src/control/quarantine.rs
@@ -5,9 +5,9 @@
 
 use std::{sync::Arc, time::Duration};
 
-use cassiawheel_decide::RowDuty;
-use cassiawheel_edge::{StoreError, TableGuard, TableStore, TableWrite, WriteVerdict};
-use cassiawheel_model::{BarredRequest, CrashEvent, CrashRow, Timestamp};
+use cassiawheel_decide::FeedRole;
+use cassiawheel_edge::{StoreError, TableGuard, TableStore, TableWrite, WriteOutcome};
+use cassiawheel_model::{CrashEvent, CrashRecord, QuarantinedRequest, Timestamp};
 use cassiawheel_runtime::timeout;
 
 use crate::{routed::RoutedState, shared::EntryShared};
@@ -35,7 +35,7 @@
             is_due |= timeout(RETRY_INTERVAL, routed.crashes.await_own_barred()).await.is_some();
         }
         if !is_read && read_at.is_past(Timestamp::now()) {
-            is_read = routed.row_duty() != RowDuty::Follow || read_barred(&shared, &routed).await;
+            is_read = routed.feed_role() != FeedRole::Follow || read_barred(&shared, &routed).await;
         }
         if is_due {
             is_due = !add_barred(&shared, &routed).await;
@@ -53,14 +53,14 @@
         }
     };
     let now = Timestamp::now();
-    let rows = stored.iter().map(|bar| CrashRow {
+    let rows = stored.iter().map(|bar| CrashRecord {
         digest: bar.digest,
         event: CrashEvent::Barred,
         age_ms: now.since(bar.ended_at).as_millis() as u32,
     });
     let mut rows: Vec<_> = rows.collect();
     let mut state = routed.overlay.lock();
-    rows.retain(|row| state.crashes.note(*row, None, now));
+    rows.retain(|row| state.crashes.record(*row, None, now));
     routed.crashes.apply_rows(&state.crashes, &rows, None);
     drop(state);
     routed.overlay.notify_change();
@@ -81,19 +81,19 @@
 async fn try_add(shared: &EntryShared, routed: &RoutedState) -> Result<bool, StoreError> {
     let table = shared.table.as_ref();
     let (guard, stored) = stored_barred(table).await?;
-    let barred = routed.overlay.lock().crashes.bars_to_keep(&stored, Timestamp::now());
+    let barred = routed.overlay.lock().crashes.bars_to_persist(&stored, Timestamp::now());
     let Some(barred) = barred else {
         return Ok(true);
     };
     let value = serde_json::to_value(&barred).map_err(|e| StoreError::NoEffect(e.to_string()))?;
     let write = TableWrite { key: BARRED_ROW.to_owned(), guard, value };
     let verdict = table.write(&[write], true).await?.pop();
-    Ok(matches!(verdict, Some(WriteVerdict::Written(_))))
+    Ok(matches!(verdict, Some(WriteOutcome::Written(_))))
 }
 
 async fn stored_barred(
     table: &dyn TableStore,
-) -> Result<(TableGuard, Vec<BarredRequest>), StoreError> {
+) -> Result<(TableGuard, Vec<QuarantinedRequest>), StoreError> {
     let Some(row) = table.read(BARRED_ROW).await? else {
         return Ok((TableGuard::Absent, Vec::new()));
     };
--- a/crates/entry/src/counters.rs
+++ b/crates/entry/src/counters.rs
@@ -5,21 +5,21 @@
     sync::{Arc, atomic::AtomicU32},
 };
 
-use cassiawheel_decide::{EndpointCell, EndpointLives};
+use cassiawheel_decide::{EndpointTracker, RestartDetector};
 use cassiawheel_model::{InstanceId, ServiceName};
 
 /// Counters of all endpoints and services.
 #[derive(Debug, Default)]
 pub(crate) struct CounterRegistry {
-    endpoints: HashMap<InstanceId, Arc<EndpointCell>>,
+    endpoints: HashMap<InstanceId, Arc<EndpointTracker>>,
     /// Endpoint processes that the counters belong to.
-    pub(crate) processes: EndpointLives,
+    pub(crate) processes: RestartDetector,
     services: HashMap<ServiceName, Arc<AtomicU32>>,
 }
 
 impl CounterRegistry {
     /// Returns the counters of an endpoint.
-    pub(crate) fn endpoint(&mut self, instance: &InstanceId) -> Arc<EndpointCell> {
+    pub(crate) fn endpoint(&mut self, instance: &InstanceId) -> Arc<EndpointTracker> {
         self.endpoints.entry(instance.clone()).or_default().clone()
     }
 
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -10,12 +10,12 @@
 };
 
 use arc_swap::ArcSwap;
-use cassiawheel_decide::{CrashBook, CrashVerdict, LinkNumber, rank::rendezvous_weight};
-use cassiawheel_model::{CrashEvent, CrashRow, InstanceId, RequestDigest};
+use cassiawheel_decide::{CrashTracker, CrashVerdict, LinkId, rank::rendezvous_weight};
+use cassiawheel_model::{CrashEvent, CrashRecord, InstanceId, RequestDigest};
 use smol::channel::{Receiver, Sender, bounded};
 
 /// Verdicts on requests, and the runs of suspect requests at this entry.
-pub(crate) struct CrashTracker {
+pub(crate) struct CrashGuard {
     verdicts: ArcSwap<HashMap<RequestDigest, CrashVerdict>>,
     running: Mutex<HashSet<RequestDigest>>,
     own_barred: (Sender<()>, Receiver<()>),
@@ -23,7 +23,7 @@
 
 /// The only run of a suspect request at this entry, until it is dropped.
 pub(crate) struct SuspectRun {
-    tracker: Arc<CrashTracker>,
+    tracker: Arc<CrashGuard>,
     digest: RequestDigest,
 }
 
@@ -33,13 +33,13 @@
     }
 }
 
-impl Default for CrashTracker {
+impl Default for CrashGuard {
     fn default() -> Self {
         Self { verdicts: ArcSwap::default(), running: Mutex::default(), own_barred: bounded(1) }
     }
 }
 
-impl CrashTracker {
+impl CrashGuard {
     /// Completes when a run at this entry caused a request to be barred (quarantined).
     pub(crate) async fn await_own_barred(&self) {
         let _ = self.own_barred.1.recv().await;
@@ -60,9 +60,9 @@
     /// `source` is the link that the rows came from; none for rows from a run at this entry.
     pub(crate) fn apply_rows(
         &self,
-        book: &CrashBook,
-        rows: &[CrashRow],
-        source: Option<LinkNumber>,
+        book: &CrashTracker,
+        rows: &[CrashRecord],
+        source: Option<LinkId>,
     ) {
         if rows.is_empty() {
             return;
@@ -78,7 +78,7 @@
     }
 
     /// Replaces the verdicts with those of `book`.
-    pub(crate) fn refresh(&self, book: &CrashBook) {
+    pub(crate) fn refresh(&self, book: &CrashTracker) {
         self.verdicts.store(Arc::new(book.verdicts()));
     }
 
@@ -93,7 +93,7 @@
     }
 }
 
-fn log_row(row: &CrashRow, verdict: CrashVerdict, source: Option<LinkNumber>) {
+fn log_row(row: &CrashRecord, verdict: CrashVerdict, source: Option<LinkId>) {
     let learned = if source.is_some() { "neighbour" } else { "own run" };
     match (row.event, verdict) {
         (CrashEvent::Begun, _) => {
@@ -118,7 +118,7 @@
     own: &InstanceId,
     others: impl Iterator<Item = &'a InstanceId>,
 ) -> (usize, usize) {
-    let subject = digest.subject();
+    let subject = digest.rendezvous_key();
     let weight = rendezvous_weight(subject, own.as_str());
     let weights = others.map(|other| rendezvous_weight(subject, other.as_str()));
     weights.fold((0, 1), |(rank, entries), other| (rank + usize::from(other > weight), entries + 1))
--- a/crates/entry/src/direct.rs
+++ b/crates/entry/src/direct.rs
@@ -9,8 +9,8 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use bytes::Bytes;
-use cassiawheel_decide::AttemptEnd;
-use cassiawheel_edge::{AnswerMarks, EndpointLeg, EndpointProtocol};
+use cassiawheel_decide::AttemptFailure;
+use cassiawheel_edge::{EndpointProtocol, ForwardMetadata, ResponseMetadata};
 use cassiawheel_model::{InstanceId, NotRunReason, Repeatability, RequestHead, Timestamp};
 use cassiawheel_runtime::{spawn, timeout};
 use http_body_util::{BodyExt, Full, Limited};
@@ -43,7 +43,7 @@
     /// Status and header fields.
     pub(crate) parts: Parts,
     /// Metadata that the header fields carry.
-    pub(crate) marks: AnswerMarks,
+    pub(crate) marks: ResponseMetadata,
     /// The rest of the response.
     pub(crate) stream: DirectStream,
 }
@@ -53,7 +53,7 @@
     body: Incoming,
     client: Arc<DirectClient>,
     connection: Option<EndpointConnection>,
-    marks: AnswerMarks,
+    marks: ResponseMetadata,
 }
 
 /// One part of the rest of a response.
@@ -84,12 +84,12 @@
         head: &RequestHead,
         fields: &HeaderMap,
         body: &Bytes,
-        leg: &EndpointLeg<'_>,
-    ) -> Result<DirectResponse, AttemptEnd> {
+        leg: &ForwardMetadata<'_>,
+    ) -> Result<DirectResponse, AttemptFailure> {
         let request = self.request(head, fields, body, leg)?;
         let (reply, connection) = self.exchange(target, head, request).await?;
         let (parts, body) = reply.into_parts();
-        let marks = self.protocol.read_marks(&parts);
+        let marks = self.protocol.read_metadata(&parts);
         // Refusals are skipped unless they state a limit: they may come from another process, or
         // from one that has not checked its limit.
         if marks.limit.is_some() || !marks.not_run {
@@ -104,7 +104,7 @@
         match check_head(head, &parts, &marks) {
             Ok(()) => Ok(DirectResponse { parts, marks, stream }),
             Err(end) => {
-                if matches!(end, AttemptEnd::NotRun(_)) {
+                if matches!(end, AttemptFailure::NotRun(_)) {
                     stream.reuse_connection();
                 }
                 Err(end)
@@ -117,15 +117,15 @@
         head: &RequestHead,
         fields: &HeaderMap,
         body: &Bytes,
-        leg: &EndpointLeg<'_>,
-    ) -> Result<Request<Full<Bytes>>, AttemptEnd> {
+        leg: &ForwardMetadata<'_>,
+    ) -> Result<Request<Full<Bytes>>, AttemptFailure> {
         let request = Request::builder().method(head.method.as_str()).uri(head.path.as_str());
         let mut request = request.body(Full::new(body.clone())).map_err(|error| {
             log::error!(target: "direct", request:% = head.id, cause:% = error; "Cannot build a request.");
-            AttemptEnd::NotRun(NotRunReason::ConnectFailed)
+            AttemptFailure::NotRun(NotRunReason::ConnectFailed)
         })?;
         *request.headers_mut() = fields.clone();
-        self.protocol.write_leg(request.headers_mut(), leg);
+        self.protocol.write_metadata(request.headers_mut(), leg);
         Ok(request)
     }
 
@@ -138,7 +138,7 @@
         target: DirectTarget<'_>,
         head: &RequestHead,
         mut request: Request<Full<Bytes>>,
-    ) -> Result<(Response<Incoming>, EndpointConnection), AttemptEnd> {
+    ) -> Result<(Response<Incoming>, EndpointConnection), AttemptFailure> {
         if head.repeat == Repeatability::Idempotent {
             while let Some(mut connection) = self.pool.take(target.instance, Timestamp::now()) {
                 match connection.send(request, head.deadline).await {
@@ -152,12 +152,12 @@
         }
         let mut connection = pool::connect(target, head.deadline).await.map_err(|detail| {
             log::info!(target: "direct", request:% = head.id, endpoint:% = target.instance, cause:% = detail; "Cannot connect to an endpoint.");
-            AttemptEnd::NotRun(NotRunReason::ConnectFailed)
+            AttemptFailure::NotRun(NotRunReason::ConnectFailed)
         })?;
         match connection.send(request, head.deadline).await {
             Ok(reply) => Ok((reply, connection)),
             Err(failure) if failure.unsent.is_some() => {
-                Err(AttemptEnd::NotRun(NotRunReason::ConnectFailed))
+                Err(AttemptFailure::NotRun(NotRunReason::ConnectFailed))
             }
             Err(failure) => Err(failure.into_end()),
         }
@@ -165,21 +165,25 @@
 }
 
 /// Checks that the response belongs to this request and comes from the endpoint itself.
-fn check_head(head: &RequestHead, parts: &Parts, marks: &AnswerMarks) -> Result<(), AttemptEnd> {
+fn check_head(
+    head: &RequestHead,
+    parts: &Parts,
+    marks: &ResponseMetadata,
+) -> Result<(), AttemptFailure> {
     // An endpoint may send a second response to an earlier request, which would be mistaken for the
     // response to the next one. The request id that every endpoint echoes tells them apart.
     if marks.request.as_deref() != Some(head.id.as_str()) {
-        return Err(AttemptEnd::Unknown("the answer belongs to another request".to_owned()));
+        return Err(AttemptFailure::Unknown("the answer belongs to another request".to_owned()));
     }
     if marks.not_run {
         let reason = match parts.status {
             StatusCode::MISDIRECTED_REQUEST => NotRunReason::VersionMismatch,
             _ => NotRunReason::Overloaded,
         };
-        return Err(AttemptEnd::NotRun(reason));
+        return Err(AttemptFailure::NotRun(reason));
     }
     if parts.status.is_success() && !marks.is_signed {
-        return Err(AttemptEnd::Unknown("the answer is not signed".to_owned()));
+        return Err(AttemptFailure::Unknown("the answer is not signed".to_owned()));
     }
     Ok(())
 }
@@ -204,8 +208,8 @@
     }
 
     fn return_connection(&mut self) {
-        if let Some(connection) = self.connection.take().filter(|_| !self.marks.closes) {
-            self.client.pool.put(connection, self.marks.idle_time, Timestamp::now());
+        if let Some(connection) = self.connection.take().filter(|_| !self.marks.closes_connection) {
+            self.client.pool.put(connection, self.marks.idle_timeout, Timestamp::now());
         }
     }
 
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -12,10 +12,12 @@
 };
 
 use cassiawheel_decide::{
-    HolderPlace, LimitBook,
+    HolderRank, RateLimits,
     rank::{rendezvous_weight, subject_of},
 };
-use cassiawheel_model::{EntryRecord, FailureDomain, InstanceId, LimitRow, NamedLimit, Timestamp};
+use cassiawheel_model::{
+    EntryRecord, FailureDomain, InstanceId, LimitRecord, NamedLimit, Timestamp,
+};
 use smol::channel::Sender;
 
 use crate::{routed::RoutedState, shared::EntryShared};
@@ -25,7 +27,7 @@
 
 /// Tracks the rate limits that endpoints state.
 pub(crate) struct LimitTracker {
-    book: Mutex<LimitBook>,
+    book: Mutex<RateLimits>,
     has_limits: AtomicBool,
     /// Time at which the paces were last updated, in milliseconds.
     paced_at: AtomicU64,
@@ -51,7 +53,7 @@
     }
 
     /// Locks the book of stated limits.
-    pub(crate) fn book(&self) -> MutexGuard<'_, LimitBook> {
+    pub(crate) fn book(&self) -> MutexGuard<'_, RateLimits> {
         self.book.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
@@ -60,7 +62,7 @@
         if limit.is_none() && !self.has_limits.load(Ordering::Relaxed) {
             return;
         }
-        let is_new = self.book().hear(subject_of(instance.as_str()), limit, Timestamp::now());
+        let is_new = self.book().observe(subject_of(instance.as_str()), limit, Timestamp::now());
         if is_new {
             self.notify_change();
             match limit {
@@ -75,11 +77,11 @@
     }
 
     /// Merges a row from a neighbour; true if it is newer than the known one.
-    pub(crate) fn merge_row(&self, row: LimitRow, source: u64, now: Timestamp) -> bool {
+    pub(crate) fn merge_row(&self, row: LimitRecord, source: u64, now: Timestamp) -> bool {
         let mut book = self.book();
-        let before = book.named();
-        let is_new = book.note(row, source, now);
-        let named = book.named();
+        let before = book.advertised_count();
+        let is_new = book.merge(row, source, now);
+        let named = book.advertised_count();
         drop(book);
         if is_new {
             self.notify_change();
@@ -110,19 +112,19 @@
     let mut is_change = false;
     for candidate in routes.candidates() {
         let subject = subject_of(candidate.instance.as_str());
-        if !book.knows(subject) {
-            is_change |= candidate.cell.is_paced();
-            candidate.cell.set_pace(None, now);
+        if !book.contains(subject) {
+            is_change |= candidate.tracker.is_paced();
+            candidate.tracker.set_pace(None, now);
             continue;
         }
         let listed = listing.endpoints().find(|listed| listed.instance == candidate.instance);
         let domain = listed.map(|listed| &listed.failure_domain);
         let place = holder_place(subject, domain, own, &present);
         let pace = book.pace(subject, place, now);
-        is_change |= pace.is_some() != candidate.cell.is_paced();
-        candidate.cell.set_pace(pace, now);
+        is_change |= pace.is_some() != candidate.tracker.is_paced();
+        candidate.tracker.set_pace(pace, now);
     }
-    shared.metrics.limited.set(book.named() as i64);
+    shared.metrics.limited.set(book.advertised_count() as i64);
     drop((book, listing, state));
     if is_change {
         shared.rebuild_routes();
@@ -149,7 +151,7 @@
     domain: Option<&FailureDomain>,
     own: &InstanceId,
     present: &[&EntryRecord],
-) -> HolderPlace {
+) -> HolderRank {
     let is_in_domain = |record: &&&EntryRecord| Some(&record.failure_domain) == domain;
     let has_domain_entry = present.iter().any(|record| is_in_domain(&record));
     let candidates = present.iter().filter(|record| !has_domain_entry || is_in_domain(record));
@@ -161,5 +163,5 @@
         false => usize::MAX,
     };
     let phase = own_weight as f64 / u64::MAX as f64;
-    HolderPlace { rank, candidates: candidates.len(), entries: present.len(), phase }
+    HolderRank { rank, candidates: candidates.len(), entries: present.len(), phase }
 }
--- a/crates/entry/src/overlay.rs
+++ b/crates/entry/src/overlay.rs
@@ -8,8 +8,8 @@
 };
 
 use cassiawheel_decide::{
-    CrashBook, EntryPlace, FloodFilter, GossipStore, LinkMark, LinkNumber, near_or_all,
-    reachable_entries,
+    CrashTracker, EntryLocation, FloodFilter, GossipStore, LinkCursor, LinkId, reachable_entries,
+    same_region_or_all,
 };
 use cassiawheel_model::{Deadline, EntryRecord, InstanceId, RegionName, Timestamp};
 use cassiawheel_wire::{ControlMessage, WireSender, message::FloodMessage};
@@ -30,7 +30,7 @@
     /// Entry records, endpoint reports and loads.
     pub(crate) store: GossipStore,
     /// Requests during which endpoints have crashed.
-    pub(crate) crashes: CrashBook,
+    pub(crate) crashes: CrashTracker,
     /// Open links.
     pub(crate) links: Vec<OverlayLink>,
     /// Addresses at which entries may run, with their regions where known.
@@ -41,13 +41,13 @@
     pub(crate) renewed_at: Option<Timestamp>,
     seen_floods: FloodFilter,
     flood_number: u64,
-    link_number: LinkNumber,
+    link_number: LinkId,
 }
 
 /// A link to another entry.
 pub(crate) struct OverlayLink {
     /// Identifies the link within this process.
-    pub(crate) number: LinkNumber,
+    pub(crate) number: LinkId,
     /// Sender of messages to the other end.
     pub(crate) sender: WireSender,
     /// Entry at the other end.
@@ -55,7 +55,7 @@
     /// Address that was dialled, if this end opened the link.
     pub(crate) dialled: Option<SocketAddr>,
     /// Position up to which state was sent to the other end.
-    pub(crate) mark: LinkMark,
+    pub(crate) mark: LinkCursor,
     /// When the next message with loads is due.
     pub(crate) loads_at: Deadline,
     /// Change number up to which crash rows were sent to the other end.
@@ -96,7 +96,7 @@
         let mut state = self.lock();
         state.flood_number += 1;
         let number = state.flood_number;
-        state.seen_floods.note(origin, incarnation, number);
+        state.seen_floods.insert(origin, incarnation, number);
         let message = FloodMessage { origin: origin.clone(), incarnation, number, content };
         state.send_flood(&message, None);
     }
@@ -111,9 +111,10 @@
     }
 
     /// Forwards a flooded message; false if it was seen before.
-    pub(crate) fn forward_flood(&self, message: &FloodMessage, source: LinkNumber) -> bool {
+    pub(crate) fn forward_flood(&self, message: &FloodMessage, source: LinkId) -> bool {
         let mut state = self.lock();
-        let is_news = state.seen_floods.note(&message.origin, message.incarnation, message.number);
+        let is_news =
+            state.seen_floods.insert(&message.origin, message.incarnation, message.number);
         if is_news {
             state.send_flood(message, Some(source));
         }
@@ -122,7 +123,7 @@
 }
 
 impl OverlayState {
-    fn send_flood(&self, message: &FloodMessage, source: Option<LinkNumber>) {
+    fn send_flood(&self, message: &FloodMessage, source: Option<LinkId>) {
         for link in self.links.iter().filter(|link| Some(link.number) != source) {
             let message = ControlMessage::Flood(Box::new(message.clone()));
             if let Ok(false) = link.sender.try_send(message) {
@@ -132,7 +133,7 @@
     }
 
     /// Whether the entry at the other end of a link is in another region than `own`.
-    pub(crate) fn is_in_other_region(&self, number: LinkNumber, own: &RegionName) -> bool {
+    pub(crate) fn is_in_other_region(&self, number: LinkId, own: &RegionName) -> bool {
         let link = self.links.iter().find(|link| link.number == number);
         link.is_some_and(|link| is_in_other_region(&self.store, &link.instance, own))
     }
@@ -143,10 +144,10 @@
         sender: WireSender,
         instance: InstanceId,
         dialled: Option<SocketAddr>,
-    ) -> LinkNumber {
+    ) -> LinkId {
         self.link_number += 1;
         let number = self.link_number;
-        let (mark, loads_at) = (LinkMark::default(), Deadline(0));
+        let (mark, loads_at) = (LinkCursor::default(), Deadline(0));
         let (crash_mark, limit_mark) = (0, 0);
         let link = OverlayLink {
             number,
@@ -163,7 +164,7 @@
     }
 
     /// Removes a link that has ended.
-    pub(crate) fn remove_link(&mut self, number: LinkNumber) {
+    pub(crate) fn remove_link(&mut self, number: LinkId) {
         self.links.retain(|link| link.number != number);
     }
 
@@ -204,7 +205,7 @@
     }
 
     /// Returns the entries that links may be opened to.
-    pub(crate) fn candidates(&self, own: &InstanceId, now: Timestamp) -> Vec<EntryPlace> {
+    pub(crate) fn candidates(&self, own: &InstanceId, now: Timestamp) -> Vec<EntryLocation> {
         let present = self.present(own);
         let reached: HashMap<_, _> =
             present.iter().map(|record| (record.inner_addr, record)).collect();
@@ -215,7 +216,7 @@
         let reached = present.iter().filter(|record| !record.leaving);
         let reached = reached.map(|record| (record.inner_addr, record.region.clone()));
         let places = reached.chain(placed);
-        places.map(|(inner_addr, region)| EntryPlace { inner_addr, region }).collect()
+        places.map(|(inner_addr, region)| EntryLocation { inner_addr, region }).collect()
     }
 
     /// Returns the records of the entries that are reachable through the overlay.
@@ -253,5 +254,5 @@
 /// These are the entries in its region, or all entries if the region has none.
 pub(crate) fn entry_addrs_for(present: &[&EntryRecord], region: &RegionName) -> Vec<SocketAddr> {
     let staying = present.iter().filter(|record| !record.leaving);
-    near_or_all(region, staying.map(|record| (record.inner_addr, Some(&record.region))))
+    same_region_or_all(region, staying.map(|record| (record.inner_addr, Some(&record.region))))
 }
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -13,21 +13,21 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use cassiawheel_decide::{
-    CallerIndex, EndpointCell, EndpointListing, PresetPull, RetryBudget, RowDuty, VersionBook,
-    plan::PlanPace,
+    CallerIndex, EndpointListing, EndpointTracker, FeedRole, PresetPull, RetryBudget,
+    VersionRegistry, plan::RolloutSchedule,
 };
 use cassiawheel_edge::{
-    CallerProtocol, EndpointProtocol, ListingFeed, OperatorFeed, TableStore, WeightSource,
+    CallerProtocol, EndpointFeed, EndpointProtocol, OperatorFeed, TableStore, WeightSource,
 };
 use cassiawheel_model::{
-    EndpointReport, EndpointState, ForcedPreset, ListedEndpoint, ModelVersion, NamedVersion,
-    ServiceName, ServiceTarget, Timestamp, settings::RoutedSettings,
+    EndpointReport, EndpointState, ForcedPreset, ListedEndpoint, ModelVersion, ServiceName,
+    ServiceTarget, TargetVersion, Timestamp, settings::RoutingSettings,
 };
 use cassiawheel_wire::WireSender;
 use smol::channel::{Receiver, Sender, bounded};
 
 use crate::{
-    control::manifest_cache::ManifestCache, crashes::CrashTracker, direct::DirectClient,
+    control::manifest_cache::ManifestCache, crashes::CrashGuard, direct::DirectClient,
     limits::LimitTracker, overlay::Overlay,
 };
 
@@ -39,7 +39,7 @@
 /// Adapters to the platform for an entry with a route table.
 pub struct RoutedAdapters {
     /// Settings in addition to those of every entry.
-    pub settings: RoutedSettings,
+    pub settings: RoutingSettings,
     /// Protocol of callers.
     pub callers: Arc<dyn CallerProtocol>,
     /// Protocol of endpoints.
@@ -47,7 +47,7 @@
     /// Feed of the rows that operators write.
     pub operators: Arc<OperatorFeed>,
     /// Feed of the platform's list of endpoints.
-    pub list: Arc<ListingFeed>,
+    pub list: Arc<EndpointFeed>,
     /// Table with the rows that this software stores.
     pub table: Arc<dyn TableStore>,
     /// Origin of model weights.
@@ -57,7 +57,7 @@
 /// State of an entry with a route table.
 pub(crate) struct RoutedState {
     /// Settings in addition to those of every entry.
-    pub(crate) settings: RoutedSettings,
+    pub(crate) settings: RoutingSettings,
     /// Protocol of callers.
     pub(crate) callers: Arc<dyn CallerProtocol>,
     /// Client for requests to endpoints.
@@ -65,16 +65,16 @@
     /// Feed of the rows that operators write.
     pub(crate) operators: Arc<OperatorFeed>,
     /// Feed of the platform's list of endpoints.
-    pub(crate) list: Arc<ListingFeed>,
+    pub(crate) list: Arc<EndpointFeed>,
     /// Routes and keys of the active preset; read without a lock.
     pub(crate) index: ArcSwapOption<CallerIndex>,
     /// Versions that operators have named; read without a lock.
-    pub(crate) versions: ArcSwap<VersionBook>,
+    pub(crate) versions: ArcSwap<VersionRegistry>,
     /// Manifests of named versions.
     pub(crate) manifests: ManifestCache,
     /// Whether the last read of the operators' rows succeeded.
     pub(crate) follows_rows: AtomicBool,
-    row_duty: Mutex<RowDuty>,
+    feed_role: Mutex<FeedRole>,
     versions_changed: (Sender<()>, Receiver<()>),
     listing: Mutex<EndpointListing>,
     pull: Mutex<PresetPull<WireSender>>,
@@ -83,9 +83,9 @@
     /// Rate limits that endpoints state.
     pub(crate) limits: Arc<LimitTracker>,
     /// Verdicts on requests during which endpoints have crashed.
-    pub(crate) crashes: Arc<CrashTracker>,
+    pub(crate) crashes: Arc<CrashGuard>,
     /// Load counters of endpoints by the hash of their agent's instance; read without a lock.
-    pub(crate) counters_by_agent: ArcSwap<HashMap<u64, Arc<EndpointCell>>>,
+    pub(crate) counters_by_agent: ArcSwap<HashMap<u64, Arc<EndpointTracker>>>,
     budgets: ArcSwap<HashMap<ServiceName, Arc<RetryBudget>>>,
     /// Longest caller timeout seen on each route, in milliseconds.
     patience: ArcSwap<HashMap<String, Arc<AtomicU64>>>,
@@ -114,7 +114,7 @@
         let limits = Arc::new(LimitTracker::new(overlay.waker()));
         let mut listing = EndpointListing::new(adapters.settings.list_heartbeat_ms);
         // The first read of the list starts together with the process.
-        listing.begin_asking(Timestamp::now());
+        listing.begin_snapshot_request(Timestamp::now());
         Self {
             listing: Mutex::new(listing),
             settings: adapters.settings,
@@ -126,7 +126,7 @@
             versions: ArcSwap::default(),
             manifests: ManifestCache::default(),
             follows_rows: AtomicBool::new(true),
-            row_duty: Mutex::new(RowDuty::Follow),
+            feed_role: Mutex::new(FeedRole::Follow),
             pull: Mutex::default(),
             versions_changed: bounded(1),
             overlay,
@@ -149,13 +149,13 @@
     }
 
     /// Returns whether this entry follows, probes or ignores the operators' rows.
-    pub(crate) fn row_duty(&self) -> RowDuty {
-        *self.row_duty.lock().unwrap_or_else(|poison| poison.into_inner())
+    pub(crate) fn feed_role(&self) -> FeedRole {
+        *self.feed_role.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
     /// Sets whether this entry follows, probes or ignores the operators' rows.
-    pub(crate) fn set_row_duty(&self, duty: RowDuty) {
-        *self.row_duty.lock().unwrap_or_else(|poison| poison.into_inner()) = duty;
+    pub(crate) fn set_row_duty(&self, duty: FeedRole) {
+        *self.feed_role.lock().unwrap_or_else(|poison| poison.into_inner()) = duty;
     }
 
     /// Replaces the routes and keys with those of a newly activated preset.
@@ -180,14 +180,14 @@
     }
 
     /// Adds a named version; true if the version or its manifest is new.
-    pub(crate) fn add_version(&self, named: &NamedVersion) -> bool {
+    pub(crate) fn add_version(&self, named: &TargetVersion) -> bool {
         let span = Duration::from_millis(self.settings.version_ms);
         let now = Timestamp::now();
         let mut is_new = false;
         self.versions.rcu(|known| {
-            let mut book = VersionBook::clone(known);
-            is_new = book.offer(named, span, now);
-            book
+            let mut versions = VersionRegistry::clone(known);
+            is_new = versions.record(named, span, now);
+            versions
         });
         if is_new {
             let _ = self.versions_changed.0.try_send(());
@@ -211,10 +211,10 @@
     }
 
     /// Returns the pace at which the platform requires the preset's model to change versions.
-    pub(crate) fn pace(&self, preset: &ForcedPreset, now: Timestamp) -> Option<PlanPace> {
+    pub(crate) fn pace(&self, preset: &ForcedPreset, now: Timestamp) -> Option<RolloutSchedule> {
         let mut targets = preset.content.services.values();
         let engine = targets.find_map(|target| target.engine.as_ref())?;
-        self.versions.load().pace(&engine.model, now)
+        self.versions.load().schedule(&engine.model, now)
     }
 
     /// Returns `preset` with the versions that were named since it was stored.
@@ -224,7 +224,7 @@
         planned.content.callers = None;
         for target in planned.content.services.values_mut() {
             let model = target.engine.as_ref().map(|engine| engine.model.as_str());
-            if let Some(wanted) = model.and_then(|model| versions.wanted(model)) {
+            if let Some(wanted) = model.and_then(|model| versions.newest(model)) {
                 target.version = Some(wanted.version.clone());
                 target.manifest = wanted.manifest;
             }
@@ -236,7 +236,7 @@
     pub(crate) fn retry_budget(&self, service: &ServiceName, entries: usize) -> Arc<RetryBudget> {
         let savings = self.settings.retry_slack / entries.max(MIN_BUDGET_SHARES) as f64;
         if let Some(budget) = self.budgets.load().get(service) {
-            budget.set_savings(savings);
+            budget.set_burst(savings);
             return budget.clone();
         }
         let fresh = Arc::new(RetryBudget::new(self.settings.retry_ratio, savings));
@@ -257,7 +257,7 @@
     preset: &ForcedPreset,
     reports: &HashMap<SocketAddr, &EndpointReport>,
 ) -> Vec<DirectCandidate<'a>> {
-    let present = listing.present(|service| preset.content.services.contains_key(service));
+    let present = listing.latest_per_addr(|service| preset.content.services.contains_key(service));
     let present = present.into_iter().filter(|listed| !listed.is_leaving);
     let candidate = |listed: &'a ListedEndpoint| {
         let target = preset.content.services.get(&listed.service)?;
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -13,7 +13,7 @@
     settings::{EntryListen, EntrySettings, ListenerSettings},
 };
 use cassiawheel_runtime::{
-    ShutdownSignal, ShutdownTrigger, TerminationSignals,
+    ProcessSignals, ShutdownSignal, ShutdownTrigger,
     http::{ListenerLimits, serve as serve_http},
     probes::serve_probes,
     spawn,
@@ -66,7 +66,7 @@
     settings: EntrySettings,
     adapters: Option<RoutedAdapters>,
 ) -> anyhow::Result<()> {
-    let mut signals = TerminationSignals::listen()?;
+    let mut signals = ProcessSignals::listen()?;
     // All addresses are bound before anything else starts, so an entry that finds one in use exits
     // before it has announced itself.
     let listeners = EntryListeners::bind(&settings.listen, adapters.as_ref()).await?;
@@ -93,7 +93,7 @@
     log::info!(target: "process", instance:% = shared.settings.place.instance, caller:% = caller_addr; "The entry is running.");
 
     signals
-        .asked_or(|| {
+        .wait_or_reload(|| {
             log::info!(target: "process", "The settings file has changed; restart to apply it.");
         })
         .await;
@@ -104,7 +104,7 @@
         caller_trigger.fire();
         callers.await;
     };
-    let end = signals.finish(deadline, drained).await;
+    let end = signals.drain_until(deadline, drained).await;
     trigger.fire();
     let remaining = shared.in_flight.load(Ordering::Relaxed);
     log::info!(target: "drain", in_flight = remaining; "The entry is exiting.");
@@ -218,7 +218,7 @@
     let limits = listener_limits(&settings.limits, settings.caller.max_connections);
     match shared.routed.clone() {
         Some(routed) => {
-            let limits = ListenerLimits { head_time: MAX_IDLE_TIME, ..limits };
+            let limits = ListenerLimits { head_timeout: MAX_IDLE_TIME, ..limits };
             let answer =
                 move |request, _| caller::accept_routed(shared.clone(), routed.clone(), request);
             serve_http(listener, limits, shutdown, answer).await;
@@ -234,8 +234,8 @@
     ListenerLimits {
         connections,
         head_bytes: settings.head_bytes,
-        head_time: Duration::from_millis(settings.head_ms),
-        write_time: Duration::from_millis(settings.write_ms),
+        head_timeout: Duration::from_millis(settings.head_ms),
+        write_timeout: Duration::from_millis(settings.write_ms),
     }
 }
 
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -216,8 +216,8 @@
         let routed = self.routed.as_ref()?;
         let active_preset = self.active_preset.load();
         let engine = active_preset.as_ref()?.content.services.get(service)?.engine.as_ref()?;
-        let barred_from = routed.versions.load().barred_from(&engine.model, version?)?;
-        Some(Timestamp(barred_from.0).deadline_after(MAX_START_DELAY))
+        let expires_at = routed.versions.load().expires_at(&engine.model, version?)?;
+        Some(Timestamp(expires_at.0).deadline_after(MAX_START_DELAY))
     }
 
     /// Returns a request id that no other request has.
@@ -240,7 +240,7 @@
                 log::error!(target: "preset", revision = revision; "Two presets have the same revision.");
                 false
             }
-            Adoption::Adopted | Adoption::Known | Adoption::Older => false,
+            Adoption::Adopted | Adoption::Unchanged | Adoption::Stale => false,
         }
     }
 
@@ -343,7 +343,7 @@
             // Another entry may still be connected to the agent.
             routed.overlay.notify_change();
         } else if !self.links.load().contains_key(&link.instance) {
-            self.roster().forget(&link.instance, link.incarnation);
+            self.roster().remove(&link.instance, link.incarnation);
             self.rebuild_routes();
         }
     }
@@ -367,7 +367,7 @@
         // The clocks of two machines differ, so the age is measured by the local clock.
         let load = LoadReport { measured_at: Timestamp::now(), ..*load };
         let Some(routed) = &self.routed else {
-            self.counters().endpoint(agent).hear(&load, limit);
+            self.counters().endpoint(agent).apply_report(&load, limit);
             return;
         };
         let roster = self.roster();
@@ -375,13 +375,13 @@
             return;
         };
         let listing = routed.listing();
-        let listed = report.endpoint_addr.and_then(|a| listing.present_at(&report.service, a));
+        let listed = report.endpoint_addr.and_then(|a| listing.latest_at(&report.service, a));
         let Some(instance) = listed.map(|listed| listed.instance.clone()) else {
             return;
         };
         drop((listing, roster));
         let cell = self.counters().endpoint(&instance);
-        cell.hear(&load, cell.hard_limit());
+        cell.apply_report(&load, cell.hard_limit());
     }
 
     /// Removes an endpoint from the list because another process answers at its address.
@@ -428,16 +428,16 @@
             let EndpointState::Serving { version, .. } = &report.state else {
                 continue;
             };
-            let cell = counters.endpoint(&report.instance);
-            if cell.limit() == 0 {
-                cell.hear(&report.load, report.limit);
+            let tracker = counters.endpoint(&report.instance);
+            if tracker.limit() == 0 {
+                tracker.apply_report(&report.load, report.limit);
             }
             services.entry(report.service.clone()).or_default().push(RouteCandidate {
                 instance: report.instance.clone(),
                 version: version.clone(),
                 is_near: report.failure_domain == *own_domain,
                 path: EndpointPath::Agent,
-                cell,
+                tracker,
             });
         }
         services
@@ -459,21 +459,21 @@
         let listing = routed.listing();
         for candidate in direct_candidates(&listing, &preset, &reports) {
             let listed = candidate.listed;
-            if counters.processes.begin(&listed.instance, listed.born_at) {
+            if counters.processes.observe_start(&listed.instance, listed.born_at) {
                 counters.reset(&listed.instance);
                 routed.direct.retain_listed(|instance| *instance != listed.instance);
             }
-            let cell = counters.endpoint(&listed.instance);
-            cell.set_limit(candidate.limit);
+            let tracker = counters.endpoint(&listed.instance);
+            tracker.set_hard_limit(candidate.limit);
             if let Some(report) = reports.get(&listed.addr) {
-                counters_by_agent.insert(subject_of(report.instance.as_str()), cell.clone());
+                counters_by_agent.insert(subject_of(report.instance.as_str()), tracker.clone());
             }
             services.entry(listed.service.clone()).or_default().push(RouteCandidate {
                 instance: listed.instance.clone(),
                 version: candidate.version,
                 is_near: routed.settings.near_domains.contains(&listed.failure_domain),
                 path: EndpointPath::Direct(listed.addr),
-                cell,
+                tracker,
             });
         }
         let listed: HashSet<_> = listing.endpoints().map(|listed| &listed.instance).collect();
