--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -164,7 +164,8 @@
         // allowed to respond. It is withdrawn before that, while other endpoints can still serve
         // it.
         Some(start_by) => {
-            let late = || Err(AttemptFailure::Unknown("its version may no longer answer".to_owned()));
+            let late =
+                || Err(AttemptFailure::Unknown("its version may no longer answer".to_owned()));
             let left = start_by.remaining(Timestamp::now());
             timeout(left, starting).await.unwrap_or_else(late)?
         }
