--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -113,14 +113,14 @@
     if capacity == 0 {
         return Ok(None);
     }
-    if admission.queue.try_admit(request.turn, capacity) {
+    if admission.queue.try_admit(request.tier, capacity) {
         return Ok(Some(AdmitPermit { admission }));
     }
     let ticket = AdmitTicket {
         workspace: head.workspace.clone(),
         priority: head.priority,
         deadline: admit_by,
-        tier: request.turn,
+        tier: request.tier,
     };
     let (sender, verdict) = bounded(1);
     let slot = QueueSlot { admission: admission.clone(), verdict };
--- a/crates/entry/src/caller/attempts.rs
+++ b/crates/entry/src/caller/attempts.rs
@@ -79,21 +79,21 @@
 
 /// Counts one request at its endpoint and its service until dropped.
 pub(crate) struct LoadGuard {
-    cell: Arc<EndpointTracker>,
+    tracker: Arc<EndpointTracker>,
     service: Arc<AtomicU32>,
 }
 
 impl LoadGuard {
     /// Takes over a request that the endpoint's counter already includes.
-    fn adopt(cell: Arc<EndpointTracker>, service: Arc<AtomicU32>) -> Self {
+    fn adopt(tracker: Arc<EndpointTracker>, service: Arc<AtomicU32>) -> Self {
         service.fetch_add(1, Ordering::Relaxed);
-        Self { cell, service }
+        Self { tracker, service }
     }
 }
 
 impl Drop for LoadGuard {
     fn drop(&mut self) {
-        self.cell.release();
+        self.tracker.release();
         self.service.fetch_sub(1, Ordering::Relaxed);
     }
 }
@@ -265,18 +265,18 @@
             last_event: self.last_event,
         };
         let start_by = shared.start_by(&head.service, candidate_version.as_ref());
-        let response: ResponseHead = match dispatch(shared, path, sent, &load.cell, start_by).await
-        {
-            Ok(response) => response,
-            Err(end) => {
-                record_failure(shared, &routed, self.excluded.last(), &load.cell, &end);
-                let target = RunTarget { instance, path };
-                let lost_run = LostRun { target: &target, answering: false, end: &end };
-                record_lost_run(shared, &self.request, lost_run).await;
-                return Err(end);
-            }
-        };
-        load.cell.record_success();
+        let response: ResponseHead =
+            match dispatch(shared, path, sent, &load.tracker, start_by).await {
+                Ok(response) => response,
+                Err(end) => {
+                    record_failure(shared, &routed, self.excluded.last(), &load.tracker, &end);
+                    let target = RunTarget { instance, path };
+                    let lost_run = LostRun { target: &target, answering: false, end: &end };
+                    record_lost_run(shared, &self.request, lost_run).await;
+                    return Err(end);
+                }
+            };
+        load.tracker.record_success();
         let delay_ms = Timestamp::now().since(now).as_millis() as u64;
         log::info!(target: "answer", request:% = self.request.head.id, endpoint:% = instance, status = response.status, delay_ms = delay_ms; "An answer begins.");
         Ok(StartedResponse {
@@ -322,7 +322,7 @@
     shared: &EntryShared,
     head: &RequestHead,
     instance: Option<&InstanceId>,
-    cell: &EndpointTracker,
+    tracker: &EndpointTracker,
     end: &AttemptFailure,
 ) {
     let now = Timestamp::now();
@@ -330,7 +330,7 @@
         // Another attempt with the same idempotency key may be the cause, so the endpoint is not
         // blamed.
         AttemptFailure::Unanswered(_) => {}
-        AttemptFailure::NotRun(NotRunReason::Overloaded) => cell.record_refusal(now),
+        AttemptFailure::NotRun(NotRunReason::Overloaded) => tracker.record_refusal(now),
         // The request named no version, so another process answers at this address. It refuses at
         // once and therefore looks idle; unless it is dropped here, it would attract further
         // requests until its row expires.
--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -128,16 +128,16 @@
 
 /// Measures the time until a response starts, also if the attempt is abandoned.
 struct LatencyTimer<'a> {
-    cell: &'a EndpointTracker,
+    tracker: &'a EndpointTracker,
     started_at: Timestamp,
     answered: bool,
 }
 
 impl<'a> LatencyTimer<'a> {
-    fn start(cell: &'a EndpointTracker) -> Self {
+    fn start(tracker: &'a EndpointTracker) -> Self {
         let started_at = Timestamp::now();
-        cell.record_sent(started_at);
-        Self { cell, started_at, answered: false }
+        tracker.record_sent(started_at);
+        Self { tracker, started_at, answered: false }
     }
 }
 
@@ -145,7 +145,7 @@
     fn drop(&mut self) {
         let now = Timestamp::now();
         let delay_ms = now.since(self.started_at).as_millis() as u64;
-        self.cell.record_delay(delay_ms, self.answered, now);
+        self.tracker.record_delay(delay_ms, self.answered, now);
     }
 }
 
@@ -154,11 +154,11 @@
     shared: &EntryShared,
     path: EndpointPath,
     sent: DispatchedRequest<'_>,
-    cell: &EndpointTracker,
+    tracker: &EndpointTracker,
     start_by: Option<Deadline>,
 ) -> Result<ResponseHead, AttemptFailure> {
-    let mut timer = LatencyTimer::start(cell);
-    let starting = send_and_await_start(shared, path, &sent, cell);
+    let mut timer = LatencyTimer::start(tracker);
+    let starting = send_and_await_start(shared, path, &sent, tracker);
     let response = match start_by.filter(|_| sent.head.repeat == Repeatability::Idempotent) {
         // The request may wait in the engine's queue until the engine's version is no longer
         // allowed to respond. It is withdrawn before that, while other endpoints can still serve
@@ -180,7 +180,7 @@
     shared: &EntryShared,
     path: EndpointPath,
     sent: &DispatchedRequest<'_>,
-    cell: &EndpointTracker,
+    tracker: &EndpointTracker,
 ) -> Result<ResponseHead, AttemptFailure> {
     let mut response = match (path, &shared.routed) {
         (EndpointPath::Agent, _) => {
@@ -189,7 +189,7 @@
         }
         (EndpointPath::Direct(addr), Some(routed)) => {
             let target = DirectTarget { instance: sent.instance, addr };
-            dispatch_direct(routed, target, sent, cell).await?
+            dispatch_direct(routed, target, sent, tracker).await?
         }
         // Direct paths come only from the platform's list, which is not read in this mode.
         (EndpointPath::Direct(_), None) => {
@@ -206,7 +206,7 @@
     routed: &RoutedState,
     target: DirectTarget<'_>,
     sent: &DispatchedRequest<'_>,
-    cell: &EndpointTracker,
+    tracker: &EndpointTracker,
 ) -> Result<ResponseHead, AttemptFailure> {
     let head = sent.head;
     let leg = ForwardMetadata {
@@ -221,7 +221,7 @@
     let (fields, body) = (&sent.request.fields, &sent.request.body);
     let answer = routed.direct.send(target, head, fields, body, &leg).await?;
     if let Some(load) = answer.marks.load {
-        cell.apply_report(&load_report(load), cell.hard_limit());
+        tracker.apply_report(&load_report(load), tracker.hard_limit());
     }
     Ok(ResponseHead {
         status: answer.parts.status.as_u16(),
--- a/crates/entry/src/caller/identify.rs
+++ b/crates/entry/src/caller/identify.rs
@@ -54,7 +54,7 @@
     /// Id of the last event that the caller has received.
     pub(crate) last_event: Option<u64>,
     /// Whether this appears to be the caller's first attempt.
-    pub(crate) turn: AdmitTier,
+    pub(crate) tier: AdmitTier,
 }
 
 /// Format in which a response is sent to the caller.
@@ -156,7 +156,7 @@
         max_attempts: settings.max_attempts,
         form: ResponseForm::WithOutcome,
         last_event: None,
-        turn: AdmitTier::Fresh,
+        tier: AdmitTier::Fresh,
     })
 }
 
--- a/crates/entry/src/caller/routed.rs
+++ b/crates/entry/src/caller/routed.rs
@@ -182,7 +182,8 @@
         .map_err(|_| CallerRefusal::UnknownKey)?
         .cloned();
     let head = request_head(&parts, &caller, rule, workspace.as_ref(), now)?;
-    let is_first = caller.timeout.is_none_or(|patience| routed.is_first_try(&rule.name, patience));
+    let is_first =
+        caller.timeout.is_none_or(|caller_timeout| routed.is_first_try(&rule.name, caller_timeout));
     let limits = index.table().limits;
     let span = Duration::from_millis(shared.settings.limits.body_ms)
         .min(head.deadline.remaining(Timestamp::now()));
@@ -200,7 +201,7 @@
             RouteKind::Stream | RouteKind::ResumableStream => ResponseForm::Events,
         },
         last_event: caller.last_event,
-        turn: if is_first { AdmitTier::Fresh } else { AdmitTier::Returned },
+        tier: if is_first { AdmitTier::Fresh } else { AdmitTier::Returned },
     })
 }
 
@@ -226,7 +227,8 @@
     };
     let service = pick_service(rule, rand::rng().random()).ok_or(CallerRefusal::NoRoute)?;
     let timeout = Duration::from_millis(rule.timeout_ms);
-    let patience = caller.timeout.map_or(timeout, |patience| patience.min(timeout));
+    let caller_timeout =
+        caller.timeout.map_or(timeout, |caller_timeout| caller_timeout.min(timeout));
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     Ok(RequestHead {
         id: caller.id.clone(),
@@ -238,7 +240,7 @@
             RouteKind::AtMostOnce | RouteKind::Stream => Repeatability::AtMostOnce,
         },
         key: None,
-        deadline: now.deadline_after(patience),
+        deadline: now.deadline_after(caller_timeout),
         method: parts.method.to_string(),
         path: path.to_owned(),
         content_type: None,
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -95,11 +95,11 @@
     let OverlayState { store, crashes, links, .. } = &mut *state;
     let mut max_items = 0;
     for link in links {
-        let (records, reports, mut mark) = store.state_since(link.mark, link.number);
+        let (records, reports, mut cursor) = store.state_since(link.cursor, link.number);
         let loads_are_due = link.loads_at.is_past(now);
-        let (rows, crash_mark) = crashes.rows_since(link.crash_mark, link.number, now);
-        let (limits, limit_mark) =
-            routed.limits.book().rows_since(link.limit_mark, link.number, now);
+        let (rows, crash_cursor) = crashes.rows_since(link.crash_cursor, link.number, now);
+        let (limits, limit_cursor) =
+            routed.limits.rate_limits().rows_since(link.limit_cursor, link.number, now);
         max_items = max_items.max(records.len() + reports.len());
         if records.is_empty()
             && reports.is_empty()
@@ -107,26 +107,26 @@
             && limits.is_empty()
             && !loads_are_due
         {
-            link.mark = mark;
-            link.crash_mark = crash_mark;
-            link.limit_mark = limit_mark;
+            link.cursor = cursor;
+            link.crash_cursor = crash_cursor;
+            link.limit_cursor = limit_cursor;
             continue;
         }
-        let mut news =
+        let mut delta =
             GossipDelta { revision, records, reports, loads: Vec::new(), crashes: rows, limits };
         let mut loads_at = link.loads_at;
         if loads_are_due {
-            (news.loads, mark) = store.loads_since(mark, link.number, now);
+            (delta.loads, cursor) = store.loads_since(cursor, link.number, now);
             let is_in_other_region =
                 is_in_other_region(store, &link.instance, &shared.settings.place.region);
             let span = if is_in_other_region { REMOTE_LOAD_INTERVAL } else { LOCAL_LOAD_INTERVAL };
             loads_at = now.deadline_after(span);
         }
         // If the queue is full, the items are sent with the next message.
-        if let Ok(true) = link.sender.try_send(ControlMessage::Gossip(Box::new(news))) {
-            link.mark = mark;
-            link.crash_mark = crash_mark;
-            link.limit_mark = limit_mark;
+        if let Ok(true) = link.sender.try_send(ControlMessage::Gossip(Box::new(delta))) {
+            link.cursor = cursor;
+            link.crash_cursor = crash_cursor;
+            link.limit_cursor = limit_cursor;
             link.loads_at = loads_at;
         }
     }
@@ -194,13 +194,13 @@
     shared: &Arc<EntryShared>,
     routed: &Arc<RoutedState>,
     source: LinkId,
-    news: GossipDelta,
+    delta: GossipDelta,
 ) {
     let own = &shared.settings.place.instance;
     let now = Timestamp::now();
     let mut state = routed.overlay.lock();
     let mut membership_changed = false;
-    for record in news.records.into_iter().filter(|record| record.instance != *own) {
+    for record in delta.records.into_iter().filter(|record| record.instance != *own) {
         let place = (record.inner_addr, Some(record.region.clone()));
         if state.store.merge_record(record, Some(source), now) {
             state.add_known_entries(std::iter::once(place));
@@ -208,7 +208,7 @@
         }
     }
     let mut reports = Vec::new();
-    for report in news.reports {
+    for report in delta.reports {
         if state.store.merge_report(report.clone(), Some(source), now) {
             reports.push(report);
         }
@@ -216,13 +216,13 @@
     let is_in_other_region = state.is_in_other_region(source, &shared.settings.place.region);
     let tolerance_ms =
         if is_in_other_region { REMOTE_AGE_TOLERANCE_MS } else { LOCAL_AGE_TOLERANCE_MS };
-    let mut loads = news.loads;
+    let mut loads = delta.loads;
     loads.retain(|row| state.store.merge_load(*row, tolerance_ms, Some(source), now));
-    let mut crashes = news.crashes;
+    let mut crashes = delta.crashes;
     crashes.retain(|row| state.crashes.record(*row, Some(source), now));
     routed.crashes.apply_rows(&state.crashes, &crashes, Some(source));
     drop(state);
-    let mut limits = news.limits;
+    let mut limits = delta.limits;
     limits.retain(|row| routed.limits.merge_row(*row, source, now));
     let has_updates = !reports.is_empty() || !crashes.is_empty() || !limits.is_empty();
     if membership_changed || has_updates {
@@ -257,10 +257,10 @@
 fn apply_loads(routed: &RoutedState, rows: &[LoadRecord], now: Timestamp) {
     let counters = routed.counters_by_agent.load();
     for row in rows {
-        if let Some(cell) = counters.get(&row.instance_hash) {
+        if let Some(tracker) = counters.get(&row.instance_hash) {
             let measured_at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
             let load = LoadReport { in_flight: row.load, queued: 0, measured_at };
-            cell.apply_report(&load, cell.hard_limit());
+            tracker.apply_report(&load, tracker.hard_limit());
         }
     }
 }
@@ -309,7 +309,7 @@
     let now = Timestamp::now();
     let state = routed.overlay.lock();
     let present = state.present(own);
-    routed.set_row_duty(feed_role(own, &present));
+    routed.set_feed_role(feed_role(own, &present));
     let others = present.iter().filter(|record| record.instance != *own);
     let connected = shared.links.load();
     let attached = others.clone().flat_map(|record| record.agents.iter());
--- a/crates/entry/src/control/links.rs
+++ b/crates/entry/src/control/links.rs
@@ -224,9 +224,9 @@
     message: ControlMessage,
 ) {
     match message {
-        ControlMessage::Gossip(news) => {
-            let revision = news.revision;
-            gossip::merge_gossip(shared, routed, number, *news);
+        ControlMessage::Gossip(delta) => {
+            let revision = delta.revision;
+            gossip::merge_gossip(shared, routed, number, *delta);
             peers::pull_if_newer(shared, routed, sender, &other.instance, revision);
         }
         ControlMessage::Flood(message) => {
--- a/crates/entry/src/control/listing.rs
+++ b/crates/entry/src/control/listing.rs
@@ -77,12 +77,12 @@
     base: u64,
     asked_at: Timestamp,
 ) {
-    let news = ListingUpdate { rows: page.rows, base, position: page.position, asked_at };
+    let update = ListingUpdate { rows: page.rows, base, position: page.position, asked_at };
     let now = Timestamp::now();
     let mut listing = routed.listing();
     let is_first = listing.position() == 0;
     let before: Vec<_> = listing.endpoints().cloned().collect();
-    let to_send = listing.apply_read(news, now);
+    let to_send = listing.apply_read(update, now);
     let changed = !listing.endpoints().eq(before.iter());
     drop(listing);
     // The first read of a process is new only to itself: the others have their own first read or
@@ -97,17 +97,17 @@
 }
 
 /// Sends changes to the other entries, without rows that only repeat a heartbeat.
-fn send_changes(shared: &EntryShared, news: ListingUpdate, before: &[ListedEndpoint]) {
-    let is_news = |row: &ListedRow| match &row.endpoint {
+fn send_changes(shared: &EntryShared, update: ListingUpdate, before: &[ListedEndpoint]) {
+    let is_change = |row: &ListedRow| match &row.endpoint {
         Some(endpoint) => !before.contains(endpoint),
         None => true,
     };
-    let rows = news.rows.into_iter().filter(|row| news.base == 0 || is_news(row)).collect();
+    let rows = update.rows.into_iter().filter(|row| update.base == 0 || is_change(row)).collect();
     let message = ControlMessage::Listing {
         rows,
-        base: news.base,
-        position: news.position,
-        age_ms: Timestamp::now().since(news.asked_at).as_millis() as u64,
+        base: update.base,
+        position: update.position,
+        age_ms: Timestamp::now().since(update.asked_at).as_millis() as u64,
     };
     peers::send_to_peers(shared, &message);
 }
@@ -129,11 +129,11 @@
     shared: &EntryShared,
     routed: &RoutedState,
     sender: &WireSender,
-    news: ListingUpdate,
+    update: ListingUpdate,
 ) {
     let mut listing = routed.listing();
     let before: Vec<_> = listing.endpoints().cloned().collect();
-    let is_known = listing.apply_update(&news);
+    let is_known = listing.apply_update(&update);
     let changed = !listing.endpoints().eq(before.iter());
     drop(listing);
     if !is_known {
--- a/crates/entry/src/control/manifests.rs
+++ b/crates/entry/src/control/manifests.rs
@@ -54,10 +54,10 @@
                 Timer::after(ORIGIN_CHECK_INTERVAL).await;
             }
             SearchStep::Origin => {
-                let asked_at = Timestamp::now();
+                let requested_at = Timestamp::now();
                 match read_twice(shared, version).await {
                     Some(manifest) => publish_pinned(shared, routed, version, manifest),
-                    None => search.origin_failed(asked_at, None, peers.len(), Timestamp::now()),
+                    None => search.origin_failed(requested_at, None, peers.len(), Timestamp::now()),
                 }
             }
             // Other entries send manifests that they have pinned without a request.
--- a/crates/entry/src/control/peers.rs
+++ b/crates/entry/src/control/peers.rs
@@ -173,8 +173,8 @@
         ControlMessage::Manifest(manifest) => routed.manifests.insert(manifest),
         ControlMessage::Listing { rows, base, position, age_ms } => {
             let asked_at = Timestamp(Timestamp::now().0.saturating_sub(age_ms));
-            let news = ListingUpdate { rows, base, position, asked_at };
-            listing::handle_listing(shared, routed, sender, news);
+            let update = ListingUpdate { rows, base, position, asked_at };
+            listing::handle_listing(shared, routed, sender, update);
         }
         ControlMessage::ListingWanted => listing::send_listing(routed, sender),
         ControlMessage::Orders(orders) => orders::forward_orders(shared, orders),
--- a/crates/entry/src/control/pull.rs
+++ b/crates/entry/src/control/pull.rs
@@ -25,13 +25,13 @@
     failure_domain: &FailureDomain,
     revision: PresetRevision,
 ) {
-    let told = PeerRevision {
+    let announced = PeerRevision {
         instance: instance.clone(),
         revision,
         is_near: routed.settings.near_domains.contains(failure_domain),
         handle: sender.clone(),
     };
-    let begins = routed.pull().observe(told, shared.known_revision(), Timestamp::now());
+    let begins = routed.pull().observe(announced, shared.known_revision(), Timestamp::now());
     if begins {
         spawn(pull_preset(shared.clone(), routed.clone())).detach();
     }
--- a/crates/entry/src/counters.rs
+++ b/crates/entry/src/counters.rs
@@ -1,4 +1,4 @@
-//! Request counters of endpoints and services that outlive the route snapshots referring to them.
+//! Trackers of endpoints and request counts of services that outlive the route snapshots referring to them.
 
 use std::{
     collections::HashMap,
@@ -8,7 +8,7 @@
 use cassiawheel_decide::{EndpointTracker, RestartDetector};
 use cassiawheel_model::{InstanceId, ServiceName};
 
-/// Counters of all endpoints and services.
+/// Trackers of all endpoints and request counts of all services.
 #[derive(Debug, Default)]
 pub(crate) struct CounterRegistry {
     endpoints: HashMap<InstanceId, Arc<EndpointTracker>>,
@@ -18,12 +18,12 @@
 }
 
 impl CounterRegistry {
-    /// Returns the counters of an endpoint.
+    /// Returns the tracker of an endpoint.
     pub(crate) fn endpoint(&mut self, instance: &InstanceId) -> Arc<EndpointTracker> {
         self.endpoints.entry(instance.clone()).or_default().clone()
     }
 
-    /// Resets the counters of an endpoint.
+    /// Discards the tracker of an endpoint.
     pub(crate) fn reset(&mut self, instance: &InstanceId) {
         self.endpoints.remove(instance);
     }
@@ -33,8 +33,8 @@
         self.services.entry(service.clone()).or_default().clone()
     }
 
-    /// Drops counters of endpoints that neither a snapshot nor a request refers to.
+    /// Drops trackers of endpoints that neither a snapshot nor a request refers to.
     pub(crate) fn drop_unused(&mut self) {
-        self.endpoints.retain(|_, cell| Arc::strong_count(cell) > 1);
+        self.endpoints.retain(|_, tracker| Arc::strong_count(tracker) > 1);
     }
 }
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -14,8 +14,8 @@
 use cassiawheel_model::{CrashEvent, CrashRecord, InstanceId, RequestDigest};
 use smol::channel::{Receiver, Sender, bounded};
 
-/// Verdicts on requests, and the runs of suspect requests at this entry.
-pub(crate) struct CrashGuard {
+/// Lock-free copy of the verdicts on requests, and the runs of suspect requests at this entry.
+pub(crate) struct VerdictCache {
     verdicts: ArcSwap<HashMap<RequestDigest, CrashVerdict>>,
     running: Mutex<HashSet<RequestDigest>>,
     own_barred: (Sender<()>, Receiver<()>),
@@ -23,23 +23,23 @@
 
 /// The only run of a suspect request at this entry, until it is dropped.
 pub(crate) struct SuspectRun {
-    tracker: Arc<CrashGuard>,
+    cache: Arc<VerdictCache>,
     digest: RequestDigest,
 }
 
 impl Drop for SuspectRun {
     fn drop(&mut self) {
-        self.tracker.running().remove(&self.digest);
+        self.cache.running().remove(&self.digest);
     }
 }
 
-impl Default for CrashGuard {
+impl Default for VerdictCache {
     fn default() -> Self {
         Self { verdicts: ArcSwap::default(), running: Mutex::default(), own_barred: bounded(1) }
     }
 }
 
-impl CrashGuard {
+impl VerdictCache {
     /// Completes when a run at this entry caused a request to be barred (quarantined).
     pub(crate) async fn await_own_barred(&self) {
         let _ = self.own_barred.1.recv().await;
@@ -55,21 +55,21 @@
         self.verdicts.load().get(&digest).copied()
     }
 
-    /// Updates the verdicts from `book` after it was changed by `rows`.
+    /// Updates the verdicts from `tracker` after `rows` changed it.
     ///
     /// `source` is the link that the rows came from; none for rows from a run at this entry.
     pub(crate) fn apply_rows(
         &self,
-        book: &CrashTracker,
+        tracker: &CrashTracker,
         rows: &[CrashRecord],
         source: Option<LinkId>,
     ) {
         if rows.is_empty() {
             return;
         }
-        self.refresh(book);
+        self.refresh(tracker);
         for row in rows {
-            let verdict = book.verdict(row.digest);
+            let verdict = tracker.verdict(row.digest);
             log_row(row, verdict, source);
             if source.is_none() && matches!(verdict, CrashVerdict::Barred { .. }) {
                 let _ = self.own_barred.0.try_send(());
@@ -77,15 +77,15 @@
         }
     }
 
-    /// Replaces the verdicts with those of `book`.
-    pub(crate) fn refresh(&self, book: &CrashTracker) {
-        self.verdicts.store(Arc::new(book.verdicts()));
+    /// Replaces the verdicts with those of `tracker`.
+    pub(crate) fn refresh(&self, tracker: &CrashTracker) {
+        self.verdicts.store(Arc::new(tracker.verdicts()));
     }
 
     /// Starts a run of a suspect request; none while this entry has another run of it.
     pub(crate) fn begin_suspect_run(self: &Arc<Self>, digest: RequestDigest) -> Option<SuspectRun> {
         let begins = self.running().insert(digest);
-        begins.then(|| SuspectRun { tracker: self.clone(), digest })
+        begins.then(|| SuspectRun { cache: self.clone(), digest })
     }
 
     fn running(&self) -> MutexGuard<'_, HashSet<RequestDigest>> {
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -1,6 +1,6 @@
-//! Rate limits that endpoints state in their responses, and this entry's share of them.
+//! Rate limits that endpoints advertise in their responses, and this entry's share of them.
 //!
-//! `response → book → neighbours`, and `book, present entries → paces`
+//! `response → rate limits → neighbours`, and `rate limits, present entries → paces`
 
 use std::{
     collections::HashSet,
@@ -25,9 +25,9 @@
 /// Shortest time between two updates of the paces of all endpoints.
 const PACE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Tracks the rate limits that endpoints state.
+/// Tracks the rate limits that endpoints advertise.
 pub(crate) struct LimitTracker {
-    book: Mutex<RateLimits>,
+    rate_limits: Mutex<RateLimits>,
     has_limits: AtomicBool,
     /// Time at which the paces were last updated, in milliseconds.
     paced_at: AtomicU64,
@@ -39,7 +39,7 @@
     /// Creates a tracker without limits; `waker` wakes the task that sends changes to neighbours.
     pub(crate) fn new(waker: Sender<()>) -> Self {
         Self {
-            book: Mutex::default(),
+            rate_limits: Mutex::default(),
             has_limits: AtomicBool::new(false),
             paced_at: AtomicU64::new(0),
             waker,
@@ -52,25 +52,26 @@
         let _ = self.waker.try_send(());
     }
 
-    /// Locks the book of stated limits.
-    pub(crate) fn book(&self) -> MutexGuard<'_, RateLimits> {
-        self.book.lock().unwrap_or_else(|poison| poison.into_inner())
+    /// Locks the advertised rate limits.
+    pub(crate) fn rate_limits(&self) -> MutexGuard<'_, RateLimits> {
+        self.rate_limits.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// Records the limit stated in a response of `instance`, or that it states none.
+    /// Records the limit advertised in a response of `instance`, or that there is none.
     pub(crate) fn observe(&self, instance: &InstanceId, limit: Option<NamedLimit>) {
         if limit.is_none() && !self.has_limits.load(Ordering::Relaxed) {
             return;
         }
-        let is_new = self.book().observe(subject_of(instance.as_str()), limit, Timestamp::now());
+        let is_new =
+            self.rate_limits().observe(subject_of(instance.as_str()), limit, Timestamp::now());
         if is_new {
             self.notify_change();
             match limit {
                 Some(limit) => {
-                    log::info!(target: "limit", endpoint:% = instance, rate = limit.rate(); "An endpoint states a rate limit.");
+                    log::info!(target: "limit", endpoint:% = instance, rate = limit.rate(); "An endpoint advertises a rate limit.");
                 }
                 None => {
-                    log::info!(target: "limit", endpoint:% = instance; "An endpoint no longer states a rate limit.");
+                    log::info!(target: "limit", endpoint:% = instance; "An endpoint no longer advertises a rate limit.");
                 }
             }
         }
@@ -78,11 +79,11 @@
 
     /// Merges a row from a neighbour; true if it is newer than the known one.
     pub(crate) fn merge_row(&self, row: LimitRecord, source: u64, now: Timestamp) -> bool {
-        let mut book = self.book();
-        let before = book.advertised_count();
-        let is_new = book.merge(row, source, now);
-        let named = book.advertised_count();
-        drop(book);
+        let mut rate_limits = self.rate_limits();
+        let before = rate_limits.advertised_count();
+        let is_new = rate_limits.merge(row, source, now);
+        let named = rate_limits.advertised_count();
+        drop(rate_limits);
         if is_new {
             self.notify_change();
         }
@@ -93,7 +94,7 @@
     }
 }
 
-/// Updates the pace of each endpoint that states a limit or recently did.
+/// Updates the pace of each endpoint that advertises a limit or recently did.
 pub(crate) fn update_paces(shared: &EntryShared, routed: &RoutedState, now: Timestamp) {
     let limits = &routed.limits;
     let update_at =
@@ -107,12 +108,12 @@
     let present = state.present(own);
     let present: Vec<_> = present.into_iter().filter(|record| !record.leaving).collect();
     let listing = routed.listing();
-    let book = limits.book();
+    let rate_limits = limits.rate_limits();
     let routes = shared.routes.load();
     let mut is_change = false;
     for candidate in routes.candidates() {
         let subject = subject_of(candidate.instance.as_str());
-        if !book.contains(subject) {
+        if !rate_limits.contains(subject) {
             is_change |= candidate.tracker.is_paced();
             candidate.tracker.set_pace(None, now);
             continue;
@@ -120,12 +121,12 @@
         let listed = listing.endpoints().find(|listed| listed.instance == candidate.instance);
         let domain = listed.map(|listed| &listed.failure_domain);
         let place = holder_place(subject, domain, own, &present);
-        let pace = book.pace(subject, place, now);
+        let pace = rate_limits.pace(subject, place, now);
         is_change |= pace.is_some() != candidate.tracker.is_paced();
         candidate.tracker.set_pace(pace, now);
     }
-    shared.metrics.limited.set(book.advertised_count() as i64);
-    drop((book, listing, state));
+    shared.metrics.limited.set(rate_limits.advertised_count() as i64);
+    drop((rate_limits, listing, state));
     if is_change {
         shared.rebuild_routes();
     }
@@ -140,9 +141,9 @@
     let listed = listing.endpoints().map(|listed| subject_of(listed.instance.as_str()));
     let listed: HashSet<_> = listed.collect();
     drop(listing);
-    let mut book = routed.limits.book();
-    book.expire(|endpoint| listed.contains(&endpoint), now);
-    routed.limits.has_limits.store(!book.is_empty(), Ordering::Relaxed);
+    let mut rate_limits = routed.limits.rate_limits();
+    rate_limits.expire(|endpoint| listed.contains(&endpoint), now);
+    routed.limits.has_limits.store(!rate_limits.is_empty(), Ordering::Relaxed);
 }
 
 /// Place of the entry `own` among the entries that may use the limit of an endpoint in `domain`.
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -10,7 +10,7 @@
     pub(crate) attempts: IntCounter,
     /// Requests refused because endpoints crashed while running the same request.
     pub(crate) quarantined: IntCounter,
-    /// Number of endpoints that state a rate limit.
+    /// Number of endpoints that advertise a rate limit.
     pub(crate) limited: IntGauge,
     /// Number of requests in progress.
     pub(crate) in_flight: IntGauge,
--- a/crates/entry/src/overlay.rs
+++ b/crates/entry/src/overlay.rs
@@ -55,13 +55,13 @@
     /// Address that was dialled, if this end opened the link.
     pub(crate) dialled: Option<SocketAddr>,
     /// Position up to which state was sent to the other end.
-    pub(crate) mark: LinkCursor,
+    pub(crate) cursor: LinkCursor,
     /// When the next message with loads is due.
     pub(crate) loads_at: Deadline,
     /// Change number up to which crash rows were sent to the other end.
-    pub(crate) crash_mark: u64,
+    pub(crate) crash_cursor: u64,
     /// Change number up to which rate limits were sent to the other end.
-    pub(crate) limit_mark: u64,
+    pub(crate) limit_cursor: u64,
 }
 
 impl Default for Overlay {
@@ -147,17 +147,17 @@
     ) -> LinkId {
         self.link_number += 1;
         let number = self.link_number;
-        let (mark, loads_at) = (LinkCursor::default(), Deadline(0));
-        let (crash_mark, limit_mark) = (0, 0);
+        let (cursor, loads_at) = (LinkCursor::default(), Deadline(0));
+        let (crash_cursor, limit_cursor) = (0, 0);
         let link = OverlayLink {
             number,
             sender,
             instance,
             dialled,
-            mark,
+            cursor,
             loads_at,
-            crash_mark,
-            limit_mark,
+            crash_cursor,
+            limit_cursor,
         };
         self.links.push(link);
         number
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -27,7 +27,7 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 use crate::{
-    control::manifest_cache::ManifestCache, crashes::CrashGuard, direct::DirectClient,
+    control::manifest_cache::ManifestCache, crashes::VerdictCache, direct::DirectClient,
     limits::LimitTracker, overlay::Overlay,
 };
 
@@ -80,15 +80,15 @@
     pull: Mutex<PresetPull<WireSender>>,
     /// Links to other entries.
     pub(crate) overlay: Overlay,
-    /// Rate limits that endpoints state.
+    /// Rate limits that endpoints advertise.
     pub(crate) limits: Arc<LimitTracker>,
     /// Verdicts on requests during which endpoints have crashed.
-    pub(crate) crashes: Arc<CrashGuard>,
+    pub(crate) crashes: Arc<VerdictCache>,
     /// Load counters of endpoints by the hash of their agent's instance; read without a lock.
     pub(crate) counters_by_agent: ArcSwap<HashMap<u64, Arc<EndpointTracker>>>,
     budgets: ArcSwap<HashMap<ServiceName, Arc<RetryBudget>>>,
     /// Longest caller timeout seen on each route, in milliseconds.
-    patience: ArcSwap<HashMap<String, Arc<AtomicU64>>>,
+    caller_timeouts: ArcSwap<HashMap<String, Arc<AtomicU64>>>,
 }
 
 /// Fraction of a route's longest caller timeout below which a request counts as a retry.
@@ -134,7 +134,7 @@
             crashes: Arc::default(),
             counters_by_agent: ArcSwap::default(),
             budgets: ArcSwap::default(),
-            patience: ArcSwap::default(),
+            caller_timeouts: ArcSwap::default(),
         }
     }
 
@@ -154,8 +154,8 @@
     }
 
     /// Sets whether this entry follows, probes or ignores the operators' rows.
-    pub(crate) fn set_row_duty(&self, duty: FeedRole) {
-        *self.feed_role.lock().unwrap_or_else(|poison| poison.into_inner()) = duty;
+    pub(crate) fn set_feed_role(&self, role: FeedRole) {
+        *self.feed_role.lock().unwrap_or_else(|poison| poison.into_inner()) = role;
     }
 
     /// Replaces the routes and keys with those of a newly activated preset.
@@ -164,16 +164,18 @@
         self.index.store(table.map(|table| Arc::new(CallerIndex::new(table))));
     }
 
-    /// Whether a request with the caller timeout `patience` is a first try rather than a retry.
-    pub(crate) fn is_first_try(&self, route: &str, patience: Duration) -> bool {
-        let patience = patience.as_millis() as u64;
-        if let Some(longest) = self.patience.load().get(route) {
-            let longest = longest.fetch_max(patience, Ordering::Relaxed).max(patience);
-            return patience as f64 >= longest as f64 * FIRST_TRY_FRACTION;
+    /// Whether a request with the caller timeout `caller_timeout` is a first try rather than a retry.
+    pub(crate) fn is_first_try(&self, route: &str, caller_timeout: Duration) -> bool {
+        let caller_timeout = caller_timeout.as_millis() as u64;
+        if let Some(longest) = self.caller_timeouts.load().get(route) {
+            let longest = longest.fetch_max(caller_timeout, Ordering::Relaxed).max(caller_timeout);
+            return caller_timeout as f64 >= longest as f64 * FIRST_TRY_FRACTION;
         }
-        self.patience.rcu(|known| {
+        self.caller_timeouts.rcu(|known| {
             let mut known = HashMap::clone(known);
-            known.entry(route.to_owned()).or_insert_with(|| Arc::new(AtomicU64::new(patience)));
+            known
+                .entry(route.to_owned())
+                .or_insert_with(|| Arc::new(AtomicU64::new(caller_timeout)));
             known
         });
         true
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -380,8 +380,8 @@
             return;
         };
         drop((listing, roster));
-        let cell = self.counters().endpoint(&instance);
-        cell.apply_report(&load, cell.hard_limit());
+        let tracker = self.counters().endpoint(&instance);
+        tracker.apply_report(&load, tracker.hard_limit());
     }
 
     /// Removes an endpoint from the list because another process answers at its address.
