--- a/crates/decide/src/select.rs
+++ b/crates/decide/src/select.rs
@@ -56,7 +56,7 @@
     scarce: ChunkBits,
     owners: ChunkOwners,
     imports: ChunkImports,
-    origin_schedule: OriginSchedule,
+    schedule: OriginSchedule,
     origin: SourceBackoff,
     extra_fetches: usize,
     /// Chunks that the origin has delivered to any agent as their first copy.
@@ -91,7 +91,7 @@
         Self {
             owners: ChunkOwners::new(settings.instance.as_str(), chunks, settings.in_origin_region),
             imports: ChunkImports::new(settings.instance.as_str(), chunks),
-            origin_schedule: OriginSchedule::new(settings.origin_chunk_ms, chunks, now),
+            schedule: OriginSchedule::new(settings.origin_chunk_ms, chunks, now),
             settings,
             wanted: ChunkBits::full(chunks),
             held: ChunkBits::empty(chunks),
--- a/crates/decide/src/select/origin_fetches.rs
+++ b/crates/decide/src/select/origin_fetches.rs
@@ -63,7 +63,7 @@
         }
         let owned =
             available.iter_common(&self.wanted).filter(|index| match self.owners.owner(*index) {
-                OWN_SLOT => self.origin_schedule.due_at(*index).is_past(now),
+                OWN_SLOT => self.schedule.due(*index).is_past(now),
                 _ => self.is_overdue(*index, now),
             });
         choose_least(owned.map(|index| (index, 0)), rng)
--- a/crates/decide/src/select/origin_schedule.rs
+++ b/crates/decide/src/select/origin_schedule.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns when a chunk is due.
-    pub(super) fn due_at(&self, index: usize) -> Deadline {
+    pub(super) fn due(&self, index: usize) -> Deadline {
         Deadline(self.started_at.0 + (f64::from(self.preceding[index]) * self.chunk_ms) as u64)
     }
 
--- a/crates/decide/src/select/owners.rs
+++ b/crates/decide/src/select/owners.rs
@@ -91,13 +91,14 @@
     /// Returns the number of active agents that precede `slot` for a chunk.
     pub(super) fn rank(&self, slot: AgentSlot, index: usize) -> usize {
         let others = (0..self.candidates.len()).filter(|other| *other != slot);
-        let active = others.filter(|other| self.candidates[*other].is_active);
-        active.filter(|other| self.ranks_before(*other, slot, index)).count()
+        let active_slots = others.filter(|other| self.candidates[*other].is_active);
+        active_slots.filter(|other| self.ranks_before(*other, slot, index)).count()
     }
 
     fn first_ranked(&self, index: usize) -> AgentSlot {
-        let active = (0..self.candidates.len()).filter(|slot| self.candidates[*slot].is_active);
-        let first = active
+        let active_slots =
+            (0..self.candidates.len()).filter(|slot| self.candidates[*slot].is_active);
+        let first = active_slots
             .reduce(|first, slot| if self.ranks_before(slot, first, index) { slot } else { first });
         first.unwrap_or(OWN_SLOT)
     }
--- a/crates/decide/src/select/ownership.rs
+++ b/crates/decide/src/select/ownership.rs
@@ -43,24 +43,19 @@
     /// timeout. Without this rule all agents would wait for the same few chunks until then.
     pub(super) fn is_overdue(&self, index: usize, now: Timestamp) -> bool {
         // An agent that the origin does not serve cannot replace an owner.
-        if !self.origin_schedule.is_known()
-            || self.origin.is_failing()
-            || !self.origin_keeps_up(now)
-        {
+        if !self.schedule.is_known() || self.origin.is_failing() || !self.origin_keeps_up(now) {
             return false;
         }
         let before = self.owners.rank(OWN_SLOT, index).saturating_sub(1) as u64;
         let wait_ms = OVERDUE_MS + OVERDUE_STEP_MS * before;
-        Deadline(self.origin_schedule.due_at(index).0 + wait_ms).is_past(now)
+        Deadline(self.schedule.due(index).0 + wait_ms).is_past(now)
     }
 
     /// Whether most due chunks have been delivered. If not, the origin is slow or down, and
     /// more fetches would add to its load.
     fn origin_keeps_up(&self, now: Timestamp) -> bool {
-        let is_due = |index: &usize| {
-            Deadline(self.origin_schedule.due_at(*index).0 + OVERDUE_MS).is_past(now)
-        };
-        let due: Vec<_> = (0..self.holders.len()).filter(is_due).collect();
+        let late = |index: &usize| Deadline(self.schedule.due(*index).0 + OVERDUE_MS).is_past(now);
+        let due: Vec<_> = (0..self.holders.len()).filter(late).collect();
         let missing = due.iter().filter(|index| self.unseeded.contains(**index)).count();
         missing * 2 <= due.len()
     }
@@ -120,7 +115,7 @@
     /// engine waits for the last chunks.
     pub(super) fn record_seed(&mut self, now: Timestamp) {
         if now.0.saturating_sub(self.progress_at.0) > OVERDUE_MS {
-            self.origin_schedule.restart(&self.unseeded, now);
+            self.schedule.restart(&self.unseeded, now);
             self.origin.recovered(now);
         }
         self.seeds += 1;
