--- a/crates/decide/src/select/owners.rs
+++ b/crates/decide/src/select/owners.rs
@@ -113,9 +113,7 @@
     fn ranks_before(&self, slot: AgentSlot, other: AgentSlot, index: usize) -> bool {
         let (own, other) = (&self.candidates[slot], &self.candidates[other]);
         let salt = self.chunk_salts[index];
-        let rank = |candidate: &OwnerCandidate| {
-            (candidate.is_preferred, salted_weight(salt, candidate.salt))
-        };
+        let rank = |agent: &OwnerCandidate| (agent.is_preferred, salted_weight(salt, agent.salt));
         (rank(own), &own.name) > (rank(other), &other.name)
     }
 }
