--- a/crates/decide/tests/change.rs
+++ b/crates/decide/tests/change.rs
@@ -1,4 +1,4 @@
-//! The steps of putting a preset in force, one answer of the table at a time.
+//! The state machine of a change, one response of the table service at a time.
 
 use std::sync::Arc;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Brings a writer to its first write; the table shows `stored` in force.
+/// Advances a writer to its first write, with `stored` in force in the table.
 fn to_write(request: ChangeRequest, stored: u64) -> (ChangeWriter, Arc<ForcedPreset>) {
     let (mut writer, step) = ChangeWriter::start(request);
     assert!(matches!(step, ChangeStep::FindRecord));
@@ -48,16 +48,16 @@
     (writer, preset)
 }
 
-/// The table was set back to an earlier state. A revision that processes have
-/// seen before would be ignored by them, and the operator would wait in vain.
+/// Guards against reusing a revision that processes have already seen, after the table was
+/// restored to an earlier state. They would ignore it, and the change would never take effect.
 #[test]
 fn a_change_after_a_table_was_set_back_lies_above_all_that_is_known() {
     let (_, preset) = to_write(request(true, 9), 4);
     assert_eq!(preset.revision, PresetRevision(10));
 }
 
-/// Another operator came first. While an earlier try of the id may be on its
-/// way, the refusal has to be recorded before it is told.
+/// After losing to another change, the refusal has to be recorded before it is reported if
+/// an earlier write with the same id may still be in flight.
 #[rstest]
 #[case(true)]
 #[case(false)]
@@ -78,8 +78,8 @@
     }
 }
 
-/// The answer to a write is lost and the write is found to have taken effect.
-/// The operator hears "accepted", as if nothing had been lost.
+/// If the response to a write is lost but its record exists, the change is reported as
+/// accepted.
 #[test]
 fn a_lost_answer_is_found_by_its_record() {
     let (mut writer, preset) = to_write(request(true, 4), 4);
@@ -93,8 +93,8 @@
     assert_eq!(verdict, ChangeOutcome::Accepted(preset));
 }
 
-/// An operator asks again while the table is down. The ask wrote nothing, but
-/// an earlier one may have, so "not accepted" could be false.
+/// Guards against a wrong "not accepted" for a repeated change while the table is down: this
+/// attempt wrote nothing, but an earlier one may have.
 #[rstest]
 #[case(true)]
 #[case(false)]
@@ -108,8 +108,7 @@
     }
 }
 
-/// An id is used again for another preset. Saying "accepted" would make the
-/// operator believe that this preset is in force.
+/// Guards against reporting "accepted" for an id that was used for another preset.
 #[test]
 fn an_id_names_one_change() {
     let (mut writer, _) = ChangeWriter::start(request(false, 4));
--- a/crates/decide/tests/claim_interleavings.rs
+++ b/crates/decide/tests/claim_interleavings.rs
@@ -1,9 +1,9 @@
-//! Attempts with one key, in every order that a scheduler draws.
+//! Concurrent attempts with one key under randomized thread schedules.
 //!
-//! Several agents are asked to run the same keyed request, each on a thread of its
-//! own. Writes to the table may be lost before or after their effect, or take
-//! effect long after their sender has gone on; attempts may be cancelled at any
-//! moment. The threads take their steps as the agent does.
+//! Several agents, each on its own thread, try to run the same keyed request. Writes to the
+//! table may be lost before or after they take effect, or take effect long after their
+//! sender has continued; attempts may be cancelled at any time. The threads perform the same
+//! steps as the agent.
 
 use cassiawheel_decide::claim::{
     ClaimGuard, ClaimRecord, ClaimReply, ClaimState, ClaimStep, ClaimTracker, RecordedAnswer,
@@ -23,25 +23,25 @@
 const ATTEMPTS: usize = 3;
 const SCHEDULES: usize = 4_000;
 
-/// Preemptions that are enough for the bugs that this test has met.
+/// Number of preemptions, enough for all bugs that this test has found so far.
 const PREEMPTIONS: usize = 4;
 
-/// Steps after which an attempt's time is over.
+/// Number of steps after which an attempt reaches its deadline.
 const PATIENCE_STEPS: usize = 6;
 
-/// Calls that the table may leave unanswered in one play.
+/// Limit of calls in one run to which the table does not respond.
 const LOST_CALLS: usize = 5;
 
-/// An agent that does one thing wrong, to show that the checks can fail.
+/// A bug injected into the agent to verify that the checks detect it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum AgentFault {
-    /// Runs without looking whether it was cancelled.
+    /// Runs without checking for cancellation.
     IgnoresCancel,
-    /// Gives up a claim that it certainly holds, without a release.
+    /// Abandons a claim that it holds without releasing it.
     KeepsCertainClaim,
-    /// Leaves a claim whose write was lost as it is.
+    /// Does not release a claim whose write was lost.
     NeverReleases,
-    /// Writes whatever the row says.
+    /// Writes without a precondition.
     IgnoresGuard,
 }
 
@@ -55,15 +55,15 @@
     row: Mutex<ClaimRow>,
     lost: AtomicUsize,
     runs: AtomicUsize,
-    /// Runs of attempts whose callers were told that they do not run.
+    /// Runs of attempts that were reported as not run.
     cancelled_runs: AtomicUsize,
-    /// Writes that take effect after their sender has gone on.
+    /// Writes that take effect after their sender has continued.
     late: Mutex<Vec<thread::JoinHandle<()>>>,
     fault: Option<AgentFault>,
 }
 
 impl World {
-    /// Whether the table fails at this call.
+    /// Whether this call to the table fails.
     fn fails(&self) -> bool {
         let fails = thread_rng().gen_ratio(1, 4);
         fails && self.lost.fetch_add(1, Ordering::SeqCst) < LOST_CALLS
@@ -85,7 +85,7 @@
         view_of(&row)
     }
 
-    /// Writes; the effect or the answer may be lost, or the effect come late.
+    /// Writes a record; its effect or response may be lost, or the effect delayed.
     fn write(self: &Arc<Self>, record: &ClaimRecord, guard: ClaimGuard) -> ClaimReply {
         if !self.fails() {
             return self.apply(record, guard);
@@ -114,7 +114,7 @@
         view_of(&self.row.lock().expect("no thread panics"))
     }
 
-    /// Writes until the outcome of a held claim is known to stand.
+    /// Repeats the write of a held claim's outcome until it is confirmed.
     fn settle(self: &Arc<Self>, record: &ClaimRecord, revision: u64) {
         loop {
             match self.write(record, ClaimGuard::Revision(revision)) {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Sees to it that a write that may yet take effect stands in nobody's way.
+    /// Ensures that a write that may still take effect does not block other attempts.
     fn release(self: &Arc<Self>, tracker: &ClaimTracker) {
         let released = tracker.record_as(ClaimState::Released);
         let mut view = self.look();
@@ -208,7 +208,7 @@
     }
 }
 
-/// Plays the attempts once and checks what is left.
+/// Runs the attempts once and checks the resulting state.
 fn play(fault: Option<AgentFault>) {
     let world = Arc::new(World {
         row: Mutex::new(ClaimRow::default()),
@@ -223,7 +223,7 @@
             let cancelled = Arc::new(AtomicBool::new(false));
             let (world, latch) = (world.clone(), cancelled.clone());
             let attempt = thread::spawn(move || world.attempt(number, &latch));
-            // The first caller always hangs up, and the last one never does.
+            // The first caller always disconnects, and the last one never does.
             let hangs_up = number == 0 || number + 1 < ATTEMPTS && thread_rng().gen_bool(0.5);
             let cancel = hangs_up.then(|| {
                 thread::spawn(move || {
@@ -250,8 +250,8 @@
     assert!(!held, "the key is bound for ever to an attempt that has ended");
 }
 
-/// Whatever the order, the request runs once at most, a caller that was told that
-/// it does not run is told the truth, and the key is free or has its outcome.
+/// In every interleaving the request runs at most once, a "not run" report is true, and in
+/// the end the key is free or has a recorded outcome.
 #[test]
 fn a_key_runs_once_and_is_never_bound_for_ever() {
     shuttle::check_random(|| play(None), SCHEDULES);
--- a/crates/decide/tests/followed_rows.rs
+++ b/crates/decide/tests/followed_rows.rs
@@ -1,4 +1,4 @@
-//! The age of a version that a read of the operators' rows brings.
+//! The age of a version that a read of the operators' rows returns.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use cassiawheel_model::{AgeSource, Timestamp};
 use rstest::rstest;
 
-/// Guards against engines that all go out of service after an outage of the table service,
-/// since a version that was named meanwhile is taken for as old as the outage.
+/// Guards against all engines going out of service after an outage of the table service,
+/// because a version named meanwhile is assumed to be as old as the outage.
 #[rstest]
 #[case::waiting(Some(4), Some(10_000), false, 0, AgeSource::Observed)]
 #[case::after_an_outage(Some(4), Some(2_000), false, 0, AgeSource::Observed)]
--- a/crates/decide/tests/forecast.rs
+++ b/crates/decide/tests/forecast.rs
@@ -1,10 +1,10 @@
-//! The forecast against which operators hold `ready_by`.
+//! The forecast that is compared with `ready_by`.
 
 use cassiawheel_decide::forecast::{ProgressSample, forecast};
 use cassiawheel_model::{Deadline, Timestamp};
 
-/// A transfer goes on steadily, then it is done; one that has not begun gives
-/// no forecast, since an operator would take a made-up one for true.
+/// A steady transfer is extrapolated from its rate. A transfer without progress gives no
+/// forecast, since an invented one would mislead operators.
 #[test]
 fn a_steady_transfer_is_forecast_by_its_rate() {
     let start = ProgressSample { seen_at: Timestamp(1_000), chunks: 10 };
@@ -13,7 +13,7 @@
     assert_eq!(forecast(start, 110, 110, Timestamp(9_000)), Some(Deadline(9_000)));
 }
 
-/// Endpoints restart and hold less than before. The forecast waits for new progress.
+/// If restarted endpoints hold less than before, there is no forecast until new progress.
 #[test]
 fn lost_progress_gives_no_forecast() {
     let start = ProgressSample { seen_at: Timestamp(1_000), chunks: 50 };
--- a/crates/decide/tests/gate.rs
+++ b/crates/decide/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The gate of an endpoint.
+//! The admission gate of an endpoint.
 
 use cassiawheel_decide::{GateState, SwitchError};
 use cassiawheel_model::{ModelVersion, NotRunReason, PresetRevision};
@@ -14,8 +14,8 @@
     gate
 }
 
-/// An operator rolls a version out while a call is answered. Were the weights
-/// exchanged at once, the rest of the answer would come from the new version.
+/// Guards against swapping weights while a request is in progress, so that the rest of its
+/// response comes from the new version.
 #[test]
 fn a_switch_waits_for_requests_in_progress() {
     let mut gate = serving("v1");
@@ -29,8 +29,8 @@
     assert!(gate.can_swap_weights());
 }
 
-/// An entry that has not heard of a change still routes by the old preset. Its
-/// request must not run once the endpoint knows the new one.
+/// Guards against running a request that a lagging entry routed under an older preset than
+/// the endpoint has seen.
 #[test]
 fn a_request_of_an_older_preset_is_refused() {
     let mut gate = serving("v1");
--- a/crates/decide/tests/history.rs
+++ b/crates/decide/tests/history.rs
@@ -1,9 +1,9 @@
 //! Seeded histories of changes of the preset in force.
 //!
-//! Entries, agents, operators and a table service exchange messages that are
-//! delayed, lost and reordered, while two faults at a time strike. The
-//! decisions are the ones that run in the processes; only the messages are
-//! modelled. Each guard can be switched off, to see that the checks notice.
+//! Entries, agents, operators and a table service exchange messages that are delayed, lost
+//! and reordered, with two concurrent faults. The decision logic is the production code;
+//! only the messages are modelled. Each guard can be disabled to verify that the checks
+//! detect its absence.
 
 #[path = "history/check.rs"]
 mod check;
@@ -16,30 +16,30 @@
 use rstest::rstest;
 use world::{FaultKind, World};
 
-/// Histories of the main run.
+/// Number of histories of the main run.
 const HISTORIES: u64 = 5_000;
 
-/// Histories for each guard that is switched off.
+/// Number of histories for each disabled guard.
 const HISTORIES_WITHOUT_GUARD: u64 = 1_500;
 
-/// A precaution that a history can do without.
+/// A guard that can be disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Guard {
-    /// The write of `force` needs the revision that was read.
+    /// The write of `force` is conditional on the revision that was read.
     ForceRevision,
-    /// The record of a change's id can be inserted once.
+    /// The record of a change's id can be inserted only once.
     ChangeRecord,
-    /// A refusal is recorded while another try may be on its way.
+    /// A refusal is recorded if another write may be in flight.
     RefusalRecord,
-    /// A lost answer is not taken for a failure.
+    /// A lost response is not treated as a failure.
     LostAnswer,
     /// A process adopts only a higher revision.
     HigherOnly,
     /// An agent refuses requests of an older revision.
     GateRevision,
-    /// A process that starts hears its sources before it works.
+    /// A starting process waits for its sources before it serves.
     StartHold,
-    /// Heartbeats make up for lost pushes.
+    /// Heartbeats repair lost pushes.
     Heartbeats,
 }
 
@@ -49,10 +49,10 @@
     (check::violations(&world), is_linearizable(&world))
 }
 
-/// Any two of lost answers, an outage or stale reads of the table service,
-/// paused or restarted entries, restarted agents, cut links and slow messages
-/// strike while two operators race. An operator would notice a change that
-/// reverts, two presets in force, or an accepted change that never comes.
+/// Guards against changes that are reverted, two presets in force at once, and accepted
+/// changes that never take effect. Two operators race under any two of: lost responses, an
+/// outage or stale reads of the table service, paused or restarted entries, restarted agents,
+/// broken links and slow messages.
 #[test]
 fn changes_never_revert_under_pairs_of_faults() {
     let mut total = Violations::default();
--- a/crates/decide/tests/keyed_history.rs
+++ b/crates/decide/tests/keyed_history.rs
@@ -1,4 +1,4 @@
-//! Seeded histories of keyed requests under faults in pairs.
+//! Seeded histories of keyed requests under pairs of faults.
 
 #[path = "keyed_history/world.rs"]
 mod world;
@@ -15,7 +15,7 @@
 
 const SEEDS: u64 = 8_000;
 
-/// What a set of histories showed.
+/// Violations counted over a set of histories.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Violations {
     second_runs: u32,
@@ -29,7 +29,7 @@
     unsettled: u32,
 }
 
-/// Every pair of faults in turn, then none.
+/// Cycles through all pairs of faults, then no fault.
 fn faults(seed: u64) -> Vec<Fault> {
     let agent = (seed / 64) as usize % AGENTS;
     let kinds = [
@@ -92,8 +92,8 @@
     }
 }
 
-/// A caller that asks once more after all faults have ended buys or is told
-/// what was bought: a key must not be lost to an attempt that never ran.
+/// After all faults have ended, a repeated request must run or get the recorded answer: an
+/// attempt that never ran must not block its key.
 fn count_stuck_keys(world: &mut World, seen: &mut Violations) {
     for key in 0..KEYS {
         let was_run = world
@@ -112,11 +112,11 @@
     }
 }
 
-/// The sale behind one key: the first to run decides the answer of all.
+/// Specification of the sale of one key: the first run determines all answers.
 #[derive(Debug, Clone)]
 struct SaleSpec;
 
-/// What one caller's request did, by the service's log and the caller's word.
+/// Effect of one caller's request, from the service's log and the caller's response.
 #[derive(Debug, Clone)]
 struct Sale {
     ran: Option<String>,
@@ -150,7 +150,7 @@
             let (told, told_at) = request.told.clone().expect("an answer");
             let ran = world.attempts.iter().position(|a| a.request == index && a.effects > 0);
             let ran = ran.map(|attempt| expected_answer(key, attempt));
-            // A run whose caller was told "unknown" may take effect any time after.
+            // A run reported as "unknown" may take effect at any later time.
             let (answer, end) = match told {
                 Told::Complete(answer) => (Some(answer), told_at),
                 Told::NotRun(_) => (None, told_at),
@@ -169,17 +169,17 @@
     }
 }
 
-/// Agents die before, during and after a run, are paused and drained, the table
-/// service is away, slow, or loses answers, and callers go away, two of these at
-/// a time. A visitor would be charged twice, be told that nothing happened
-/// though it did, get another's ticket, or be unable to buy with a key at all.
+/// Guards against a request that runs twice, is reported as not run although it ran, returns
+/// another request's answer, or blocks its key forever. Two concurrent faults at a time:
+/// agents that fail before, during or after a run, pauses, drains, a table service that is
+/// down, slow or loses responses, and callers that disconnect.
 #[test]
 fn keyed_requests_run_at_most_once_and_answers_are_honest() {
     assert_eq!(observe(MissingGuard::None), Violations::default());
 }
 
-/// A checker that never fails proves nothing. Each guard is switched off in
-/// turn, and what it prevents must be counted.
+/// Verifies the checks themselves: with each guard disabled, the violation that it prevents
+/// must be counted.
 #[test]
 fn a_missing_guard_is_noticed() {
     let claim = observe(MissingGuard::Claim);
--- a/crates/decide/tests/listing.rs
+++ b/crates/decide/tests/listing.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints, which entries read in turns and tell each other.
+//! The list of endpoints, read by one entry at a time and sent to the others.
 
 use std::net::SocketAddr;
 
@@ -54,8 +54,7 @@
     listing
 }
 
-/// An endpoint leaves without a word: its row vanishes while the list answers.
-/// It gets nothing new from the moment at which that is read.
+/// An endpoint whose row vanishes while the list is available is removed with that read.
 #[test]
 fn a_row_that_vanishes_while_the_list_answers_is_gone_at_once() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
@@ -64,9 +63,8 @@
     assert_eq!(told.rows, [gone("a", 3)]);
 }
 
-/// The platform's store was away for seconds and endpoints could not renew
-/// their rows. Taking them all for gone would refuse every caller although the
-/// endpoints live; those that are not back in time are gone after all.
+/// Guards against refusing all callers after an outage of the platform's store, in which live
+/// endpoints could not renew their rows. Those not back within the grace period are removed.
 #[test]
 fn rows_that_lapsed_in_an_outage_may_come_back() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
@@ -81,8 +79,7 @@
     assert_eq!(removed.iter().map(|row| &row.instance).collect::<Vec<_>>(), [&instance("b")]);
 }
 
-/// The history was dropped, so the whole list is read again. A row that is not
-/// in it was removed in between.
+/// After the history is lost the whole list is read; a row missing from it was removed.
 #[test]
 fn a_whole_read_shows_what_was_removed() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
@@ -91,8 +88,8 @@
     assert!(told.rows.contains(&gone("a", 7)));
 }
 
-/// Two entries tell the same in different orders, one of them late. The older
-/// row must not bring an endpoint back that has left.
+/// Guards against an older row, received late from another entry, that restores an endpoint
+/// which has left.
 #[test]
 fn an_older_row_changes_nothing() {
     let mut listing = read(vec![row("a", 1)], 1);
@@ -102,8 +99,8 @@
     assert_eq!(listing.position(), 5);
 }
 
-/// An entry missed some news, as when a queue was full. News that build on them
-/// are not enough, and it has to ask for the whole list.
+/// An update whose base is unknown, because an earlier one was dropped, is not applied; the
+/// entry has to request the whole list.
 #[test]
 fn news_with_a_gap_are_not_taken() {
     let mut listing = read(vec![row("a", 1)], 1);
@@ -113,8 +110,8 @@
     assert_eq!(names(&listing), ["b", "c"]);
 }
 
-/// The entry that reads dies. The next one reads a step later by itself, and the
-/// word of a leaving endpoint still arrives in time.
+/// If the reading entry fails, the next rank reads a step later, early enough to learn of a
+/// leaving endpoint in time.
 #[test]
 fn the_next_rank_reads_when_the_first_falls_silent() {
     let listing = read(vec![row("a", 1)], 1);
@@ -123,9 +120,9 @@
     assert!(listing.next_read_at(400).0 <= at(2_000).0, "a leaving endpoint has two seconds");
 }
 
-/// All instances lose power. Their engines start again at the same addresses
-/// under new names, while the rows of the former ones stay for seconds. Requests
-/// go to the new ones only, or half of the callers are refused meanwhile.
+/// Guards against requests to rows of former processes after a power loss. Engines restart at
+/// the same addresses with new ids while the old rows remain for seconds; half of the callers
+/// would be refused meanwhile.
 #[test]
 fn the_newest_process_at_an_address_is_the_present_one() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
@@ -141,12 +138,12 @@
     let service = ServiceName::new("desk").expect("valid");
     let at_address = listing.latest_at(&service, endpoint("a", false).addr);
     assert_eq!(at_address.map(|endpoint| &endpoint.instance), Some(&instance("z")));
-    // A row of a service that nobody knows is somebody else's and hides none.
+    // A row of an unknown service does not hide another row at the same address.
     assert!(listing.latest_per_addr(|service| service.as_str() == "other").is_empty());
 }
 
-/// An entry learns that another process answers at an endpoint's address. A word
-/// that was on its way with the same row must not bring the endpoint back.
+/// Guards against a delayed update with the same row that restores an endpoint whose address
+/// is now used by another process.
 #[test]
 fn a_forgotten_endpoint_does_not_come_back_with_an_old_row() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
@@ -158,10 +155,8 @@
     assert_eq!(names(&listing), ["a", "b"]);
 }
 
-/// Another writer overwrites the row of a sound endpoint with something that
-/// names none, right after an outage of the list. Rows that lapsed then are kept
-/// for a while, but this one did not lapse: requests must not go on to an
-/// endpoint that no row names.
+/// A row that is overwritten with unusable content right after an outage has not expired, so
+/// the grace period does not apply: requests must not go to an endpoint without a row.
 #[test]
 fn an_unusable_row_ends_its_endpoint_also_after_an_outage() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
@@ -172,9 +167,9 @@
     assert_eq!(names(&listing), ["a", "b"]);
 }
 
-/// An entry that has just started meets many others at once, and each of them knows more
-/// of the list. Asked of all of them it comes as many times, over links that carry the
-/// callers' answers. One is asked, and the next one once that one should have answered.
+/// Guards against requesting the whole list from many entries at once after a start, which
+/// congests links that carry the callers' responses. The next entry is asked only once the
+/// previous one should have answered.
 #[test]
 fn one_entry_at_a_time_is_asked_for_the_whole_list() {
     let mut listing = EndpointListing::new(1_200);
--- a/crates/decide/tests/manifest_search.rs
+++ b/crates/decide/tests/manifest_search.rs
@@ -1,4 +1,4 @@
-//! Agents that look for a manifest, before an origin that admits few connections.
+//! Agents that search for a manifest, with an origin that admits few connections.
 
 use std::collections::BTreeMap;
 
@@ -9,38 +9,38 @@
 
 const START: u64 = 1_000_000;
 
-/// Connections that the origin admits.
+/// Connection limit of the origin.
 const PLACES: usize = 48;
 
-/// Time of a read while the origin has nothing else to send, in milliseconds.
+/// Duration of a read from an idle origin, in milliseconds.
 const READ_MS: u64 = 20;
 
-/// Time of the origin's link that a manifest takes, in milliseconds.
+/// Transmission time of a manifest on the origin's link, in milliseconds.
 const SEND_MS: u64 = 3;
 
-/// Longest wait for an origin that is silent, in milliseconds.
+/// Timeout of a read from an unresponsive origin, in milliseconds.
 const READ_LIMIT_MS: u64 = 1_000;
 
-/// Time to connect to another agent and hear its answer, in milliseconds.
+/// Duration of a request to another agent, with its connection, in milliseconds.
 const ASK_MS: u64 = 10;
 
-/// Longest wait for another agent that says nothing, in milliseconds.
+/// Timeout of a request to an unresponsive agent, in milliseconds.
 const ASK_LIMIT_MS: u64 = 500;
 
-/// Time after which entries no longer list an agent that fell silent, in milliseconds.
+/// Time until entries remove a silent agent from the list, in milliseconds.
 const EXPIRY_MS: u64 = 1_500;
 
-/// How the origin behaves until a moment; after it, it answers.
+/// Fault of the origin, until it recovers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum OriginFault {
     None,
-    /// It refuses connections.
+    /// The origin refuses connections.
     Away,
-    /// It takes connections and says nothing.
+    /// The origin accepts connections and sends nothing.
     Silent,
 }
 
-/// What an agent is doing.
+/// Current activity of an agent.
 enum Doing {
     Idle(u64),
     Reading { began: u64, ends: u64, succeeds: bool, holds_place: bool },
@@ -51,9 +51,9 @@
     fault: OriginFault,
     /// When the fault ends.
     until: u64,
-    /// Agents that never do anything.
+    /// Agents that never respond.
     dead: Vec<usize>,
-    /// When the agents learn of each other.
+    /// When the agents discover each other.
     met_at: u64,
     link_free_at: u64,
     reads: usize,
@@ -61,9 +61,9 @@
     most_open: usize,
 }
 
-/// What became of the agents.
+/// Result of a simulation.
 struct Outcome {
-    /// When each agent had the manifest, in milliseconds from the order.
+    /// When each agent received the manifest, in milliseconds after the order.
     found_ms: Vec<u64>,
     reads: usize,
     turned_away: usize,
@@ -74,7 +74,7 @@
     InstanceId::new(&format!("side-{index}")).expect("valid")
 }
 
-/// Agents in regions of equal size, and whom each of them knows.
+/// The peers known to each agent, in regions of equal size.
 fn known(agents: usize, regions: usize) -> Vec<Vec<InstanceId>> {
     let names: Vec<_> = (0..agents).map(name).collect();
     let regions: Vec<_> =
@@ -187,10 +187,10 @@
     }
 }
 
-/// A version is named and all agents are ordered to fetch it. When each of them read
-/// the manifest, 52 of 99 were reset by an origin of 48 connections and the rest took
-/// 0.3 s of its link before the first chunk. At any time at most a quarter of the
-/// connections may be in use, so that three losses of power leave room.
+/// Guards against all agents reading the manifest at once. An origin with 48 connections
+/// reset 52 of 99 agents, and the others occupied its link for 0.3 s before the first chunk.
+/// At most a quarter of the connections may be in use, so that three power losses with
+/// half-open connections do not exhaust them.
 #[rstest]
 #[case(99, 1)]
 #[case(99, 2)]
@@ -203,9 +203,8 @@
     assert!(*last <= 600, "the last agent has the manifest after {last} ms");
 }
 
-/// The origin is away when a version is named, or takes connections and is silent.
-/// Agents that all went on asking would fill it, and would reset each other when it is
-/// back; engines that serve nothing would wait for that.
+/// Guards against agents that exhaust the connections of an origin that is down or
+/// unresponsive, so that most are reset after its recovery while engines serve nothing.
 #[rstest]
 #[case(OriginFault::Away, 4)]
 #[case(OriginFault::Silent, 5)]
@@ -219,8 +218,8 @@
     assert!(*last <= until + 2_000, "the last agent has the manifest after {last} ms");
 }
 
-/// The agents that rank first are gone but still listed for a while. The others wait
-/// for them for a moment and then read the origin in turn.
+/// If the agents with the first ranks are gone but still listed, the others read the origin
+/// one after another following a short wait.
 #[test]
 fn the_next_agents_read_when_the_first_are_gone() {
     let mut ranked: Vec<_> = (0..99).collect();
@@ -235,9 +234,8 @@
     assert!(outcome.most_open <= PLACES / 4, "{} connections", outcome.most_open);
 }
 
-/// All processes start again at the same time after a loss of power, before any of them
-/// knows another. If each read the origin at once, a second loss of power would leave it
-/// with as many connections that nobody closes.
+/// Guards against simultaneous reads of all processes that restart after a power loss and do
+/// not know each other yet. A second power loss would leave that many half-open connections.
 #[rstest]
 #[case(45, 8)]
 #[case(99, 9)]
@@ -250,8 +248,8 @@
     assert!(*last <= 1_000, "the last one has the manifest after {last} ms");
 }
 
-/// A process that is alone reads the origin soon, and leaves it alone for as long as it
-/// asks for.
+/// A process without peers reads the origin soon, and honours the time that the origin asks
+/// it to wait.
 #[test]
 fn a_process_alone_reads_the_origin() {
     let mut rng = SmallRng::seed_from_u64(8);
--- a/crates/decide/tests/plan.rs
+++ b/crates/decide/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Orders to endpoints, derived by several entries whose reports lag.
+//! Orders to endpoints, planned by several entries with stale reports.
 
 use std::collections::BTreeMap;
 
@@ -88,7 +88,7 @@
     plan_orders(PlanInput { preset, ahead: None, reports: &reports, rollout: None })
 }
 
-/// An endpoint with its agent and engine, reduced to what orders do to it.
+/// Model of an endpoint with its agent and engine that executes orders.
 struct ModelEndpoint {
     report: EndpointReport,
     newest: Option<PlannedOrder>,
@@ -96,7 +96,7 @@
 }
 
 impl ModelEndpoint {
-    /// Follows an order as the agent does: only one with a higher token.
+    /// Accepts an order as the agent does: only with a higher token than the last one.
     fn offer(&mut self, order: PlannedOrder) {
         if self.newest.as_ref().is_some_and(|known| known.fencing >= order.fencing) {
             return;
@@ -106,7 +106,7 @@
         self.newest = Some(order);
     }
 
-    /// Stages a little more, and switches once it is staged as a whole.
+    /// Stages a further chunk at random, and switches once all are staged.
     fn step(&mut self, now: u64, rng: &mut SmallRng) {
         let Some(order) = self.newest.clone() else {
             return;
@@ -145,7 +145,7 @@
     }
 }
 
-/// What an entry does to keep track of endpoints.
+/// Model of an entry with its possibly stale reports.
 struct ModelEntry {
     seen: Vec<EndpointReport>,
     paused_until: u64,
@@ -156,8 +156,8 @@
     finished: bool,
 }
 
-/// Rolls a version out over `count` endpoints with three entries whose reports
-/// and orders are delayed; one entry pauses with orders in its queue.
+/// Rolls a version out over `count` endpoints with three entries whose reports and
+/// orders are delayed and which pause with orders in their queues.
 fn roll_out(seed: u64, count: usize, serving_percent: u32, restarts: bool) -> RolloutResult {
     let mut rng = SmallRng::seed_from_u64(seed);
     let preset = preset(2, content("v2", serving_percent, None));
@@ -171,15 +171,15 @@
     let seen: Vec<_> = endpoints.iter().map(|endpoint| endpoint.report.clone()).collect();
     let mut entries: Vec<_> =
         (0..3).map(|_| ModelEntry { seen: seen.clone(), paused_until: 0 }).collect();
-    let mut under_way: Vec<(u64, PlannedOrder)> = Vec::new();
+    let mut in_flight: Vec<(u64, PlannedOrder)> = Vec::new();
     let mut result = RolloutResult { least_serving: count, finished: false };
     for now in (0..60_000).step_by(20) {
         for endpoint in &mut endpoints {
             endpoint.step(now, &mut rng);
         }
         if restarts && now < 5_000 && rng.random_bool(0.01) {
-            let victim = rng.random_range(0..count);
-            endpoints[victim].restart_agent();
+            let restarted = rng.random_range(0..count);
+            endpoints[restarted].restart_agent();
         }
         for entry in &mut entries {
             if rng.random_bool(0.005) {
@@ -190,14 +190,14 @@
                     *seen = endpoint.report.clone();
                 }
             }
-            // Orders planned before a pause leave the process after it.
+            // Orders planned before a pause are sent after it.
             for order in plan(&preset, &entry.seen) {
                 let at = entry.paused_until.max(now) + rng.random_range(1..300);
-                under_way.push((at, order));
+                in_flight.push((at, order));
             }
         }
-        let (due, later) = under_way.into_iter().partition(|(at, _)| *at <= now);
-        under_way = later;
+        let (due, later) = in_flight.into_iter().partition(|(at, _)| *at <= now);
+        in_flight = later;
         let due: Vec<(u64, PlannedOrder)> = due;
         for (_, order) in due {
             let endpoint = endpoints.iter_mut().find(|e| e.report.instance == order.instance);
@@ -214,9 +214,8 @@
     result
 }
 
-/// A version is rolled out while callers are served, by entries whose view of
-/// the endpoints lags and which pause with orders in their queues. Were too many
-/// endpoints switched at once, callers would be refused in the middle of a burst.
+/// Guards against too many endpoints that switch at once, which refuses callers during a
+/// burst. The entries have stale reports and pause with orders in their queues.
 #[rstest]
 #[case(16, 50)]
 #[case(16, 75)]
@@ -234,9 +233,9 @@
     println!("{count} endpoints, {serving_percent} %: least serving {least}, promised {promised}");
 }
 
-/// Agents are replaced in the middle of a rollout and know no order any more.
-/// Entries order anew above the engine's token, or the endpoint would stay with
-/// the old version, or empty, for ever.
+/// Guards against endpoints that keep the old version, or stay empty, forever after their
+/// agent restarted during a rollout and lost its orders. New orders must have tokens above
+/// the engine's.
 #[test]
 fn a_rollout_finishes_though_agents_restart() {
     for seed in 0..250 {
@@ -244,8 +243,8 @@
     }
 }
 
-/// An entry that was paused sends an order that it planned under the preset
-/// before. Its token is lower than that of any order under the newer preset.
+/// Guards against an order of an older preset, sent late by a paused entry, that overrides
+/// one of a newer preset: its token must be lower.
 #[test]
 fn a_late_order_of_an_older_preset_has_a_lower_token() {
     let mut endpoint = report(0, serving("v1"));
@@ -265,9 +264,9 @@
     assert!(tokens.is_sorted_by(|earlier, later| earlier < later));
 }
 
-/// Only some endpoints are needed. Those that hold the version already are
-/// kept, and the others come from the failure domains with the fewest; a poor
-/// choice moves weights for nothing or loses a service with one domain.
+/// With limited spares, endpoints that already hold the version are kept and the others come
+/// from the least used failure domains. Otherwise weights are transferred needlessly, or
+/// the loss of one domain takes a service down.
 #[test]
 fn chosen_endpoints_hold_the_version_and_spread() {
     let preset = preset(2, content("v2", 50, Some(1)));
@@ -277,8 +276,8 @@
     let domains: Vec<_> = orders
         .iter()
         .map(|order| {
-            let chosen = reports.iter().find(|report| report.instance == order.instance);
-            chosen.expect("it exists").failure_domain.clone()
+            let selected = reports.iter().find(|report| report.instance == order.instance);
+            selected.expect("it exists").failure_domain.clone()
         })
         .collect();
     assert_eq!(orders.len(), 2, "two replicas and one spare, of which one serves already");
@@ -286,8 +285,8 @@
     assert!(!domains.contains(&reports[4].failure_domain), "the third domain has one");
 }
 
-/// An endpoint dies. The others keep their orders, and one more takes its
-/// place; replanning everything would move weights in the middle of a burst.
+/// A failed endpoint is replaced by one other and the rest keep their orders. Replanning all
+/// of them would transfer weights during a burst.
 #[test]
 fn a_dead_endpoint_moves_no_other() {
     let preset = preset(2, content("v2", 50, Some(0)));
@@ -301,7 +300,7 @@
     assert_eq!(orders[0].reason, PlanReason::ServesNothing);
 }
 
-/// The next preset is staged ahead while this one is served, once.
+/// An upcoming preset is staged, with a single order, while the current one is served.
 #[test]
 fn a_preset_is_staged_ahead_while_another_serves() {
     let preset = preset(2, content("v2", 50, None));
@@ -328,8 +327,8 @@
     assert_eq!(orders[0].version, version("v2"));
 }
 
-/// A report claims a token that no order ever had. The endpoint gets no order,
-/// and the others get theirs; the plan of a whole service must not end with it.
+/// Guards against a report with an impossible token that stops the plan of the whole
+/// service. Only that endpoint gets no order.
 #[test]
 fn a_false_token_stops_no_other_order() {
     let preset = preset(2, content("v2", 50, None));
@@ -344,7 +343,7 @@
     schedule_of(retired, [0, left_ms, left_ms])
 }
 
-/// A schedule with the time left of each version.
+/// A schedule with the remaining time of each version, in milliseconds.
 fn schedule_of(retired: &[&str], left_ms: [u64; 3]) -> RolloutSchedule {
     let paced =
         ["v1", "v2", "v3"].into_iter().zip(left_ms).map(|(name, left_ms)| ScheduledVersion {
@@ -373,8 +372,8 @@
     EndpointReport { staged: staged("v3", CHUNKS), ..report(index, state) }
 }
 
-/// There is time enough. So few engines switch at a time that the last begins
-/// just in time, and the others go on serving; with less time there are more.
+/// As few engines as the deadline permits switch at a time while the others keep serving;
+/// with less time left, more of them do.
 #[test]
 fn as_many_switch_at_a_time_as_the_time_needs() {
     let reports: Vec<_> = (0..12).map(|index| ready_report(index, "v2")).collect();
@@ -383,10 +382,10 @@
     assert_eq!(paced(&reports, &schedule(&[], 0)).len(), 12);
 }
 
-/// Twelve engines switch within four seconds, each in two, and none has finished
-/// after one second. The number of switches must not rise because the time grows shorter while
-/// they are at it: one more would go out of service every tenth of a second, until
-/// no engine is left for the callers.
+/// Guards against a number of concurrent switches that grows while the first ones are in
+/// progress. Twelve engines switch within four seconds, each in two. When the remaining time
+/// alone counted, one more engine went out of service every tenth of a second until none
+/// was left.
 #[test]
 fn the_pace_holds_while_the_first_engines_switch() {
     let mut reports: Vec<_> = (0..12).map(|index| ready_report(index, "v2")).collect();
@@ -398,13 +397,12 @@
     for left_ms in (3_000..=4_000).step_by(50) {
         assert!(paced(&reports, &schedule(&[], left_ms)).is_empty(), "{left_ms} ms are left");
     }
-    // Those that are late all the same go before the time is over.
+    // Engines that are late nevertheless switch at the deadline.
     assert!(!paced(&reports, &schedule(&[], 0)).is_empty());
 }
 
-/// A version was named two seconds after another one, and both are late. All
-/// engines still serve the oldest, whose time is over first. Paced by the newest
-/// alone they would all stop at that moment, and callers would get nothing.
+/// Two versions are named two seconds apart, and all engines still serve the oldest. If only
+/// the deadline of the newest counted, all engines would stop serving at the earlier one.
 #[test]
 fn the_nearest_deadline_sets_the_pace() {
     let reports: Vec<_> = (0..12).map(|index| ready_report(index, "v1")).collect();
@@ -413,8 +411,7 @@
     assert_eq!(paced(&reports, &schedule_of(&[], [0, 2_000, 4_000])).len(), 4);
 }
 
-/// Engines with the oldest version switch first: its time is over first, and
-/// they would serve nothing while others still may.
+/// Engines with the oldest version switch first, because their deadline is the earliest.
 #[test]
 fn the_oldest_version_switches_first() {
     let mut reports: Vec<_> = (0..8).map(|index| ready_report(index, "v2")).collect();
@@ -425,8 +422,8 @@
     assert!(first.iter().all(|instance| old.contains(instance)), "{first:?}");
 }
 
-/// Engines whose version may not answer any more serve nothing. They switch at
-/// once, whoever else is under way.
+/// Engines whose version must no longer answer switch at once, regardless of the number of
+/// switches in progress.
 #[test]
 fn engines_that_may_not_answer_switch_at_once() {
     let mut reports: Vec<_> = (0..8).map(|index| ready_report(index, "v2")).collect();
@@ -435,8 +432,8 @@
     assert!(reports[8..].iter().all(|report| first.contains(&report.instance)), "{first:?}");
 }
 
-/// New engines come while a version is under way and hold nothing yet. The
-/// others must not wait for them, or they wait until they may not answer.
+/// Guards against new, still empty engines that count as switching during a rollout and
+/// block the others until after their deadline.
 #[test]
 fn new_engines_hold_up_no_switch() {
     let mut reports: Vec<_> = (0..8).map(|index| ready_report(index, "v2")).collect();
@@ -447,10 +444,9 @@
     assert!(switching >= before, "{switching} of {before}");
 }
 
-/// Engines serve a version that they held before their agents were there. New
-/// engines join while the origin is away. Nobody has told the agents which bytes
-/// their engines hold, so they offer none, and the new engines wait for the
-/// origin while callers are refused for want of room.
+/// Guards against agents that do not offer the weights that their engines loaded before the
+/// agents started. Without an order that names the manifest, new engines depend on the
+/// origin, and callers are refused for lack of capacity while it is down.
 #[test]
 fn engines_that_serve_already_are_told_to_offer_their_weights() {
     let endpoint_addr = Some("127.0.0.1:8001".parse().expect("valid"));
@@ -463,9 +459,8 @@
     assert!(plan(&preset(1, content("v1", 50, None)), &[told]).is_empty(), "told once");
 }
 
-/// Several entries plan from reports that reach each at another moment, and see
-/// other engines as the first that are ready. If each let its own choice switch,
-/// most engines would be out of service at once and callers would be refused.
+/// Guards against several entries that each release different switches because their reports
+/// arrive at different times. Most engines would be out of service at once.
 #[test]
 fn one_entry_lets_engines_switch() {
     let early: Vec<_> = (0..12).map(|index| ready_report(index, "v2")).collect();
@@ -487,8 +482,8 @@
     assert!(second.release(orders(&early[4..]), 1, Timestamp(10_100)).is_empty());
 }
 
-/// The entry that ranks first is paused. Engines would keep a version that may
-/// soon not answer any more; after a short while the next entry lets them switch.
+/// If the entry with the first rank is paused, the next one releases the switches after a
+/// short delay, before the deadline of the old version.
 #[test]
 fn the_next_entry_takes_over_after_a_while() {
     let reports: Vec<_> = (0..12).map(|index| ready_report(index, "v2")).collect();
@@ -497,9 +492,9 @@
     let reports: Vec<_> = reports.iter().collect();
     let input =
         PlanInput { preset: &preset, ahead: None, reports: &reports, rollout: Some(&schedule) };
-    let mut ledger = SwitchStagger::default();
-    assert!(ledger.release(plan_orders(input), 2, Timestamp(10_000)).is_empty());
-    assert_eq!(ledger.release(plan_orders(input), 2, Timestamp(10_500)).len(), 4);
+    let mut stagger = SwitchStagger::default();
+    assert!(stagger.release(plan_orders(input), 2, Timestamp(10_000)).is_empty());
+    assert_eq!(stagger.release(plan_orders(input), 2, Timestamp(10_500)).len(), 4);
 }
 
 fn superseded(ready: u32, left_ms: [u64; 3]) -> Vec<PlannedOrder> {
@@ -517,10 +512,9 @@
     })
 }
 
-/// A version is whole everywhere when a newer one is named. Thrown away, it would
-/// leave every engine with the oldest version until that may not answer any
-/// more, and all of them would stop at that moment. Half of them serve it
-/// meanwhile, a few switching at a time; the others fetch the newest.
+/// A version is fully staged everywhere when a newer one is named. If it were dropped, all
+/// engines would keep the oldest version until its deadline and then stop together. Half of
+/// them serve it in between, a few switching at a time; the others fetch the newest.
 #[test]
 fn a_version_that_is_whole_is_served_until_the_newest_is_there() {
     let orders = superseded(CHUNKS, [0, 4_800, 8_800]);
@@ -530,8 +524,8 @@
     assert!(step.iter().all(|order| order.serve) && newest.iter().all(|order| !order.serve));
 }
 
-/// Most of a version has been fetched when a newer one is named; it is finished.
-/// Of one that has hardly begun nothing is gained, and the newest is fetched.
+/// A version of which most is staged when a newer one is named is completed. One that has
+/// hardly begun is dropped in favour of the newest.
 #[rstest]
 #[case(CHUNKS * 3 / 4, 6)]
 #[case(CHUNKS / 4, 0)]
--- a/crates/decide/tests/preset_pull.rs
+++ b/crates/decide/tests/preset_pull.rs
@@ -1,4 +1,4 @@
-//! Entries that miss a preset and ask others for it, over links that are shared.
+//! Entries that lack a preset and request it from others over shared links.
 
 use cassiawheel_decide::{PeerRevision, PresetPull, PullStep, PullView};
 use cassiawheel_model::{InstanceId, PresetRevision, Timestamp};
@@ -12,13 +12,13 @@
 /// A preset with many routes, in bytes.
 const PRESET_BYTES: u64 = 120_000;
 
-/// What weights leave of a link into a region, in bytes per millisecond.
+/// Bandwidth that weight transfers leave on a link into a region, in bytes per millisecond.
 const FAR_RATE: u64 = 1_000;
 
-/// An entry's own link, in bytes per millisecond.
+/// Bandwidth of an entry's own link, in bytes per millisecond.
 const NEAR_RATE: u64 = 5_000;
 
-/// Time between heartbeats.
+/// Heartbeat interval, in milliseconds.
 const BEAT_MS: u64 = 500;
 
 /// One-way delay within and between regions.
@@ -27,13 +27,13 @@
 
 const STEP_MS: u64 = 10;
 
-/// When a preset is in force everywhere at the latest, by the aim.
+/// Required time until a preset is in force everywhere, in milliseconds.
 const APPLY_MS: u64 = 2_000;
 
-/// Time after which the former rule asked again.
+/// Retry interval of the former rule, in milliseconds.
 const ASK_AGAIN_MS: u64 = 250;
 
-/// Longest play.
+/// Limit of the simulated time, in milliseconds.
 const LONGEST_MS: u64 = 60_000;
 
 const START: u64 = 1_000_000;
@@ -41,16 +41,16 @@
 const OLD: PresetRevision = PresetRevision(1);
 const NEW: PresetRevision = PresetRevision(2);
 
-/// How an entry asks for a preset of which it heard.
+/// Rule by which an entry requests an announced preset.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum PullRule {
-    /// Whoever told last is asked again every 250 ms.
+    /// Every 250 ms from the entry that announced it last.
     AskAnew,
     /// As [`PresetPull`] decides.
     OneQuestion,
 }
 
-/// Links on which what is sent waits for what was sent before.
+/// Links that transmit messages in the order in which they were sent.
 struct SharedLinks {
     /// Into each region.
     far: [u64; REGIONS],
@@ -61,7 +61,7 @@
 
 struct PulledEntry {
     region: usize,
-    /// When a copy arrives that is on its way.
+    /// Arrival time of the copy in transit.
     arrives: Vec<u64>,
     has_at: Option<u64>,
     pull: PresetPull<usize>,
@@ -72,7 +72,7 @@
 }
 
 impl SharedLinks {
-    /// When a copy sent at `now` arrives at `to`; the store stands in the first region.
+    /// Arrival time at `to` of a copy sent at `now`; the store is in the first region.
     fn send(&mut self, from: Option<usize>, to: usize, now: u64) -> u64 {
         let region = |entry: usize| entry / ENTRIES_A_REGION;
         let from_region = from.map_or(0, region);
@@ -91,10 +91,10 @@
     }
 }
 
-/// What came of one preset.
+/// Result of spreading one preset.
 #[derive(Debug)]
 struct SpreadOutcome {
-    /// When the last entry that runs had it, after its acknowledgement.
+    /// Time from the acknowledgement until the last running entry had the preset.
     last_ms: u64,
     far_copies: usize,
 }
@@ -117,21 +117,21 @@
         }
     }
 
-    /// Hears of the preset from `teller`.
-    fn observe(&mut self, teller: usize, now: u64) {
+    /// Receives the announcement of `sender`.
+    fn observe(&mut self, sender: usize, now: u64) {
         let told = PeerRevision {
-            instance: instance(teller),
+            instance: instance(sender),
             revision: NEW,
-            is_near: self.region == teller / ENTRIES_A_REGION,
-            handle: teller,
+            is_near: self.region == sender / ENTRIES_A_REGION,
+            handle: sender,
         };
         self.is_running |= self.pull.observe(told, OLD, Timestamp(now));
-        if self.last_teller.replace(teller).is_none() {
+        if self.last_teller.replace(sender).is_none() {
             self.asks_again_at = now + ASK_AGAIN_MS;
         }
     }
 
-    /// Whom it asks now.
+    /// The entry from which it requests the preset now.
     fn asks(&mut self, rule: PullRule, view: PullView, rng: &mut SmallRng) -> Option<usize> {
         match rule {
             PullRule::AskAnew if self.last_teller.is_some() && view.now.0 >= self.asks_again_at => {
@@ -139,7 +139,7 @@
                 self.last_teller
             }
             PullRule::OneQuestion if self.is_running => match self.pull.step(view, |_| true, rng) {
-                PullStep::Request(teller) => Some(teller),
+                PullStep::Request(sender) => Some(sender),
                 PullStep::Wait(_) | PullStep::Done => None,
             },
             PullRule::AskAnew | PullRule::OneQuestion => None,
@@ -147,7 +147,7 @@
     }
 }
 
-/// Spreads a preset while the store turns away those of `turned_away`.
+/// Spreads a preset while the store rejects the entries in `turned_away`.
 fn spread(rule: PullRule, turned_away: &[usize], frozen: &[usize], seed: u64) -> SpreadOutcome {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut links = SharedLinks { far: [0; REGIONS], near: [0; ENTRIES], far_copies: 0 };
@@ -166,15 +166,15 @@
             if !lacks(&entries[number]) {
                 continue;
             }
-            for teller in told.iter().copied().filter(|teller| *teller != number) {
-                entries[number].observe(teller, now);
+            for sender in told.iter().copied().filter(|sender| *sender != number) {
+                entries[number].observe(sender, now);
             }
             let near_rank = (number % ENTRIES_A_REGION) as u32;
             let follows_rows = !turned_away.contains(&number);
             let view = PullView { known: OLD, follows_rows, near_rank, now: Timestamp(now) };
             let asked = entries[number].asks(rule, view, &mut rng);
-            if let Some(teller) = asked.filter(|teller| !entries[*teller].is_frozen) {
-                let arrives = links.send(Some(teller), number, now);
+            if let Some(sender) = asked.filter(|sender| !entries[*sender].is_frozen) {
+                let arrives = links.send(Some(sender), number, now);
                 entries[number].arrives.push(arrives);
             }
         }
@@ -187,9 +187,9 @@
     SpreadOutcome { last_ms: last - START, far_copies: links.far_copies }
 }
 
-/// Those whose word of the preset arrives now: on adoption, and with each heartbeat.
+/// Entries whose announcement arrives now: on adoption and with each heartbeat.
 ///
-/// A frozen entry has adopted it and told so right before.
+/// A frozen entry adopted and announced the preset just before it froze.
 fn tell(entries: &mut [PulledEntry], phases: &[u64], now: u64) -> Vec<usize> {
     let mut told = Vec::new();
     for (index, entry) in entries.iter_mut().enumerate() {
@@ -215,14 +215,12 @@
     all
 }
 
-/// Callers were still answered by the old routes four seconds after a change was
-/// acknowledged. The configuration had grown by many routes, the table service
-/// turned 14 of 45 entries away, and weights filled most of the links between
-/// regions. Whoever heard of the change asked for all of it, from whichever entry
-/// had told last, and asked anew every quarter of a second while the answer was
-/// on its way: 244 asks in some seconds, so that the copies that the table service
-/// had sent waited behind them. The entries in its own region had the change after
-/// 0.3 s, the last of the others after 4.9 s.
+/// Guards against repeated requests for a preset that is already in transit. With a large
+/// preset, 14 of 45 entries rejected by the table service and links between regions mostly
+/// filled by weights, entries repeated their request every 250 ms. The 244 requests delayed
+/// the copies from the table service: its own region had the change after 0.3 s, the last
+/// other entry after 4.9 s, and callers still got old routes four seconds after the
+/// acknowledgement.
 #[test]
 fn a_preset_is_not_asked_for_again_while_it_is_on_its_way() {
     for seed in 0..20 {
@@ -236,8 +234,8 @@
     }
 }
 
-/// A region whose entries are all turned away gets the preset from another one, by
-/// few copies: who has it first tells the rest.
+/// A region whose entries are all rejected by the store gets the preset from another region
+/// in few copies: the first entry that has it serves the others.
 #[rstest]
 #[case::one_region(1)]
 #[case::two_regions(2)]
@@ -252,7 +250,7 @@
     }
 }
 
-/// Entries that told of a preset and were frozen right after answer nobody.
+/// Entries that freeze right after their announcement must not delay the others for long.
 #[test]
 fn a_frozen_entry_holds_nobody_up_for_long() {
     for seed in 0..20 {
--- a/crates/decide/tests/preset_window.rs
+++ b/crates/decide/tests/preset_window.rs
@@ -1,10 +1,10 @@
-//! Two ways to bring a change to every process, weighed against each other.
+//! Compares two ways to distribute a change to all processes.
 //!
-//! Push: who has the change passes it on at once and works under it. Two
-//! steps: everybody is told to prepare, and only when all have answered does
-//! the switch go out, so that no two processes are more than one revision
-//! apart. Measured are the time until the change is in force everywhere and
-//! the window in which endpoints answer under two revisions.
+//! Push: a process that receives the change applies and forwards it at once. Two-phase: all
+//! processes prepare, and the switch is sent only after all have acknowledged, so that no
+//! two processes are more than one revision apart. The test measures the time until the
+//! change is in force everywhere and the window in which endpoints answer under two
+//! revisions.
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rstest::rstest;
@@ -16,11 +16,11 @@
 /// One-way delays, in microseconds.
 const DELAY: std::ops::Range<u64> = 500..1_500;
 
-/// Share of pushes that a full queue swallows, made up for by a heartbeat.
+/// Share of pushes dropped by a full queue and repaired by a heartbeat.
 const SWALLOWED: f64 = 0.02;
 const BEAT: u64 = 250_000;
 
-/// How long the paused entry stays away, and when it counts as gone.
+/// Duration of an entry's pause, and the timeout after which it counts as failed.
 const PAUSE: u64 = 4_000_000;
 const HEARTBEAT_TIMEOUT: u64 = 1_500_000;
 
@@ -30,19 +30,19 @@
     TwoSteps,
 }
 
-/// Figures of one change, in microseconds from the moment it was accepted.
+/// Results of one change, in microseconds after it was accepted.
 struct ChangeFigures {
     in_force: u64,
     window: u64,
 }
 
-/// Arrival of a message sent at `at`, if need be with a later heartbeat.
+/// Arrival time of a message sent at `at`, with the next heartbeat if it is dropped.
 fn arrival(at: u64, rng: &mut SmallRng) -> u64 {
     let delayed = at + rng.random_range(DELAY);
     if rng.random_bool(SWALLOWED) { delayed + rng.random_range(0..BEAT) } else { delayed }
 }
 
-/// When each process switches, if the first does at `start`; entries come first.
+/// When each process switches if the first one does at `start`, entries first.
 fn spread(start: u64, paused: Option<usize>, rng: &mut SmallRng) -> Vec<u64> {
     let mut times = vec![u64::MAX; ENTRIES + AGENTS];
     times[0] = start;
@@ -76,8 +76,8 @@
     let times = spread(start, paused, &mut rng);
     let running = (0..times.len()).filter(|process| Some(*process) != paused);
     let in_force = running.map(|process| times[process]).max().unwrap_or_default();
-    // An endpoint refuses the old revision once it has heard of the new one,
-    // be it by a push or by a request of an entry that works under it.
+    // An endpoint refuses the old revision once it has received the new one, from a push or
+    // from a request routed under it.
     let first_request: Vec<_> = (0..AGENTS)
         .map(|_| (0..ENTRIES).map(|entry| times[entry] + rng.random_range(DELAY)).min())
         .collect();
@@ -94,9 +94,8 @@
     [values[values.len() / 2], values[values.len() - 1]]
 }
 
-/// A change is brought to everybody, all running or one entry paused. Two steps
-/// would be worth their extra round only if they narrowed the window in which
-/// callers are answered under two presets.
+/// Two phases would justify their additional round trip only if they narrowed the window in
+/// which callers are answered under two presets; they do not.
 #[rstest]
 fn two_steps_take_longer_and_do_not_narrow_the_window(#[values(false, true)] one_paused: bool) {
     let measure = |scheme| {
--- a/crates/decide/tests/store_outage.rs
+++ b/crates/decide/tests/store_outage.rs
@@ -1,10 +1,10 @@
-//! Ways to sell while the table service is away, weighed in one seeded model.
+//! Compares ways to run keyed requests while the table service is down, in a seeded model.
 //!
-//! Three replicas of a plain service; the table service is away for two thirds
-//! of the time; in every history one replica dies and restarts and one is
-//! paused in the middle of its work. Callers whose answer is lost or unknown ask
-//! again with the same key. The model is simpler than the shipped code: it
-//! compares rules, and `keyed_history` checks the code.
+//! There are three replicas of a plain service, and the table service is down for two thirds
+//! of the time. In every history one replica fails and restarts, and one is paused during
+//! its work. Callers whose answer is lost or unknown retry with the same key. The model is
+//! simpler than the production code: it compares rules, while `keyed_history` checks the
+//! code.
 
 use std::collections::{HashMap, HashSet};
 
@@ -18,20 +18,20 @@
 const RESTART_MS: u64 = 2_000;
 const ASK_AGAIN_MS: u64 = 700;
 const ASKS: u32 = 4;
-/// Callers without an answer come back within this time after the outage.
+/// Time after the outage within which callers without an answer retry.
 const LATE_MS: u64 = 10_000;
 const HISTORIES: u64 = 150;
 
-/// Who may run a key.
+/// Rule that decides which replica may run a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Way {
-    /// Whoever inserts the key's row first; nobody while the store is away.
+    /// The replica that inserts the key's row first; none while the store is down.
     Claims,
-    /// The key's home replica while its lease lasts, from memory if need be.
+    /// The key's home replica while its lease is valid, from memory if necessary.
     HomeLease { life_ms: u64 },
-    /// The home replica that holds a group of keys until it gives them up.
+    /// The home replica that holds a group of keys until it releases them.
     GroupClaims,
-    /// The process that gave the caller a ticket, which is a part of the key.
+    /// The process that issued the caller's ticket, which is part of the key.
     Tickets,
 }
 
@@ -113,7 +113,7 @@
         now >= replica.down_until && !replica.paused.contains(&now)
     }
 
-    /// Renews leases, and takes over those that ran out.
+    /// Renews leases and takes over expired ones.
     fn keep_leases(&mut self, now: u64) {
         let Way::HomeLease { life_ms } = self.way else {
             return;
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The replica that may run the sale now, by the rules of the way.
+    /// The replica that may run the sale now under the rule.
     fn runner(&mut self, sale: &mut Sale, now: u64) -> Option<usize> {
         match self.way {
             Way::Claims => {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Whether a recorded or remembered answer can be given.
+    /// Whether a recorded or remembered answer can be returned.
     fn is_answered(&self, sale: &Sale, now: u64) -> bool {
         let ran = self.runs.contains_key(&sale.key);
         let recorded = Self::store_is_up(now) && self.rows.contains(&sale.key);
@@ -181,7 +181,7 @@
         ran && (recorded || remembered && self.way != Way::Claims)
     }
 
-    /// One ask; true if the caller has its answer.
+    /// One request; returns whether the caller has its answer.
     fn ask(&mut self, sale: &mut Sale, now: u64) -> bool {
         let lost = self.rng.random_bool(0.02);
         if self.is_answered(sale, now) {
@@ -266,10 +266,9 @@
     sum
 }
 
-/// The table service is away for a long time, a replica dies and another is
-/// paused. A way to sell all the same is only of use if no seat is sold twice:
-/// a wheelchair user would be turned away at the lift. A lease that outlives the
-/// outage does it: what its dead holder sold from memory, the next one cannot know.
+/// A way to keep selling during a long outage is only useful if no seat is sold twice. A
+/// lease that outlives the outage fails this: the next holder does not know what the failed
+/// one sold from memory.
 #[test]
 fn a_lease_can_sell_twice_and_tickets_outlast_the_store() {
     let claims = weigh(Way::Claims);
--- a/crates/decide/tests/versions.rs
+++ b/crates/decide/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Versions that operators name one after another.
+//! Deadlines of versions that operators name one after another.
 
 use std::time::Duration;
 
@@ -35,9 +35,8 @@
     registry
 }
 
-/// A version is named while the one before is still under way. Each keeps its
-/// own deadline; the newer one must not give the oldest more time, or callers
-/// are answered from weights that were replaced long ago.
+/// Guards against a newer version that extends the deadline of an earlier one, so that
+/// callers get answers from weights that were replaced long ago.
 #[test]
 fn a_newer_version_does_not_put_off_an_earlier_deadline() {
     let registry = registry(&[(1, 0), (2, 18_000), (3, 20_000)]);
@@ -47,7 +46,7 @@
     assert_eq!(registry.newest("m").map(|newest| newest.number), Some(3));
 }
 
-/// A row is read late, after a newer one. It must not become the wanted version.
+/// A version whose row is read late, after a newer one, must not become the newest.
 #[test]
 fn an_older_version_is_never_wanted_again() {
     let mut registry = registry(&[(1, 0), (3, 100)]);
@@ -55,14 +54,14 @@
     assert_eq!(registry.newest("m").map(|newest| newest.number), Some(3));
 }
 
-/// The first version that is known replaces nothing, so nothing is refused.
+/// The first known version replaces nothing, so no version is excluded.
 #[test]
 fn the_first_version_bars_nobody() {
     assert_eq!(registry(&[(4, 0)]).allowed("m", at(60_000)), None);
 }
 
-/// An entry hears of a version late, from another that has known it for five
-/// seconds. The deadline follows from when it was named.
+/// The deadline follows from the age of a version, also where an entry receives it five
+/// seconds late from another one.
 #[test]
 fn the_age_counts() {
     let mut registry = registry(&[(1, 0)]);
@@ -72,11 +71,10 @@
     assert_eq!(registry.allowed("m", at(8_000)), Some(vec![version(2)]));
 }
 
-/// An entry is killed before a version is named and starts again just after. It
-/// finds the version in the rows and cannot know that it is a quarter of a second
-/// old, so it assumes seconds and tells the others. Whichever word comes first,
-/// what the others observed counts; else every entry refuses all callers for
-/// seconds in which the engines may still serve the older version.
+/// Guards against an assumed age that overrides an observed one. An entry that restarts just
+/// after a version was named assumes an age of seconds and sends it to the others. If that
+/// counted, every entry would refuse all callers for seconds in which engines may still
+/// serve the older version.
 #[test]
 fn an_assumed_age_does_not_go_before_an_observed_one() {
     let assumed = NamedVersion { age_ms: 3_500, age_source: AgeSource::Assumed, ..named(2) };
@@ -94,9 +92,8 @@
     }
 }
 
-/// All entries are killed and start again together after a version was named.
-/// Nobody observed it, so the assumed age counts, the oldest of those told, and
-/// no older version answers for longer than it may.
+/// If all entries restart after a version was named, no age is observed. The highest assumed
+/// one counts, so that no older version answers for too long.
 #[test]
 fn the_oldest_assumed_age_counts_where_nobody_observed() {
     let mut registry = registry(&[(1, 0)]);
@@ -108,7 +105,7 @@
     assert_eq!(registry.allowed("m", at(23_500)), Some(vec![version(2)]));
 }
 
-/// One entry pins a version's bytes and tells the others; the digest stays.
+/// The digest that one entry pins is adopted once and then kept.
 #[test]
 fn the_digest_is_taken_once_and_kept() {
     let mut registry = registry(&[(1, 0)]);
@@ -120,8 +117,7 @@
     assert_eq!(registry.newest("m").and_then(|newest| newest.manifest), Some(digest));
 }
 
-/// Endpoints with the oldest version switch first, and those that may not answer
-/// any more are known to the plan.
+/// The schedule lists the versions oldest first, and those that must no longer answer.
 #[test]
 fn the_pace_tells_the_order_and_who_is_barred() {
     let registry = registry(&[(1, 0), (2, 18_000), (3, 20_000)]);
@@ -132,9 +128,9 @@
     assert_eq!(schedule.versions[2].exclusive_from.0, at(27_000).0);
 }
 
-/// A request waits in a full engine's queue while the time of the engine's
-/// version runs out. Whoever sent it has to know that moment, or the answer
-/// begins from a version that may not answer any more.
+/// A version expires at the nearest deadline of all newer ones. The sender of a request needs
+/// this time; after a long wait in an engine's queue the answer could otherwise begin from
+/// a version that must no longer answer.
 #[test]
 fn the_end_of_a_version_is_the_nearest_of_all_newer_ones() {
     let registry = registry(&[(1, 0), (2, 18_000), (3, 20_000)]);
