--- a/crates/agent/src/endpoint.rs
+++ b/crates/agent/src/endpoint.rs
@@ -9,7 +9,9 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{EntryChoice, GateState, LoadPace, PresetHolder, StartHold, ToldReport};
+use cassiawheel_decide::{
+    EntrySelector, GateState, LoadSchedule, PresetHolder, SentReport, StartHold,
+};
 use cassiawheel_edge::{ModelEngine, TableStore, WeightSource};
 use cassiawheel_model::{EndpointState, LoadReport, Timestamp, settings::AgentSettings};
 use cassiawheel_runtime::timeout;
@@ -19,7 +21,7 @@
 use crate::{
     keyed::ClaimWriter,
     metrics::AgentMetrics,
-    serve::{AgentEdges, chosen_entries},
+    serve::{AgentClients, chosen_entries},
     transfer::TransferState,
 };
 
@@ -55,10 +57,10 @@
     order: Mutex<Option<WeightOrder>>,
     /// The connection over which the newest order came.
     order_giver: Mutex<Option<WireSender>>,
-    last_report: Mutex<Option<ToldReport>>,
+    last_report: Mutex<Option<SentReport>>,
     load: Mutex<LoadReport>,
     entries: Mutex<Vec<EntryLink>>,
-    known_entries: Mutex<EntryChoice>,
+    known_entries: Mutex<EntrySelector>,
     entries_changed: (Sender<()>, Receiver<()>),
     reports: AtomicU64,
     attempts: AtomicU64,
@@ -68,8 +70,12 @@
 
 impl EndpointShared {
     /// The state of a process that has just started.
-    pub(crate) fn new(settings: AgentSettings, edges: AgentEdges, metrics: AgentMetrics) -> Self {
-        let AgentEdges { engine, table, origin } = edges;
+    pub(crate) fn new(
+        settings: AgentSettings,
+        clients: AgentClients,
+        metrics: AgentMetrics,
+    ) -> Self {
+        let AgentClients { engine, table, origin } = clients;
         let now = Timestamp::now();
         let sources = chosen_entries(&settings);
         Self {
@@ -140,7 +146,7 @@
     }
 
     /// The last whole report, if every connected entry has it.
-    pub(crate) fn last_report(&self) -> MutexGuard<'_, Option<ToldReport>> {
+    pub(crate) fn last_report(&self) -> MutexGuard<'_, Option<SentReport>> {
         self.last_report.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
@@ -155,7 +161,7 @@
     }
 
     /// The entries that this agent may connect to.
-    pub(crate) fn entry_choice(&self) -> MutexGuard<'_, EntryChoice> {
+    pub(crate) fn entry_choice(&self) -> MutexGuard<'_, EntrySelector> {
         self.known_entries.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
@@ -223,7 +229,7 @@
     /// Messages to it.
     pub(crate) sender: WireSender,
     /// When it wants to hear the load.
-    pub(crate) pace: LoadPace,
+    pub(crate) pace: LoadSchedule,
 }
 
 /// An attempt that a graceful shutdown waits for.
--- a/crates/agent/src/transfer/stage.rs
+++ b/crates/agent/src/transfer/stage.rs
@@ -10,7 +10,7 @@
 use cassiawheel_decide::{ChunkPicker, ChunkSource, FetchOrder, PeerLocation, PickerSettings};
 use cassiawheel_model::{
     InstanceId, ManifestDigest, OriginPlace, RegionName, Timestamp, WeightManifest,
-    flags::set_positions, settings::TransferMode,
+    flags::iter_set_bits, settings::TransferMode,
 };
 use cassiawheel_runtime::{spawn, timeout};
 use cassiawheel_wire::message::WeightOrder;
@@ -79,10 +79,10 @@
     let Some(manifest) = pinned_manifest(shared, order).await.map(Arc::new) else {
         return Ok(false);
     };
-    let staged = shared.engine.stage(&manifest).await.context("staging cannot be opened")?;
+    let staged = shared.engine.open_staging(&manifest).await.context("staging cannot be opened")?;
     let bits = hex::decode(&staged.bits).context("the engine's list of chunks is damaged")?;
     let mut held = vec![false; manifest.chunks.len()];
-    for index in set_positions(&bits, held.len()) {
+    for index in iter_set_bits(&bits, held.len()) {
         held[index] = true;
     }
     shared.transfer.open(manifest.clone(), held.clone());
@@ -140,7 +140,7 @@
         return;
     };
     for manifest in status.staged.into_iter().filter(|manifest| !keep.contains(manifest)) {
-        if let Err(error) = shared.engine.drop_staging(manifest).await {
+        if let Err(error) = shared.engine.discard_staging(manifest).await {
             log::warn!(target: "transfer", manifest:% = manifest, cause:% = error; "Staging was not released.");
         }
     }
@@ -160,9 +160,9 @@
     let Some(manifest) = pinned_manifest(shared, order).await.map(Arc::new) else {
         return Ok(());
     };
-    let staged = shared.engine.stage(&manifest).await.context("staging cannot be opened")?;
+    let staged = shared.engine.open_staging(&manifest).await.context("staging cannot be opened")?;
     let bits = hex::decode(&staged.bits).context("the engine's list of chunks is damaged")?;
-    let whole = set_positions(&bits, manifest.chunks.len()).count() == manifest.chunks.len();
+    let whole = iter_set_bits(&bits, manifest.chunks.len()).count() == manifest.chunks.len();
     if whole {
         let held = vec![true; manifest.chunks.len()];
         shared.transfer.open(manifest, held);
--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use cassiawheel_model::{EndpointReport, EntryRecord, InstanceId, LoadRow, Timestamp};
+use cassiawheel_model::{EndpointReport, EntryRecord, InstanceId, LoadRecord, Timestamp};
 
 use crate::rank::subject_of;
 
@@ -29,11 +29,11 @@
 const MAX_LOAD_AGE_MS: u64 = 2_000;
 
 /// Number of a link within its process.
-pub type LinkNumber = u64;
+pub type LinkId = u64;
 
 /// Up to which change the other end of a link has been sent everything.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LinkMark {
+pub struct LinkCursor {
     state: u64,
     loads: u64,
 }
@@ -52,7 +52,7 @@
 struct KeptItem<T> {
     item: T,
     change: u64,
-    sources: Vec<LinkNumber>,
+    sources: Vec<LinkId>,
     heard_at: Timestamp,
 }
 
@@ -61,14 +61,14 @@
     load: u32,
     measured_at: Timestamp,
     change: u64,
-    source: Option<LinkNumber>,
+    source: Option<LinkId>,
 }
 
 /// How an item has come, and the number that it gets if it is new.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
     change: u64,
-    source: Option<LinkNumber>,
+    source: Option<LinkId>,
     now: Timestamp,
 }
 
@@ -90,7 +90,7 @@
         false
     }
 
-    fn is_due(&self, mark: u64, link: LinkNumber) -> bool {
+    fn is_due(&self, mark: u64, link: LinkId) -> bool {
         self.change > mark && !self.sources.contains(&link)
     }
 }
@@ -113,12 +113,12 @@
     pub fn merge_record(
         &mut self,
         record: EntryRecord,
-        source: Option<LinkNumber>,
+        source: Option<LinkId>,
         now: Timestamp,
     ) -> bool {
         let arrival = Arrival { change: self.changes + 1, source, now };
         let is_news = match self.records.get_mut(&record.instance) {
-            Some(known) => known.merge(record, EntryRecord::is_newer, arrival),
+            Some(known) => known.merge(record, EntryRecord::is_newer_than, arrival),
             None => insert_new(&mut self.records, record.instance.clone(), record, arrival),
         };
         self.changes += u64::from(is_news);
@@ -129,12 +129,12 @@
     pub fn merge_report(
         &mut self,
         report: EndpointReport,
-        source: Option<LinkNumber>,
+        source: Option<LinkId>,
         now: Timestamp,
     ) -> bool {
         let arrival = Arrival { change: self.changes + 1, source, now };
         let is_news = match self.reports.get_mut(&report.instance) {
-            Some(known) => known.merge(report, EndpointReport::is_newer, arrival),
+            Some(known) => known.merge(report, EndpointReport::is_newer_than, arrival),
             None => insert_new(&mut self.reports, report.instance.clone(), report, arrival),
         };
         self.changes += u64::from(is_news);
@@ -144,14 +144,14 @@
     /// Takes in a load; true if it was measured more than `step_ms` after the known one.
     pub fn merge_load(
         &mut self,
-        row: LoadRow,
+        row: LoadRecord,
         step_ms: u64,
-        source: Option<LinkNumber>,
+        source: Option<LinkId>,
         now: Timestamp,
     ) -> bool {
         let age_ms = u64::from(row.age_ms);
         let measured_at = Timestamp(now.0.saturating_sub(age_ms));
-        let known = self.loads.get(&row.subject);
+        let known = self.loads.get(&row.instance_hash);
         let is_later = known.is_none_or(|known| measured_at.0 > known.measured_at.0 + step_ms);
         let has_room = known.is_some() || self.loads.len() < 2 * MAX_KEPT;
         let is_news = is_later && has_room && age_ms < MAX_LOAD_AGE_MS;
@@ -159,7 +159,7 @@
             self.changes += 1;
             let change = self.changes;
             let known = KnownLoad { load: row.load, measured_at, change, source };
-            self.loads.insert(row.subject, known);
+            self.loads.insert(row.instance_hash, known);
         }
         is_news
     }
@@ -174,9 +174,9 @@
     /// Records and reports that `link` has to be sent, and its mark after that.
     pub fn state_since(
         &self,
-        mark: LinkMark,
-        link: LinkNumber,
-    ) -> (Vec<EntryRecord>, Vec<EndpointReport>, LinkMark) {
+        mark: LinkCursor,
+        link: LinkId,
+    ) -> (Vec<EntryRecord>, Vec<EndpointReport>, LinkCursor) {
         if mark.state == self.changes {
             return (Vec::new(), Vec::new(), mark);
         }
@@ -184,7 +184,7 @@
         let records = records.map(|kept| kept.item.clone()).collect();
         let reports = self.reports.values().filter(|kept| kept.is_due(mark.state, link));
         let reports = reports.map(|kept| kept.item.clone()).collect();
-        (records, reports, LinkMark { state: self.changes, ..mark })
+        (records, reports, LinkCursor { state: self.changes, ..mark })
     }
 
     /// Loads that `link` has to be sent, and its mark after that.
@@ -192,10 +192,10 @@
     /// Those that have waited longest go first if one message cannot hold them all.
     pub fn loads_since(
         &self,
-        mark: LinkMark,
-        link: LinkNumber,
+        mark: LinkCursor,
+        link: LinkId,
         now: Timestamp,
-    ) -> (Vec<LoadRow>, LinkMark) {
+    ) -> (Vec<LoadRecord>, LinkCursor) {
         let is_due = |known: &KnownLoad| known.change > mark.loads && known.source != Some(link);
         let mut due: Vec<_> = self.loads.iter().filter(|(_, known)| is_due(known)).collect();
         due.sort_unstable_by_key(|(_, known)| known.change);
@@ -205,13 +205,13 @@
         let loads = if is_cut { last } else { self.changes };
         let rows = due.into_iter().filter_map(|(subject, known)| {
             let age_ms = now.0.saturating_sub(known.measured_at.0);
-            (age_ms < MAX_LOAD_AGE_MS).then_some(LoadRow {
-                subject: *subject,
+            (age_ms < MAX_LOAD_AGE_MS).then_some(LoadRecord {
+                instance_hash: *subject,
                 load: known.load,
                 age_ms: age_ms as u32,
             })
         });
-        (rows.collect(), LinkMark { loads, ..mark })
+        (rows.collect(), LinkCursor { loads, ..mark })
     }
 
     /// All records.
--- a/crates/decide/src/versions.rs
+++ b/crates/decide/src/versions.rs
@@ -7,7 +7,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use cassiawheel_model::{
-    AgeSource, Deadline, ManifestDigest, ModelName, ModelVersion, NamedVersion, Timestamp,
+    AgeSource, Deadline, ManifestDigest, ModelName, ModelVersion, TargetVersion, Timestamp,
 };
 
 use crate::plan::{RolloutSchedule, ScheduledVersion};
@@ -40,7 +40,7 @@
     /// Records a named version; returns whether it or its manifest is new.
     ///
     /// `span` is the time from naming the version until no older one may answer.
-    pub fn record(&mut self, named: &NamedVersion, span: Duration, now: Timestamp) -> bool {
+    pub fn record(&mut self, named: &TargetVersion, span: Duration, now: Timestamp) -> bool {
         let named_at = Timestamp(now.0.saturating_sub(named.age_ms));
         let recorded = VersionRecord {
             number: named.number,
@@ -104,7 +104,7 @@
     }
 
     /// Returns all recorded versions with their age, to be sent to other processes.
-    pub fn named(&self, now: Timestamp) -> Vec<NamedVersion> {
+    pub fn named(&self, now: Timestamp) -> Vec<TargetVersion> {
         let of_model = |(model, versions): (&ModelName, &Vec<VersionRecord>)| {
             let named = versions.iter().map(|known| known.named(model, now));
             named.collect::<Vec<_>>()
@@ -144,8 +144,8 @@
         }
     }
 
-    fn named(&self, model: &str, now: Timestamp) -> NamedVersion {
-        NamedVersion {
+    fn named(&self, model: &str, now: Timestamp) -> TargetVersion {
+        TargetVersion {
             model: model.to_owned(),
             number: self.number,
             version: self.version.clone(),
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -11,7 +11,7 @@
 };
 
 use cassiawheel_decide::{
-    AdmitTicket, AdmitVerdict, AttemptEnd, CallerTurn, EndpointCell, EndpointPath, GateState,
+    AdmitTicket, AdmitTier, AdmitVerdict, AttemptFailure, EndpointPath, EndpointTracker, GateState,
     RepeatGuard, RetryBudget, RetryStep, RetryTracker, RouteCandidate, RouteQuery, RouteSnapshot,
     ServiceAdmission, ServiceRoutes,
 };
@@ -82,7 +82,7 @@
     admission: ServiceAdmission<usize>,
     budget: RetryBudget,
     snapshot: RouteSnapshot,
-    cells: Vec<Arc<EndpointCell>>,
+    cells: Vec<Arc<EndpointTracker>>,
     total: Arc<AtomicU32>,
 }
 
@@ -105,13 +105,13 @@
 
 impl Entry {
     fn new(service: &ServiceName, names: &[InstanceId]) -> Self {
-        let cells: Vec<_> = names.iter().map(|_| Arc::new(EndpointCell::default())).collect();
-        let candidate = |(name, cell): (&InstanceId, &Arc<EndpointCell>)| RouteCandidate {
+        let cells: Vec<_> = names.iter().map(|_| Arc::new(EndpointTracker::default())).collect();
+        let candidate = |(name, cell): (&InstanceId, &Arc<EndpointTracker>)| RouteCandidate {
             instance: name.clone(),
             version: None,
             is_near: false,
             path: EndpointPath::Agent,
-            cell: cell.clone(),
+            tracker: cell.clone(),
         };
         let candidates = names.iter().zip(&cells).map(candidate).collect();
         let total = Arc::new(AtomicU32::new(0));
@@ -187,7 +187,7 @@
             let in_flight = gate.in_progress();
             let load = LoadReport { in_flight, queued: 0, measured_at: stamp(self.now) };
             for entry in &self.entries {
-                entry.cells[endpoint].hear(&load, LIMIT);
+                entry.cells[endpoint].apply_report(&load, LIMIT);
             }
         }
     }
@@ -207,16 +207,16 @@
             workspace,
             priority,
             arrived: self.now,
-            tracker: RetryTracker::new(RepeatGuard::Nothing, deadline, 3),
+            tracker: RetryTracker::new(RepeatGuard::None, deadline, 3),
             excluded: Vec::new(),
         });
         self.count(self.requests.len() - 1, |counts| counts.arrived += 1.0);
         self.outcome.requests += 1;
         let (request, now) = (self.requests.len() - 1, stamp(self.now));
         let entry = &self.entries[entry];
-        entry.budget.earn();
+        entry.budget.deposit();
         let capacity = entry.capacity(&self.service, now);
-        if entry.admission.admit_now(CallerTurn::Fresh, capacity) {
+        if entry.admission.try_admit(AdmitTier::Fresh, capacity) {
             self.admitted.push_back(request);
             return;
         }
@@ -224,7 +224,7 @@
             workspace: WorkspaceId::new(&format!("workspace-{workspace}")).expect("a workspace"),
             priority,
             deadline,
-            turn: CallerTurn::Fresh,
+            tier: AdmitTier::Fresh,
         };
         let admitted = &mut self.admitted;
         let notify = |request, verdict| {
@@ -233,7 +233,7 @@
             }
             true
         };
-        entry.admission.wait(&ticket, request, capacity, now, notify);
+        entry.admission.enqueue(&ticket, request, capacity, now, notify);
     }
 
     fn try_once(&mut self, number: usize) {
@@ -245,7 +245,7 @@
             prefix: None,
             version: None,
             allowed: None,
-            extra_room: 0,
+            extra_capacity: 0,
             max_in_flight: LIMIT,
             now: stamp(self.now),
         };
@@ -255,18 +255,18 @@
         let name = choice.candidate.instance.clone();
         let endpoint = self.names.iter().position(|n| *n == name).expect("an endpoint");
         request.excluded.push(name);
-        request.tracker.begin();
+        request.tracker.begin_attempt();
         self.outcome.attempts += 1;
         match self.gates[endpoint].acquire(PresetRevision(1), None) {
             Ok(_) => {
-                entry.cells[endpoint].begin();
+                entry.cells[endpoint].acquire();
                 entry.total.fetch_add(1, Ordering::Relaxed);
                 let work = self.rng.random_range(WORK_MS - 80..=WORK_MS + 80);
                 let done = Event::Done { request: number, endpoint };
                 self.events.push(Reverse((self.now + work, done)));
             }
             Err(reason) => {
-                entry.cells[endpoint].refuse(stamp(self.now));
+                entry.cells[endpoint].record_refusal(stamp(self.now));
                 self.after(number, reason);
             }
         }
@@ -275,9 +275,9 @@
     fn after(&mut self, number: usize, reason: NotRunReason) {
         let request = &mut self.requests[number];
         let budget = &self.entries[request.entry].budget;
-        let end = AttemptEnd::NotRun(reason);
-        match request.tracker.after(end, budget, stamp(self.now), &mut self.rng) {
-            RetryStep::Again(at) | RetryStep::Reroute(at) => {
+        let end = AttemptFailure::NotRun(reason);
+        match request.tracker.next_step(end, budget, stamp(self.now), &mut self.rng) {
+            RetryStep::Retry(at) | RetryStep::Reroute(at) => {
                 let at = (at.0 - START).max(self.now + 1);
                 self.events.push(Reverse((at, Event::Try { request: number })));
             }
@@ -288,8 +288,8 @@
     fn done(&mut self, number: usize, endpoint: usize) {
         self.gates[endpoint].release();
         let entry = &self.entries[self.requests[number].entry];
-        entry.cells[endpoint].succeed();
-        entry.cells[endpoint].end();
+        entry.cells[endpoint].record_success();
+        entry.cells[endpoint].release();
         entry.total.fetch_sub(1, Ordering::Relaxed);
         if self.now <= self.requests[number].arrived + DEADLINE_MS {
             self.count(number, |counts| counts.in_time += 1.0);
--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cassiawheel_model::{ForcedPreset, ListedRow, NamedVersion};
+use cassiawheel_model::{ForcedPreset, ListedRow, TargetVersion};
 
 use crate::{EdgeFuture, StoreError};
 
@@ -48,13 +48,13 @@
     /// The preset in force.
     Preset(Box<ForcedPreset>),
     /// A version that was named for a model.
-    Version(NamedVersion),
+    Version(TargetVersion),
     /// A row that cannot be read; the text says why.
-    Damaged(String),
+    Invalid(String),
 }
 
 /// The operators' rows.
 pub type OperatorFeed = dyn FeedSource<Row = OperatorRow>;
 
 /// The list of endpoints.
-pub type ListingFeed = dyn FeedSource<Row = ListedRow>;
+pub type EndpointFeed = dyn FeedSource<Row = ListedRow>;
--- a/crates/entry/src/admin/reply.rs
+++ b/crates/entry/src/admin/reply.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cassiawheel_model::{FindingList, FindingPlace, record};
+use cassiawheel_model::{FindingList, InputFinding, record};
 use cassiawheel_runtime::http::{BodyError, ReplyBody, error_reply, json_reply, read_body_within};
 use hyper::{Response, StatusCode, body::Incoming};
 use macro_rules_attribute::apply;
@@ -21,15 +21,15 @@
 struct FindingsReply {
     error: String,
     message: String,
-    findings: Vec<FindingPlace>,
+    findings: Vec<InputFinding>,
 }
 
 /// The refusal of a body with findings.
 pub(super) fn findings_reply(findings: &FindingList) -> Response<ReplyBody> {
     let reply = FindingsReply {
         error: "findings".to_owned(),
-        message: format!("nothing was stored; the body has {} findings", findings.places().len()),
-        findings: findings.places().to_vec(),
+        message: format!("nothing was stored; the body has {} findings", findings.as_slice().len()),
+        findings: findings.as_slice().to_vec(),
     };
     json_reply(StatusCode::UNPROCESSABLE_ENTITY, &reply)
 }
@@ -45,8 +45,8 @@
             let message = format!("the body is longer than {MAX_BODY_BYTES} bytes");
             error_reply(StatusCode::PAYLOAD_TOO_LARGE, "too-long", message)
         }
-        BodyError::Cut => error_reply(StatusCode::BAD_REQUEST, "cut", "the body ended early"),
-        BodyError::Slow => {
+        BodyError::Truncated => error_reply(StatusCode::BAD_REQUEST, "cut", "the body ended early"),
+        BodyError::TimedOut => {
             let message = format!("the body did not arrive within {span:?}");
             error_reply(StatusCode::REQUEST_TIMEOUT, "slow", message)
         }
@@ -59,7 +59,7 @@
 }
 
 /// Reads an identifier of the path.
-pub(super) fn text_id<T>(what: &str, text: &str) -> Result<T, Response<ReplyBody>>
+pub(super) fn parse_id<T>(what: &str, text: &str) -> Result<T, Response<ReplyBody>>
 where
     T: std::str::FromStr<Err: std::fmt::Display>,
 {
@@ -67,7 +67,7 @@
 }
 
 /// The refusal that an error about presets leads to.
-pub(super) fn failed(error: PresetError) -> Response<ReplyBody> {
+pub(super) fn preset_error_reply(error: PresetError) -> Response<ReplyBody> {
     let (status, code) = match &error {
         PresetError::Store(_) => (StatusCode::SERVICE_UNAVAILABLE, "store"),
         PresetError::Manifest { .. } => (StatusCode::UNPROCESSABLE_ENTITY, "manifest"),
--- a/crates/entry/src/caller/lost.rs
+++ b/crates/entry/src/caller/crash_detection.rs
@@ -8,26 +8,28 @@
 
 use std::{io::ErrorKind, net::SocketAddr, time::Duration};
 
-use cassiawheel_decide::{AttemptEnd, CrashVerdict, EndpointPath, rank::subject_of};
-use cassiawheel_model::{CrashEvent, CrashRow, InstanceId, NotRunReason, RequestDigest, Timestamp};
+use cassiawheel_decide::{AttemptFailure, CrashVerdict, EndpointPath, rank::subject_of};
+use cassiawheel_model::{
+    CrashEvent, CrashRecord, InstanceId, NotRunReason, RequestDigest, Timestamp,
+};
 use cassiawheel_runtime::{dial, timeout};
 use smol::Timer;
 
 use super::identify::IdentifiedRequest;
 use crate::{
     crashes::{SuspectRun, suspect_rank},
-    routed::RoutedInterface,
+    routed::RoutedState,
     shared::EntryShared,
 };
 
 /// Time in which an address of another region refuses a connection.
-const PROBE_TIME: Duration = Duration::from_millis(100);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time between looks whether the run of a suspect may begin.
-const TURN_TIME: Duration = Duration::from_millis(20);
+const TURN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Where a request runs.
-pub(super) struct RunPlace {
+pub(super) struct RunTarget {
     /// The endpoint.
     pub(super) instance: InstanceId,
     /// How it is reached.
@@ -37,29 +39,30 @@
 /// A run that ended without a whole answer.
 pub(super) struct LostRun<'a> {
     /// Where it ran.
-    pub(super) place: &'a RunPlace,
+    pub(super) target: &'a RunTarget,
     /// Whether some bytes of the answer had come.
     pub(super) answering: bool,
     /// How it ended.
-    pub(super) end: &'a AttemptEnd,
+    pub(super) end: &'a AttemptFailure,
 }
 
 /// Notes that an endpoint ended under a request, if that is how the run ended.
-pub(super) async fn note_lost(
+pub(super) async fn record_lost_run(
     shared: &EntryShared,
     request: &IdentifiedRequest,
     lost: LostRun<'_>,
 ) {
-    let (AttemptEnd::Lost(cause), EndpointPath::Direct(addr)) = (lost.end, lost.place.path) else {
+    let (AttemptFailure::Lost(cause), EndpointPath::Direct(addr)) = (lost.end, lost.target.path)
+    else {
         return;
     };
     let Some(routed) = &shared.routed else {
         return;
     };
     let ended_at = Timestamp::now();
-    let instance = &lost.place.instance;
+    let instance = &lost.target.instance;
     let digest = request.digest();
-    let has_ended = !leaves(routed, instance) && refuses(addr).await;
+    let has_ended = !has_left(routed, instance) && refuses_connections(addr).await;
     log::info!(target: "direct", request:% = request.head.id, digest:% = digest, endpoint:% = instance, answering = lost.answering, ended = has_ended, cause:% = cause; "An endpoint was lost under a request.");
     if has_ended {
         let endpoint = subject_of(instance.as_str());
@@ -72,7 +75,7 @@
 }
 
 /// Notes that a request was answered whole, if endpoints have ended under it.
-pub(super) fn note_answered(shared: &EntryShared, request: &IdentifiedRequest) {
+pub(super) fn record_answered(shared: &EntryShared, request: &IdentifiedRequest) {
     let Some(routed) = shared.routed.as_ref().filter(|routed| !routed.crashes.is_empty()) else {
         return;
     };
@@ -82,26 +85,26 @@
     }
 }
 
-fn note(routed: &RoutedInterface, digest: RequestDigest, event: CrashEvent, at: Timestamp) {
+fn note(routed: &RoutedState, digest: RequestDigest, event: CrashEvent, at: Timestamp) {
     let now = Timestamp::now();
-    let row = CrashRow { digest, event, age_ms: now.since(at).as_millis() as u32 };
+    let row = CrashRecord { digest, event, age_ms: now.since(at).as_millis() as u32 };
     let mut state = routed.overlay.lock();
-    if state.crashes.note(row, None, now) {
-        routed.crashes.learn(&state.crashes, &[row], None);
+    if state.crashes.record(row, None, now) {
+        routed.crashes.apply_rows(&state.crashes, &[row], None);
         drop(state);
-        routed.overlay.note_change();
+        routed.overlay.notify_change();
     }
 }
 
 /// Whether an endpoint leaves as planned, or has left.
-fn leaves(routed: &RoutedInterface, instance: &InstanceId) -> bool {
+fn has_left(routed: &RoutedState, instance: &InstanceId) -> bool {
     let listing = routed.listing();
     !listing.endpoints().any(|listed| listed.instance == *instance && !listed.is_leaving)
 }
 
 /// Whether `addr` refuses connections; false if it does not answer in time.
-async fn refuses(addr: SocketAddr) -> bool {
-    let dialled = timeout(PROBE_TIME, dial(addr, None)).await;
+async fn refuses_connections(addr: SocketAddr) -> bool {
+    let dialled = timeout(PROBE_TIMEOUT, dial(addr, None)).await;
     matches!(dialled, Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
@@ -153,14 +156,14 @@
                 refuse_barred(shared, request)?;
                 return Ok(None);
             }
-            Some(verdict) if verdict.turn_at(rank, entries).is_past(now) => {
-                if let Some(run) = routed.crashes.begin_suspect(digest) {
+            Some(verdict) if verdict.not_before(rank, entries).is_past(now) => {
+                if let Some(run) = routed.crashes.begin_suspect_run(digest) {
                     note(routed, digest, CrashEvent::Begun, now);
                     return Ok(Some(run));
                 }
             }
             Some(_) => {}
         }
-        Timer::after(TURN_TIME).await;
+        Timer::after(TURN_CHECK_INTERVAL).await;
     }
 }
--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use cassiawheel_decide::{AttemptEnd, EndpointCell, EndpointPath, RepeatGuard};
-use cassiawheel_edge::{EndpointLeg, ToldLoad};
+use cassiawheel_decide::{AttemptFailure, EndpointPath, EndpointTracker, RepeatGuard};
+use cassiawheel_edge::{ForwardMetadata, ReportedLoad};
 use cassiawheel_model::{
     Deadline, HeaderField, InstanceId, LoadReport, ModelVersion, NotRunReason, PresetRevision,
     Repeatability, RequestHead, Timestamp,
@@ -24,7 +24,7 @@
 use crate::{
     direct::{DirectPart, DirectStream, DirectTarget},
     link::{AgentLink, LinkStream},
-    routed::RoutedInterface,
+    routed::RoutedState,
     shared::EntryShared,
 };
 
@@ -41,7 +41,7 @@
 }
 
 /// The head of an answer and the stream of its rest.
-pub(super) struct AnswerHead {
+pub(super) struct ResponseHead {
     pub(super) stream: AttemptStream,
     pub(super) status: u16,
     pub(super) headers: HeaderMap,
@@ -51,7 +51,7 @@
 }
 
 /// One step of an answer.
-pub(crate) enum AnswerPart {
+pub(crate) enum ResponsePart {
     /// Some bytes.
     Data(Bytes),
     /// The end, and the length of all parts where the sender tells it.
@@ -69,7 +69,7 @@
 /// The rest of an answer; dropping it tells the endpoint that nobody waits.
 pub(crate) struct AttemptStream {
     kind: StreamKind,
-    peeked: Option<AnswerPart>,
+    peeked: Option<ResponsePart>,
     has_data: bool,
 }
 
@@ -84,28 +84,28 @@
     }
 
     /// The next part.
-    pub(crate) async fn next(&mut self) -> AnswerPart {
+    pub(crate) async fn next(&mut self) -> ResponsePart {
         if let Some(part) = self.peeked.take() {
             return part;
         }
         let part = self.read().await;
-        self.has_data |= matches!(part, AnswerPart::Data(_));
+        self.has_data |= matches!(part, ResponsePart::Data(_));
         part
     }
 
-    async fn read(&mut self) -> AnswerPart {
+    async fn read(&mut self) -> ResponsePart {
         match &mut self.kind {
-            StreamKind::Link(stream) => next_of_link(stream).await,
+            StreamKind::Link(stream) => next_link_part(stream).await,
             StreamKind::Direct(stream) => match stream.next().await {
-                DirectPart::Data(bytes) => AnswerPart::Data(bytes),
-                DirectPart::End => AnswerPart::End(None),
-                DirectPart::Cut(detail) => AnswerPart::Cut(detail),
+                DirectPart::Data(bytes) => ResponsePart::Data(bytes),
+                DirectPart::End => ResponsePart::End(None),
+                DirectPart::Cut(detail) => ResponsePart::Cut(detail),
             },
         }
     }
 
     /// Looks at the next part without taking it.
-    async fn peek(&mut self) -> &AnswerPart {
+    async fn peek(&mut self) -> &ResponsePart {
         let part = match self.peeked.take() {
             Some(part) => part,
             None => self.next().await,
@@ -114,39 +114,39 @@
     }
 }
 
-async fn next_of_link(stream: &mut LinkStream) -> AnswerPart {
+async fn next_link_part(stream: &mut LinkStream) -> ResponsePart {
     match stream.next().await {
         Some(RequestMessage::Data { bytes, .. }) => {
-            stream.grant(bytes.len()).await;
-            AnswerPart::Data(Bytes::from(bytes))
+            stream.grant_credit(bytes.len()).await;
+            ResponsePart::Data(Bytes::from(bytes))
         }
-        Some(RequestMessage::End { bytes, .. }) => AnswerPart::End(Some(bytes)),
-        Some(RequestMessage::Failed { detail, .. }) => AnswerPart::Cut(detail),
-        Some(_) => AnswerPart::Cut("an unexpected message arrived".to_owned()),
-        None => AnswerPart::Cut("the connection to the endpoint was lost".to_owned()),
+        Some(RequestMessage::End { bytes, .. }) => ResponsePart::End(Some(bytes)),
+        Some(RequestMessage::Failed { detail, .. }) => ResponsePart::Cut(detail),
+        Some(_) => ResponsePart::Cut("an unexpected message arrived".to_owned()),
+        None => ResponsePart::Cut("the connection to the endpoint was lost".to_owned()),
     }
 }
 
 /// Measures how long an answer takes to begin, also if nobody waits for it any more.
-struct DelayWatch<'a> {
-    cell: &'a EndpointCell,
+struct LatencyTimer<'a> {
+    cell: &'a EndpointTracker,
     started_at: Timestamp,
     answered: bool,
 }
 
-impl<'a> DelayWatch<'a> {
-    fn start(cell: &'a EndpointCell) -> Self {
+impl<'a> LatencyTimer<'a> {
+    fn start(cell: &'a EndpointTracker) -> Self {
         let started_at = Timestamp::now();
-        cell.await_answer(started_at);
+        cell.record_sent(started_at);
         Self { cell, started_at, answered: false }
     }
 }
 
-impl Drop for DelayWatch<'_> {
+impl Drop for LatencyTimer<'_> {
     fn drop(&mut self) {
         let now = Timestamp::now();
         let delay_ms = now.since(self.started_at).as_millis() as u64;
-        self.cell.note_delay(delay_ms, self.answered, now);
+        self.cell.record_delay(delay_ms, self.answered, now);
     }
 }
 
@@ -155,75 +155,75 @@
     shared: &EntryShared,
     path: EndpointPath,
     sent: DispatchedRequest<'_>,
-    cell: &EndpointCell,
-    begin_by: Option<Deadline>,
-) -> Result<AnswerHead, AttemptEnd> {
-    let mut watch = DelayWatch::start(cell);
-    let beginning = begin(shared, path, &sent, cell);
-    let begun = match begin_by.filter(|_| sent.head.repeat == Repeatability::Idempotent) {
+    cell: &EndpointTracker,
+    start_by: Option<Deadline>,
+) -> Result<ResponseHead, AttemptFailure> {
+    let mut timer = LatencyTimer::start(cell);
+    let starting = send_and_await_start(shared, path, &sent, cell);
+    let response = match start_by.filter(|_| sent.head.repeat == Repeatability::Idempotent) {
         // A request may wait in the engine's queue until the engine's version may
         // not answer any more. It is taken back before, while others can answer.
-        Some(begin_by) => {
+        Some(start_by) => {
             let late =
-                || Err(AttemptEnd::Unknown("its version may not answer any more".to_owned()));
-            let left = begin_by.remaining(Timestamp::now());
-            timeout(left, beginning).await.unwrap_or_else(late)?
+                || Err(AttemptFailure::Unknown("its version may not answer any more".to_owned()));
+            let left = start_by.remaining(Timestamp::now());
+            timeout(left, starting).await.unwrap_or_else(late)?
         }
-        None => beginning.await?,
+        None => starting.await?,
     };
-    watch.answered = true;
-    Ok(begun)
+    timer.answered = true;
+    Ok(response)
 }
 
 /// Sends an attempt; done once its answer has begun as far as it has to be known.
-async fn begin(
+async fn send_and_await_start(
     shared: &EntryShared,
     path: EndpointPath,
     sent: &DispatchedRequest<'_>,
-    cell: &EndpointCell,
-) -> Result<AnswerHead, AttemptEnd> {
-    let mut begun = match (path, &shared.routed) {
+    cell: &EndpointTracker,
+) -> Result<ResponseHead, AttemptFailure> {
+    let mut response = match (path, &shared.routed) {
         (EndpointPath::Agent, _) => {
             let link = shared.links.load().get(sent.instance).cloned();
-            through_agent(link, sent.head, &sent.request.body).await?
+            dispatch_through_agent(link, sent.head, &sent.request.body).await?
         }
         (EndpointPath::Direct(addr), Some(routed)) => {
             let target = DirectTarget { instance: sent.instance, addr };
-            straight(routed, target, sent, cell).await?
+            dispatch_direct(routed, target, sent, cell).await?
         }
         // Only the list gives such paths, and nobody follows it then.
         (EndpointPath::Direct(_), None) => {
-            return Err(AttemptEnd::NotRun(NotRunReason::NoEndpoint));
+            return Err(AttemptFailure::NotRun(NotRunReason::NoEndpoint));
         }
     };
     if sent.head.repeat == Repeatability::Idempotent {
-        await_first_part(&mut begun.stream, sent.head).await?;
+        await_first_part(&mut response.stream, sent.head).await?;
     }
-    Ok(begun)
+    Ok(response)
 }
 
-async fn straight(
-    routed: &RoutedInterface,
+async fn dispatch_direct(
+    routed: &RoutedState,
     target: DirectTarget<'_>,
     sent: &DispatchedRequest<'_>,
-    cell: &EndpointCell,
-) -> Result<AnswerHead, AttemptEnd> {
+    cell: &EndpointTracker,
+) -> Result<ResponseHead, AttemptFailure> {
     let head = sent.head;
-    let leg = EndpointLeg {
+    let leg = ForwardMetadata {
         request: &head.id,
         endpoint: target.instance,
-        left: head.deadline.remaining(Timestamp::now()),
+        remaining: head.deadline.remaining(Timestamp::now()),
         workspace: sent.request.workspace.as_ref(),
         version: head.version.as_ref(),
         last_event: sent.last_event,
-        may_wait: false,
+        is_low_priority: false,
     };
     let (fields, body) = (&sent.request.fields, &sent.request.body);
     let answer = routed.direct.send(target, head, fields, body, &leg).await?;
     if let Some(load) = answer.marks.load {
-        cell.hear(&load_report(load), cell.hard_limit());
+        cell.apply_report(&load_report(load), cell.hard_limit());
     }
-    Ok(AnswerHead {
+    Ok(ResponseHead {
         status: answer.parts.status.as_u16(),
         headers: routed.callers.end_to_end(&answer.parts.headers),
         stream: AttemptStream::new(StreamKind::Direct(Box::new(answer.stream))),
@@ -233,18 +233,18 @@
     })
 }
 
-fn load_report(load: ToldLoad) -> LoadReport {
+fn load_report(load: ReportedLoad) -> LoadReport {
     LoadReport { in_flight: load.running, queued: load.waiting, measured_at: Timestamp::now() }
 }
 
-async fn through_agent(
+async fn dispatch_through_agent(
     link: Option<Arc<AgentLink>>,
     routed: &RequestHead,
     body: &Bytes,
-) -> Result<AnswerHead, AttemptEnd> {
-    let link = link.ok_or(AttemptEnd::NotRun(NotRunReason::ConnectFailed))?;
+) -> Result<ResponseHead, AttemptFailure> {
+    let link = link.ok_or(AttemptFailure::NotRun(NotRunReason::ConnectFailed))?;
     let sent = link.dispatch(routed.clone(), body).await;
-    let stream = sent.map_err(AttemptEnd::NotRun)?;
+    let stream = sent.map_err(AttemptFailure::NotRun)?;
     await_head(stream, routed).await
 }
 
@@ -256,22 +256,22 @@
 async fn await_first_part(
     stream: &mut AttemptStream,
     routed: &RequestHead,
-) -> Result<(), AttemptEnd> {
+) -> Result<(), AttemptFailure> {
     let span = routed.deadline.remaining(Timestamp::now());
     match timeout(span, stream.peek()).await {
-        Some(AnswerPart::Cut(detail)) => Err(AttemptEnd::Lost(detail.clone())),
-        Some(AnswerPart::Data(_) | AnswerPart::End(_)) => Ok(()),
-        None => Err(AttemptEnd::Unknown("no answer before the deadline".to_owned())),
+        Some(ResponsePart::Cut(detail)) => Err(AttemptFailure::Lost(detail.clone())),
+        Some(ResponsePart::Data(_) | ResponsePart::End(_)) => Ok(()),
+        None => Err(AttemptFailure::Unknown("no answer before the deadline".to_owned())),
     }
 }
 
 async fn await_head(
     mut stream: LinkStream,
     routed: &RequestHead,
-) -> Result<AnswerHead, AttemptEnd> {
+) -> Result<ResponseHead, AttemptFailure> {
     let span = routed.deadline.remaining(Timestamp::now());
     let Some(message) = timeout(span, stream.next()).await else {
-        return Err(AttemptEnd::Unknown("no answer before the deadline".to_owned()));
+        return Err(AttemptFailure::Unknown("no answer before the deadline".to_owned()));
     };
     match message {
         Some(RequestMessage::Head {
@@ -288,20 +288,20 @@
             // version would give its caller somebody else's answer. A recorded
             // answer names the version that gave it, which may have left since.
             if request != routed.id || (!replayed && version != routed.version) {
-                return Err(AttemptEnd::Unknown("the answer belongs elsewhere".to_owned()));
+                return Err(AttemptFailure::Unknown("the answer belongs elsewhere".to_owned()));
             }
             let headers = header_map(&headers, content_type.as_deref());
             let stream = AttemptStream::new(StreamKind::Link(stream));
-            Ok(AnswerHead { stream, status, headers, version, revision, replayed })
+            Ok(ResponseHead { stream, status, headers, version, revision, replayed })
         }
-        Some(RequestMessage::Refused { reason, .. }) => Err(AttemptEnd::NotRun(reason)),
+        Some(RequestMessage::Refused { reason, .. }) => Err(AttemptFailure::NotRun(reason)),
         Some(RequestMessage::Failed { detail, .. }) => Err(match RepeatGuard::of(routed) {
             // Other agents would find the same claim and let its caller wait.
-            RepeatGuard::Claimed => AttemptEnd::Unanswered(detail),
-            RepeatGuard::Idempotent | RepeatGuard::Nothing => AttemptEnd::Unknown(detail),
+            RepeatGuard::Claimed => AttemptFailure::Unanswered(detail),
+            RepeatGuard::Idempotent | RepeatGuard::None => AttemptFailure::Unknown(detail),
         }),
-        Some(_) => Err(AttemptEnd::Unknown("the answer has no head".to_owned())),
-        None => Err(AttemptEnd::Unknown("the connection to the endpoint was lost".to_owned())),
+        Some(_) => Err(AttemptFailure::Unknown("the answer has no head".to_owned())),
+        None => Err(AttemptFailure::Unknown("the connection to the endpoint was lost".to_owned())),
     }
 }
 
--- a/crates/entry/src/caller/identify.rs
+++ b/crates/entry/src/caller/identify.rs
@@ -3,8 +3,8 @@
 use std::{sync::OnceLock, time::Duration};
 
 use bytes::Bytes;
-use cassiawheel_decide::{CallerTurn, affinity::prefix_of, identity::repeatability};
-use cassiawheel_edge::engine_http::end_to_end_fields;
+use cassiawheel_decide::{AdmitTier, affinity::prefix_digest, idempotency::repeatability};
+use cassiawheel_edge::engine_http::end_to_end_headers;
 use cassiawheel_model::{
     Deadline, PresetRevision, PriorityClass, RequestDigest, RequestHead, RequestKey, ServiceName,
     Timestamp, WorkspaceId,
@@ -16,7 +16,7 @@
 use crate::shared::EntryShared;
 
 /// Time for a body whose deadline is past or near; its caller is then told so.
-const MIN_BODY_TIME: Duration = Duration::from_secs(1);
+const MIN_BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Header that names the caller's workspace.
 pub(crate) const WORKSPACE_HEADER: &str = "cassiawheel-workspace";
@@ -49,20 +49,20 @@
     /// Until when an answer should begin, which bounds the wait for admission.
     pub(crate) admit_by: Deadline,
     /// How its answer goes to the caller.
-    pub(crate) form: AnswerForm,
+    pub(crate) form: ResponseForm,
     /// The last event that the caller has.
     pub(crate) last_event: Option<u64>,
     /// Whether its caller asks for the first time, as far as that shows.
-    pub(crate) turn: CallerTurn,
+    pub(crate) turn: AdmitTier,
 }
 
 /// How an answer goes to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum AnswerForm {
+pub(crate) enum ResponseForm {
     /// With its outcome in fields of ours.
     WithOutcome,
     /// As the endpoint gave it.
-    Unchanged,
+    Passthrough,
     /// As the endpoint gave it, event by event.
     Events,
 }
@@ -75,7 +75,7 @@
 
     /// Whether endpoints are reached without an agent between.
     pub(crate) fn is_direct(&self) -> bool {
-        self.form != AnswerForm::WithOutcome
+        self.form != ResponseForm::WithOutcome
     }
 }
 
@@ -113,7 +113,7 @@
             .map_err(|error| BadRequest::new(WORKSPACE_HEADER, error))?,
     };
     let mut head = RequestHead {
-        id: shared.next_request().map_err(|error| BadRequest::new("request", error))?,
+        id: shared.next_request_id().map_err(|error| BadRequest::new("request", error))?,
         workspace,
         service,
         priority: priority(&parts.headers)?,
@@ -123,7 +123,7 @@
         method: parts.method.to_string(),
         path,
         content_type: parse(&parts.headers, CONTENT_TYPE.as_str())?,
-        headers: end_to_end_fields(&parts.headers),
+        headers: end_to_end_headers(&parts.headers),
         prefix: None,
         revision: PresetRevision::default(),
         version: None,
@@ -131,20 +131,20 @@
     // A caller that stalls in the middle of its body would hold its connection
     // for as long as it likes.
     let limit = Duration::from_millis(shared.settings.limits.body_ms);
-    let span = limit.min(head.deadline.remaining(Timestamp::now()).max(MIN_BODY_TIME));
+    let span = limit.min(head.deadline.remaining(Timestamp::now()).max(MIN_BODY_TIMEOUT));
     let body = read_body_within(body, settings.max_body_bytes, span).await;
     let body = body.map_err(|error| match error {
         BodyError::TooLong => BadRequest {
             status: StatusCode::PAYLOAD_TOO_LARGE,
             message: format!("body: longer than {} bytes", settings.max_body_bytes),
         },
-        BodyError::Cut => BadRequest::new("body", "ended early"),
-        BodyError::Slow => BadRequest {
+        BodyError::Truncated => BadRequest::new("body", "ended early"),
+        BodyError::TimedOut => BadRequest {
             status: StatusCode::REQUEST_TIMEOUT,
             message: format!("body: did not arrive within {span:?}"),
         },
     })?;
-    head.prefix = prefix_of(&body, settings.prefix_bytes);
+    head.prefix = prefix_digest(&body, settings.prefix_bytes);
     Ok(IdentifiedRequest {
         workspace: Some(head.workspace.clone()),
         admit_by: head.deadline,
@@ -153,9 +153,9 @@
         digest: OnceLock::new(),
         fields: HeaderMap::new(),
         max_attempts: settings.max_attempts,
-        form: AnswerForm::WithOutcome,
+        form: ResponseForm::WithOutcome,
         last_event: None,
-        turn: CallerTurn::Fresh,
+        turn: AdmitTier::Fresh,
     })
 }
 
--- /dev/null
+++ b/crates/entry/src/caller/passthrough.rs
@@ -0,0 +1,84 @@
+//! Answers that go to the caller as the endpoint gave them.
+//!
+//! An answer of one body is read as a whole first. One that breaks off is so
+//! noticed before anything was sent: an idempotent request is answered by
+//! another endpoint, and the caller of any other gets an error in place of a
+//! connection that ends.
+
+use bytes::{Bytes, BytesMut};
+use cassiawheel_decide::AttemptFailure;
+use cassiawheel_model::{OutcomeKind, Timestamp};
+use cassiawheel_runtime::{
+    http::{ReplyBody, full_body},
+    timeout,
+};
+use hyper::{Response, StatusCode};
+
+use super::{
+    RequestGuard,
+    attempts::{FailedRequest, RequestAttempts, StartedResponse},
+    dispatch::ResponsePart,
+    routed::failure_reply,
+};
+
+/// Largest answer that is read as a whole, in bytes; far above those of plain services.
+const MAX_WHOLE_BYTES: usize = 4 << 20;
+
+/// Reads an answer and passes it on; asks another endpoint if it breaks off.
+pub(super) async fn whole_reply(
+    guard: RequestGuard,
+    mut attempts: RequestAttempts,
+    mut response: StartedResponse,
+) -> Response<ReplyBody> {
+    loop {
+        let end = match read_whole(&attempts, &mut response).await {
+            Ok(body) => {
+                attempts.record_answered();
+                guard.count_outcome(OutcomeKind::Complete);
+                return reply_with(&response, full_body(body));
+            }
+            Err(end) => end,
+        };
+        match attempts.retry_cut(&response, None, end).await {
+            Ok(next) => response = next,
+            Err(failed) => return fail(&guard, &attempts, &failed),
+        }
+    }
+}
+
+/// The head of an answer with its body.
+pub(super) fn reply_with(response: &StartedResponse, body: ReplyBody) -> Response<ReplyBody> {
+    let mut reply = Response::new(body);
+    *reply.status_mut() = StatusCode::from_u16(response.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    *reply.headers_mut() = response.headers.clone();
+    reply
+}
+
+fn fail(
+    guard: &RequestGuard,
+    attempts: &RequestAttempts,
+    failed: &FailedRequest,
+) -> Response<ReplyBody> {
+    guard.count_outcome(failed.outcome.kind());
+    failure_reply(attempts.head(), failed)
+}
+
+async fn read_whole(
+    attempts: &RequestAttempts,
+    response: &mut StartedResponse,
+) -> Result<Bytes, AttemptFailure> {
+    let mut whole = BytesMut::new();
+    loop {
+        let span = attempts.head().deadline.remaining(Timestamp::now());
+        match timeout(span, response.stream.next()).await {
+            Some(ResponsePart::Data(bytes)) => whole.extend_from_slice(&bytes),
+            Some(ResponsePart::End(_)) => return Ok(whole.freeze()),
+            Some(ResponsePart::Cut(detail)) => return Err(AttemptFailure::Lost(detail)),
+            None => return Err(AttemptFailure::Unknown("the deadline was reached".to_owned())),
+        }
+        if whole.len() > MAX_WHOLE_BYTES {
+            let detail = format!("the answer has more than {MAX_WHOLE_BYTES} bytes");
+            return Err(AttemptFailure::Unknown(detail));
+        }
+    }
+}
--- a/crates/entry/src/caller/routed.rs
+++ b/crates/entry/src/caller/routed.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{CallerIndex, CallerTurn, advise, draw_service};
+use cassiawheel_decide::{AdmitTier, CallerIndex, advise, pick_service};
 use cassiawheel_edge::CallerHead;
 use cassiawheel_model::{
     NotRunReason, OutcomeKind, PresetRevision, PriorityClass, Repeatability, RequestHead,
@@ -24,30 +24,30 @@
 use rand::Rng;
 
 use super::{
-    InFlight, admit, advisable,
-    attempts::{BegunAnswer, FailedRequest, RequestAttempts},
-    events,
-    identify::{AnswerForm, IdentifiedRequest},
-    lost, outcome, unchanged,
+    RequestGuard, admit, advice_candidates,
+    attempts::{FailedRequest, RequestAttempts, StartedResponse},
+    crash_detection, events,
+    identify::{IdentifiedRequest, ResponseForm},
+    outcome, passthrough,
 };
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Workspace of requests that carry no key.
-const NO_WORKSPACE: &str = "public";
+const PUBLIC_WORKSPACE: &str = "public";
 
 /// When a caller should come back that was refused for want of room.
 ///
 /// Whoever comes back has missed the aim in any case, so that the wait costs
 /// nothing but gives the crowd time to pass: engines that lost their weights
 /// serve again after three to four seconds, and a burst lasts about as long.
-const CROWDED_TIME: Duration = Duration::from_millis(2_000);
+const OVERLOAD_RETRY_DELAY: Duration = Duration::from_millis(2_000);
 
 /// Part of a route's aim by which a request has to be admitted; half of that
 /// time is the longest wait.
 ///
 /// A busy engine takes 130 to 250 ms to begin an answer and aims are 300 to
 /// 400 ms, so a quarter is what is left.
-const AIM_PART: u64 = 2;
+const AIM_DIVISOR: u64 = 2;
 
 /// When a caller should come back to an entry that knows no preset yet, in seconds.
 const START_RETRY_S: &str = "0.3";
@@ -67,7 +67,7 @@
 /// Answers one request of a caller.
 pub(crate) async fn accept(
     shared: Arc<EntryShared>,
-    routed: Arc<RoutedInterface>,
+    routed: Arc<RoutedState>,
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
     let mut reply = match identify(&shared, &routed, request).await {
@@ -82,40 +82,40 @@
 }
 
 async fn answer(shared: Arc<EntryShared>, request: IdentifiedRequest) -> Response<ReplyBody> {
-    let mut guard = InFlight::begin(shared.clone());
+    let mut guard = RequestGuard::begin(shared.clone());
     // A request that reaches no endpoint would only take the place of another one.
-    let admitted = match lost::refuse_barred(&shared, &request) {
+    let admitted = match crash_detection::refuse_barred(&shared, &request) {
         Ok(()) => admit::admit(&shared, &request).await,
         Err(reason) => Err(reason),
     };
     match admitted {
         Ok(permit) => guard.permit = permit,
         Err(reason) => {
-            guard.count(OutcomeKind::NotRun);
+            guard.count_outcome(OutcomeKind::NotRun);
             let failed = FailedRequest::before_attempts(&shared, reason);
             return failure_reply(&request.head, &failed);
         }
     }
     let mut attempts = RequestAttempts::new(shared, request);
     match attempts.begin().await {
-        Ok(begun) => answer_reply(guard, attempts, begun).await,
+        Ok(response) => relay_reply(guard, attempts, response).await,
         Err(failed) => {
-            guard.count(failed.outcome.kind());
+            guard.count_outcome(failed.outcome.kind());
             failure_reply(attempts.head(), &failed)
         }
     }
 }
 
-async fn answer_reply(
-    guard: InFlight,
+async fn relay_reply(
+    guard: RequestGuard,
     attempts: RequestAttempts,
-    begun: BegunAnswer,
+    response: StartedResponse,
 ) -> Response<ReplyBody> {
-    let is_success = StatusCode::from_u16(begun.status).is_ok_and(|status| status.is_success());
+    let is_success = StatusCode::from_u16(response.status).is_ok_and(|status| status.is_success());
     match attempts.request.form {
-        AnswerForm::Events if is_success => events::stream_reply(guard, attempts, begun),
-        AnswerForm::Events | AnswerForm::Unchanged | AnswerForm::WithOutcome => {
-            unchanged::whole_reply(guard, attempts, begun).await
+        ResponseForm::Events if is_success => events::stream_reply(guard, attempts, response),
+        ResponseForm::Events | ResponseForm::Passthrough | ResponseForm::WithOutcome => {
+            passthrough::whole_reply(guard, attempts, response).await
         }
     }
 }
@@ -123,7 +123,7 @@
 /// Answers a caller that asks which entries to use.
 pub(crate) async fn answer_advice(
     shared: Arc<EntryShared>,
-    routed: Arc<RoutedInterface>,
+    routed: Arc<RoutedState>,
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
     let (parts, _) = request.into_parts();
@@ -132,17 +132,17 @@
         return error_reply(StatusCode::NOT_FOUND, "not-found", message);
     };
     let settings = &shared.settings.caller;
-    let entries = advisable(&shared);
+    let entries = advice_candidates(&shared);
     let own = &shared.settings.place.failure_domain;
-    let asked = query.failure_domain.and_then(|name| name.parse().ok());
-    let domain = asked.as_ref().unwrap_or(own);
-    let keep = Duration::from_millis(settings.advice_ms);
-    let valid_until = Timestamp::now().deadline_after(keep);
+    let requested = query.failure_domain.and_then(|name| name.parse().ok());
+    let domain = requested.as_ref().unwrap_or(own);
+    let ttl = Duration::from_millis(settings.advice_ms);
+    let valid_until = Timestamp::now().deadline_after(ttl);
     let advice = advise(&entries, domain, settings.advice_addresses, valid_until, &mut rand::rng());
     let near = entries.iter().filter(|e| e.failure_domain == *domain && !e.leaving).count();
     let count = if near > 0 { near } else { advice.addresses.len() };
     let addresses = &advice.addresses[..count.min(advice.addresses.len())];
-    let mut reply = Response::new(full_body(routed.callers.advice_body(addresses, keep)));
+    let mut reply = Response::new(full_body(routed.callers.advice_body(addresses, ttl)));
     reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     reply
 }
@@ -150,11 +150,11 @@
 /// Answers the platform's question whether this entry is ready.
 pub(crate) async fn answer_ready(
     shared: Arc<EntryShared>,
-    routed: Arc<RoutedInterface>,
+    routed: Arc<RoutedState>,
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
     let (parts, _) = request.into_parts();
-    if !routed.callers.is_ready_probe(&parts) {
+    if !routed.callers.is_readiness_probe(&parts) {
         let message = format!("no page {}", parts.uri.path());
         return error_reply(StatusCode::NOT_FOUND, "not-found", message);
     }
@@ -166,7 +166,7 @@
 
 async fn identify(
     shared: &EntryShared,
-    routed: &RoutedInterface,
+    routed: &RoutedState,
     request: Request<Incoming>,
 ) -> Result<IdentifiedRequest, CallerRefusal> {
     let now = Timestamp::now();
@@ -182,7 +182,7 @@
         .map_err(|_| CallerRefusal::UnknownKey)?
         .cloned();
     let head = request_head(&parts, &caller, rule, workspace.as_ref(), now)?;
-    let is_first = caller.patience.is_none_or(|patience| routed.is_first_try(&rule.name, patience));
+    let is_first = caller.timeout.is_none_or(|patience| routed.is_first_try(&rule.name, patience));
     let limits = index.table().limits;
     let span = Duration::from_millis(shared.settings.limits.body_ms)
         .min(head.deadline.remaining(Timestamp::now()));
@@ -194,13 +194,13 @@
         fields: routed.callers.end_to_end(&parts.headers),
         workspace,
         max_attempts: rule.max_attempts.max(1),
-        admit_by: now.deadline_after(Duration::from_millis(rule.aim_ms / AIM_PART)),
+        admit_by: now.deadline_after(Duration::from_millis(rule.aim_ms / AIM_DIVISOR)),
         form: match rule.kind {
-            RouteKind::Idempotent | RouteKind::AtMostOnce => AnswerForm::Unchanged,
-            RouteKind::Stream | RouteKind::ResumableStream => AnswerForm::Events,
+            RouteKind::Idempotent | RouteKind::AtMostOnce => ResponseForm::Passthrough,
+            RouteKind::Stream | RouteKind::ResumableStream => ResponseForm::Events,
         },
         last_event: caller.last_event,
-        turn: if is_first { CallerTurn::Fresh } else { CallerTurn::Returned },
+        turn: if is_first { AdmitTier::Fresh } else { AdmitTier::Returned },
     })
 }
 
@@ -217,16 +217,16 @@
     workspace: Option<&WorkspaceId>,
     now: Timestamp,
 ) -> Result<RequestHead, CallerRefusal> {
-    let bad = |error: &dyn std::fmt::Display| {
+    let internal_error = |error: &dyn std::fmt::Display| {
         CallerRefusal::Bad(StatusCode::INTERNAL_SERVER_ERROR, error.to_string())
     };
     let workspace = match workspace {
         Some(workspace) => workspace.clone(),
-        None => WorkspaceId::new(NO_WORKSPACE).map_err(|error| bad(&error))?,
+        None => WorkspaceId::new(PUBLIC_WORKSPACE).map_err(|error| internal_error(&error))?,
     };
-    let service = draw_service(rule, rand::rng().random()).ok_or(CallerRefusal::NoRoute)?;
+    let service = pick_service(rule, rand::rng().random()).ok_or(CallerRefusal::NoRoute)?;
     let timeout = Duration::from_millis(rule.timeout_ms);
-    let patience = caller.patience.map_or(timeout, |patience| patience.min(timeout));
+    let patience = caller.timeout.map_or(timeout, |patience| patience.min(timeout));
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     Ok(RequestHead {
         id: caller.id.clone(),
@@ -254,10 +254,10 @@
         BodyError::TooLong => {
             CallerRefusal::Bad(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long".to_owned())
         }
-        BodyError::Cut => {
+        BodyError::Truncated => {
             CallerRefusal::Bad(StatusCode::BAD_REQUEST, "the body ended early".to_owned())
         }
-        BodyError::Slow => {
+        BodyError::TimedOut => {
             CallerRefusal::Bad(StatusCode::REQUEST_TIMEOUT, "the body came too slowly".to_owned())
         }
     }
@@ -295,7 +295,7 @@
             RequestOutcome::NotRun { reason: NotRunReason::Quarantined, .. } => {
                 Duration::from_millis(wait_ms)
             }
-            _ => CROWDED_TIME,
+            _ => OVERLOAD_RETRY_DELAY,
         };
         let wait_s = format!("{:.3}", wait.as_secs_f64());
         if let Ok(wait_s) = HeaderValue::from_str(&wait_s) {
--- a/crates/entry/src/cli.rs
+++ b/crates/entry/src/cli.rs
@@ -1,11 +1,11 @@
 //! The command line: `serve`, `check-config` and the operator's commands.
 
 mod client;
+mod deployment;
 mod diff;
 mod exit;
 mod preset;
 mod table;
-mod watch;
 
 use std::{
     path::{Path, PathBuf},
@@ -20,11 +20,11 @@
     settings::{EntrySettings, parse_settings},
 };
 use cassiawheel_platform::{
-    OperatorTable, OwnRows, PlatformBoot, PlatformCallers, PlatformEndpoints, PlatformOrigin,
+    BootFile, OperatorTable, PlatformCallers, PlatformEndpoints, PlatformOrigin, PlatformTable,
     RowClient, ServerTable,
 };
 
-use crate::RoutedEdges;
+use crate::RoutedAdapters;
 use exit::{CommandError, EXIT_CODES};
 
 /// What a newcomer does first; `argh` would run its lines together in a doc comment.
@@ -49,9 +49,9 @@
     Serve(ServeArgs),
     CheckConfig(CheckArgs),
     Preset(preset::PresetArgs),
-    Rollout(watch::RolloutArgs),
-    Status(watch::StatusArgs),
-    Drain(watch::DrainArgs),
+    Rollout(deployment::RolloutArgs),
+    Status(deployment::StatusArgs),
+    Drain(deployment::DrainArgs),
 }
 
 /// Runs an entry until SIGTERM; then drains and ends.
@@ -86,9 +86,9 @@
         EntryCommand::Serve(args) => serve(args.config.as_deref()),
         EntryCommand::CheckConfig(args) => check(&args.file),
         EntryCommand::Preset(args) => preset::run(args),
-        EntryCommand::Rollout(args) => watch::rollout(args),
-        EntryCommand::Status(args) => watch::status(args),
-        EntryCommand::Drain(args) => watch::drain(args),
+        EntryCommand::Rollout(args) => deployment::rollout(args),
+        EntryCommand::Status(args) => deployment::status(args),
+        EntryCommand::Drain(args) => deployment::drain(args),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
@@ -116,7 +116,7 @@
 }
 
 fn serve(config: Option<&Path>) -> Result<(), CommandError> {
-    match (config, PlatformBoot::path()) {
+    match (config, BootFile::path()) {
         (Some(config), _) => Ok(crate::run(read_settings(config)?)?),
         (None, Some(path)) => serve_on_platform(&path),
         (None, None) => {
@@ -128,20 +128,20 @@
 
 fn serve_on_platform(path: &Path) -> Result<(), CommandError> {
     let findings = |findings: FindingList| CommandError::Findings(findings.to_string());
-    let boot = PlatformBoot::read(path).map_err(findings)?;
+    let boot = BootFile::read(path).map_err(findings)?;
     let (settings, routed) = boot.entry_settings().map_err(findings)?;
     let client = HttpClient::default();
     let rows = RowClient::new(client, boot.store_addr(), boot.store_timeout());
-    let edges = RoutedEdges {
+    let adapters = RoutedAdapters {
         settings: routed,
         callers: Arc::new(PlatformCallers),
         endpoints: Arc::new(PlatformEndpoints),
         operators: Arc::new(OperatorTable::new(rows.clone(), boot.regions())),
         list: Arc::new(ServerTable::new(rows.clone())),
-        table: Arc::new(OwnRows::new(rows)),
+        table: Arc::new(PlatformTable::new(rows)),
         origin: Arc::new(PlatformOrigin::default()),
     };
-    Ok(crate::run_routed(settings, edges)?)
+    Ok(crate::run_routed(settings, adapters)?)
 }
 
 fn check(file: &Path) -> Result<(), CommandError> {
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -6,9 +6,9 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{LinkNumber, PeerEntry, advice::AdviceInput, rank::subject_of, row_duty};
+use cassiawheel_decide::{LinkId, PeerEntry, advice::EntryCandidate, feed_role, rank::subject_of};
 use cassiawheel_model::{
-    Deadline, EndpointReport, EntryRecord, GossipNews, InstanceId, LoadReport, LoadRow,
+    Deadline, EndpointReport, EntryRecord, GossipDelta, InstanceId, LoadRecord, LoadReport,
     PresetRevision, Timestamp,
 };
 use cassiawheel_runtime::timeout;
@@ -16,89 +16,89 @@
 use smol::Timer;
 
 use crate::{
-    limits::renew_paces,
-    overlay::{OverlayState, is_far},
-    routed::RoutedInterface,
+    limits::update_paces,
+    overlay::{OverlayState, is_in_other_region},
+    routed::RoutedState,
     shared::EntryShared,
 };
 
 /// Shortest time between two messages over a link, so that a burst of changes shares them.
-const BATCH_TIME: Duration = Duration::from_millis(20);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The same after a message with many items.
 ///
 /// When all start together most of what an entry would pass on reaches its
 /// neighbours another way in this time.
-const LONG_BATCH_TIME: Duration = Duration::from_millis(80);
+const LARGE_SEND_INTERVAL: Duration = Duration::from_millis(80);
 
 /// Items in a message from which on they are many.
-const MANY_ITEMS: usize = 12;
+const LARGE_MESSAGE_ITEMS: usize = 12;
 
 /// Time between messages with loads to an entry of the own region.
-const NEAR_LOAD_TIME: Duration = Duration::from_millis(200);
+const LOCAL_LOAD_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time between messages with loads to an entry of another region.
 ///
 /// Two of them may be lost before the link counts as silent.
-const FAR_LOAD_TIME: Duration = Duration::from_millis(600);
+const REMOTE_LOAD_INTERVAL: Duration = Duration::from_millis(600);
 
 /// Differences in age below this are taken for the same measurement, in milliseconds.
-const NEAR_STEP_MS: u64 = 60;
+const LOCAL_AGE_TOLERANCE_MS: u64 = 60;
 
 /// The same for loads that come from another region, in milliseconds.
 ///
 /// Several links bring the same load; one copy of it in this time is enough.
-const FAR_STEP_MS: u64 = 900;
+const REMOTE_AGE_TOLERANCE_MS: u64 = 900;
 
 /// Time between looks whether the own record has changed.
-const LOOK_TIME: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Shortest time between two versions of the own record that only add to it.
 ///
 /// Processes that start together connect to each other within a second; a
 /// version for each connection would reach every entry.
-const ADD_TIME: Duration = Duration::from_millis(400);
+const ADDITION_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Shortest time between two versions of the own record.
-const RENEW_TIME: Duration = Duration::from_millis(100);
+const RECORD_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Requests in progress below which an entry's load is of no use to the others.
 const MIN_PUBLISHED_LOAD: u32 = 16;
 
 /// Parts of a version by which progress is passed on.
-const PROGRESS_PARTS: u32 = 4;
+const PROGRESS_STEPS: u32 = 4;
 
 /// Sends the neighbours what has changed, for ever.
-pub(crate) async fn pass_on_changes(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
+pub(crate) async fn send_changes(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     loop {
-        timeout(LOOK_TIME, routed.overlay.changed()).await;
-        refresh_own(&shared, &routed);
-        renew_paces(&shared, &routed, Timestamp::now());
-        let sent = send_news(&shared, &routed, Timestamp::now());
-        let span = if sent > MANY_ITEMS { LONG_BATCH_TIME } else { BATCH_TIME };
+        timeout(CHECK_INTERVAL, routed.overlay.changed()).await;
+        refresh_own_record(&shared, &routed);
+        update_paces(&shared, &routed, Timestamp::now());
+        let sent = send_updates(&shared, &routed, Timestamp::now());
+        let span = if sent > LARGE_MESSAGE_ITEMS { LARGE_SEND_INTERVAL } else { MIN_SEND_INTERVAL };
         Timer::after(span).await;
     }
 }
 
 /// Sends each neighbour what it lacks; the most records and reports that one of them got.
-fn send_news(shared: &EntryShared, routed: &RoutedInterface, now: Timestamp) -> usize {
-    let revision = shared.force.load().as_ref().map(|p| p.revision).unwrap_or_default();
+fn send_updates(shared: &EntryShared, routed: &RoutedState, now: Timestamp) -> usize {
+    let revision = shared.active_preset.load().as_ref().map(|p| p.revision).unwrap_or_default();
     let load = shared.in_flight.load(Ordering::Relaxed);
     let mut state = routed.overlay.lock();
     if load >= MIN_PUBLISHED_LOAD {
-        let subject = subject_of(shared.settings.place.instance.as_str());
-        let row = LoadRow { subject, load, age_ms: 0 };
-        state.store.merge_load(row, FAR_STEP_MS, None, now);
+        let instance_hash = subject_of(shared.settings.place.instance.as_str());
+        let row = LoadRecord { instance_hash, load, age_ms: 0 };
+        state.store.merge_load(row, REMOTE_AGE_TOLERANCE_MS, None, now);
     }
     let OverlayState { store, crashes, links, .. } = &mut *state;
-    let mut most = 0;
+    let mut max_items = 0;
     for link in links {
         let (records, reports, mut mark) = store.state_since(link.mark, link.number);
         let loads_are_due = link.loads_at.is_past(now);
         let (rows, crash_mark) = crashes.rows_since(link.crash_mark, link.number, now);
         let (limits, limit_mark) =
             routed.limits.book().rows_since(link.limit_mark, link.number, now);
-        most = most.max(records.len() + reports.len());
+        max_items = max_items.max(records.len() + reports.len());
         if records.is_empty()
             && reports.is_empty()
             && rows.is_empty()
@@ -111,12 +111,13 @@
             continue;
         }
         let mut news =
-            GossipNews { revision, records, reports, loads: Vec::new(), crashes: rows, limits };
+            GossipDelta { revision, records, reports, loads: Vec::new(), crashes: rows, limits };
         let mut loads_at = link.loads_at;
         if loads_are_due {
             (news.loads, mark) = store.loads_since(mark, link.number, now);
-            let is_far = is_far(store, &link.instance, &shared.settings.place.region);
-            let span = if is_far { FAR_LOAD_TIME } else { NEAR_LOAD_TIME };
+            let is_in_other_region =
+                is_in_other_region(store, &link.instance, &shared.settings.place.region);
+            let span = if is_in_other_region { REMOTE_LOAD_INTERVAL } else { LOCAL_LOAD_INTERVAL };
             loads_at = now.deadline_after(span);
         }
         // What a full queue does not take is sent with the next message.
@@ -127,19 +128,19 @@
             link.loads_at = loads_at;
         }
     }
-    most
+    max_items
 }
 
 /// Makes the present revision due to every neighbour at once.
-pub(crate) fn announce_revision(routed: &RoutedInterface) {
+pub(crate) fn announce_revision(routed: &RoutedState) {
     for link in &mut routed.overlay.lock().links {
         link.loads_at = Deadline(0);
     }
-    routed.overlay.note_change();
+    routed.overlay.notify_change();
 }
 
 /// Renews the own record if something in it has changed.
-pub(crate) fn refresh_own(shared: &EntryShared, routed: &RoutedInterface) {
+pub(crate) fn refresh_own_record(shared: &EntryShared, routed: &RoutedState) {
     let settings = &shared.settings;
     let links = shared.links.load();
     let mut agents: Vec<InstanceId> = links.keys().cloned().collect();
@@ -165,33 +166,33 @@
         return;
     }
     let now = Timestamp::now();
-    let span = known.map_or(Duration::ZERO, |known| renew_time(known, &record));
+    let span = known.map_or(Duration::ZERO, |known| min_record_interval(known, &record));
     if state.renewed_at.is_none_or(|renewed_at| now.since(renewed_at) >= span) {
         let record = EntryRecord { sequence: record.sequence + 1, ..record };
         state.store.merge_record(record, None, now);
         state.renewed_at = Some(now);
-        routed.overlay.note_change();
+        routed.overlay.notify_change();
     }
     drop(state);
     refresh_membership(shared, routed);
 }
 
 /// Time since the last version after which `record` replaces `known`.
-fn renew_time(known: &EntryRecord, record: &EntryRecord) -> Duration {
+fn min_record_interval(known: &EntryRecord, record: &EntryRecord) -> Duration {
     let keeps = |old: &[InstanceId], new: &[InstanceId]| old.iter().all(|name| new.contains(name));
     let only_adds = known.leaving == record.leaving
         && known.follows_rows == record.follows_rows
         && keeps(&known.neighbours, &record.neighbours)
         && keeps(&known.agents, &record.agents);
-    if only_adds { ADD_TIME } else { RENEW_TIME }
+    if only_adds { ADDITION_INTERVAL } else { RECORD_INTERVAL }
 }
 
 /// Takes in what the entry at the other end of the link `source` has sent.
-pub(crate) fn merge_news(
+pub(crate) fn merge_gossip(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
-    source: LinkNumber,
-    news: GossipNews,
+    routed: &Arc<RoutedState>,
+    source: LinkId,
+    news: GossipDelta,
 ) {
     let own = &shared.settings.place.instance;
     let now = Timestamp::now();
@@ -200,7 +201,7 @@
     for record in news.records.into_iter().filter(|record| record.instance != *own) {
         let place = (record.inner_addr, Some(record.region.clone()));
         if state.store.merge_record(record, Some(source), now) {
-            state.note_entries(std::iter::once(place));
+            state.add_known_entries(std::iter::once(place));
             membership_changed = true;
         }
     }
@@ -210,19 +211,20 @@
             reports.push(report);
         }
     }
-    let is_far = state.is_far(source, &shared.settings.place.region);
-    let step_ms = if is_far { FAR_STEP_MS } else { NEAR_STEP_MS };
+    let is_in_other_region = state.is_in_other_region(source, &shared.settings.place.region);
+    let tolerance_ms =
+        if is_in_other_region { REMOTE_AGE_TOLERANCE_MS } else { LOCAL_AGE_TOLERANCE_MS };
     let mut loads = news.loads;
-    loads.retain(|row| state.store.merge_load(*row, step_ms, Some(source), now));
+    loads.retain(|row| state.store.merge_load(*row, tolerance_ms, Some(source), now));
     let mut crashes = news.crashes;
-    crashes.retain(|row| state.crashes.note(*row, Some(source), now));
-    routed.crashes.learn(&state.crashes, &crashes, Some(source));
+    crashes.retain(|row| state.crashes.record(*row, Some(source), now));
+    routed.crashes.apply_rows(&state.crashes, &crashes, Some(source));
     drop(state);
     let mut limits = news.limits;
-    limits.retain(|row| routed.limits.note(*row, source, now));
-    let is_news = !reports.is_empty() || !crashes.is_empty() || !limits.is_empty();
-    if membership_changed || is_news {
-        routed.overlay.note_change();
+    limits.retain(|row| routed.limits.merge_row(*row, source, now));
+    let has_updates = !reports.is_empty() || !crashes.is_empty() || !limits.is_empty();
+    if membership_changed || has_updates {
+        routed.overlay.notify_change();
     }
     apply_reports(shared, reports, now);
     if membership_changed {
@@ -240,7 +242,7 @@
     for report in reports {
         let known = roster.member(&report.instance).map(|member| &member.report.state);
         let is_change = known != Some(&report.state);
-        changed |= roster.hear(report, now) && is_change;
+        changed |= roster.apply_report(report, now) && is_change;
     }
     drop(roster);
     shared.plan_stale.store(true, Ordering::Release);
@@ -250,45 +252,45 @@
 }
 
 /// Takes loads into the cells of the endpoints that they are of.
-fn apply_loads(routed: &RoutedInterface, rows: &[LoadRow], now: Timestamp) {
-    let cells = routed.load_cells.load();
+fn apply_loads(routed: &RoutedState, rows: &[LoadRecord], now: Timestamp) {
+    let counters = routed.counters_by_agent.load();
     for row in rows {
-        if let Some(cell) = cells.get(&row.subject) {
+        if let Some(cell) = counters.get(&row.instance_hash) {
             let measured_at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
             let load = LoadReport { in_flight: row.load, queued: 0, measured_at };
-            cell.hear(&load, cell.hard_limit());
+            cell.apply_report(&load, cell.hard_limit());
         }
     }
 }
 
 /// Keeps the load of an endpoint whose agent is connected here, for the other entries.
-pub(crate) fn publish_load(routed: &RoutedInterface, instance: &InstanceId, load: &LoadReport) {
-    let row = LoadRow {
-        subject: subject_of(instance.as_str()),
+pub(crate) fn publish_load(routed: &RoutedState, instance: &InstanceId, load: &LoadReport) {
+    let row = LoadRecord {
+        instance_hash: subject_of(instance.as_str()),
         load: load.in_flight + load.queued,
         age_ms: 0,
     };
-    routed.overlay.lock().store.merge_load(row, NEAR_STEP_MS, None, Timestamp::now());
+    routed.overlay.lock().store.merge_load(row, LOCAL_AGE_TOLERANCE_MS, None, Timestamp::now());
 }
 
 /// Keeps the report of an agent that is connected here, if other entries need it.
-pub(crate) fn publish_report(routed: &RoutedInterface, report: &EndpointReport) {
+pub(crate) fn publish_report(routed: &RoutedState, report: &EndpointReport) {
     let mut state = routed.overlay.lock();
     if !state.store.report(&report.instance).is_none_or(|known| is_significant(known, report)) {
         return;
     }
     if state.store.merge_report(report.clone(), None, Timestamp::now()) {
         drop(state);
-        routed.overlay.note_change();
+        routed.overlay.notify_change();
     }
 }
 
 /// Whether `report` differs from `known` by more than its load and some chunks.
 fn is_significant(known: &EndpointReport, report: &EndpointReport) -> bool {
-    let part = |report: &EndpointReport| {
+    let progress_step = |report: &EndpointReport| {
         let staged = report.staged.as_ref()?;
-        let part = staged.chunks_ready * PROGRESS_PARTS / staged.chunks_total.max(1);
-        Some((staged.manifest, part))
+        let progress_step = staged.chunks_ready * PROGRESS_STEPS / staged.chunks_total.max(1);
+        Some((staged.manifest, progress_step))
     };
     let same = EndpointReport {
         load: report.load,
@@ -296,31 +298,31 @@
         staged: report.staged.clone(),
         ..known.clone()
     };
-    same != *report || part(known) != part(report)
+    same != *report || progress_step(known) != progress_step(report)
 }
 
 /// Works out from the records who is present.
-fn refresh_membership(shared: &EntryShared, routed: &RoutedInterface) {
+fn refresh_membership(shared: &EntryShared, routed: &RoutedState) {
     let own = &shared.settings.place.instance;
     let now = Timestamp::now();
     let state = routed.overlay.lock();
     let present = state.present(own);
-    routed.set_row_duty(row_duty(own, &present));
+    routed.set_row_duty(feed_role(own, &present));
     let others = present.iter().filter(|record| record.instance != *own);
     let connected = shared.links.load();
     let attached = others.clone().flat_map(|record| record.agents.iter());
     let attached: HashSet<_> = attached.chain(connected.keys()).cloned().collect();
-    let peers = others.map(|record| (record.instance.clone(), peer_of(record, now))).collect();
+    let peers = others.map(|record| (record.instance.clone(), peer_entry(record, now))).collect();
     shared.peers().replace(peers, now);
     drop(state);
-    if shared.roster().attach(attached) {
+    if shared.roster().set_attached(attached) {
         shared.plan_stale.store(true, Ordering::Release);
         shared.rebuild_routes();
     }
 }
 
-fn peer_of(record: &EntryRecord, now: Timestamp) -> PeerEntry {
-    let advice = AdviceInput {
+fn peer_entry(record: &EntryRecord, now: Timestamp) -> PeerEntry {
+    let advice = EntryCandidate {
         caller_addr: record.caller_addr,
         failure_domain: record.failure_domain.clone(),
         in_flight: 0,
@@ -331,6 +333,6 @@
         incarnation: record.incarnation,
         revision: PresetRevision::default(),
         advised: record.advised,
-        heard_at: now,
+        last_seen: now,
     }
 }
--- a/crates/entry/src/control/manifest_cache.rs
+++ b/crates/entry/src/control/manifest_cache.rs
@@ -9,10 +9,10 @@
 use cassiawheel_model::{Deadline, ManifestDigest, Timestamp, WeightManifest};
 
 /// Manifests that are kept; versions that are named within seconds of each other.
-const MOST_HELD: usize = 4;
+const MAX_CACHED: usize = 4;
 
 /// Time in which another entry is expected to send a manifest.
-const ANSWER_TIME: Duration = Duration::from_millis(200);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The manifests that this entry has.
 #[derive(Default)]
@@ -23,14 +23,14 @@
 #[derive(Default)]
 struct CacheInner {
     /// Newest last.
-    held: VecDeque<Arc<WeightManifest>>,
+    manifests: VecDeque<Arc<WeightManifest>>,
     /// The manifest that was asked for last, and until when its answer is expected.
-    asked: Option<(ManifestDigest, Deadline)>,
+    requested: Option<(ManifestDigest, Deadline)>,
 }
 
 impl ManifestCache {
     /// Keeps a manifest, if it is consistent.
-    pub(crate) fn keep(&self, manifest: Arc<WeightManifest>) {
+    pub(crate) fn insert(&self, manifest: Arc<WeightManifest>) {
         if let Err(error) = manifest.verify() {
             log::warn!(target: "preset", version:% = manifest.version, cause:% = error; "A manifest that was told is dropped.");
             return;
@@ -39,9 +39,9 @@
         if inner.find(manifest.digest).is_some() {
             return;
         }
-        inner.held.push_back(manifest);
-        if inner.held.len() > MOST_HELD {
-            inner.held.pop_front();
+        inner.manifests.push_back(manifest);
+        if inner.manifests.len() > MAX_CACHED {
+            inner.manifests.pop_front();
         }
     }
 
@@ -54,14 +54,15 @@
     ///
     /// All entries tell of a version within milliseconds; asked of each of them,
     /// the manifest would come as many times.
-    pub(crate) fn begin_asking(&self, digest: ManifestDigest, now: Timestamp) -> bool {
+    pub(crate) fn begin_request(&self, digest: ManifestDigest, now: Timestamp) -> bool {
         let mut inner = self.lock();
-        let is_expected =
-            inner.asked.is_some_and(|(asked, until)| asked == digest && !until.is_past(now));
+        let is_expected = inner
+            .requested
+            .is_some_and(|(requested, until)| requested == digest && !until.is_past(now));
         if is_expected || inner.find(digest).is_some() {
             return false;
         }
-        inner.asked = Some((digest, now.deadline_after(ANSWER_TIME)));
+        inner.requested = Some((digest, now.deadline_after(REPLY_TIMEOUT)));
         true
     }
 
@@ -72,6 +73,6 @@
 
 impl CacheInner {
     fn find(&self, digest: ManifestDigest) -> Option<Arc<WeightManifest>> {
-        self.held.iter().find(|manifest| manifest.digest == digest).cloned()
+        self.manifests.iter().find(|manifest| manifest.digest == digest).cloned()
     }
 }
--- a/crates/entry/src/control/operators.rs
+++ b/crates/entry/src/control/operators.rs
@@ -8,64 +8,64 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{FollowedRows, RowDuty};
+use cassiawheel_decide::{FeedRole, FollowedRows};
 use cassiawheel_edge::{FeedError, FeedPage, OperatorRow};
-use cassiawheel_model::{AgeSource, Deadline, NamedVersion, Timestamp};
+use cassiawheel_model::{AgeSource, Deadline, TargetVersion, Timestamp};
 use cassiawheel_wire::ControlMessage;
 use rand::Rng;
 use smol::Timer;
 
-use super::{dependency::DependencyWatch, spread};
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use super::{dependency::DependencyMonitor, peers};
+use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest wait for a change before the table is asked again.
 ///
 /// Bounds the time in which a connection that has gone silent is not noticed;
 /// until then the other entries' heartbeats tell of changes.
-const WAIT_TIME: Duration = Duration::from_secs(3);
+const MAX_POLL_WAIT: Duration = Duration::from_secs(3);
 
 /// Time between calls while the table service rejects this entry but not others.
-const PROBE_TIME: Duration = Duration::from_secs(2);
+const PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Time between looks whether this entry has to follow the rows.
-const LOOK_TIME: Duration = Duration::from_millis(50);
+const DUTY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Waits after a failed call, in milliseconds; drawn anew each time.
-const AGAIN_MS: std::ops::Range<u64> = 150..400;
+const RETRY_DELAY_MS: std::ops::Range<u64> = 150..400;
 
 /// Follows the operators' rows for ever.
-pub(crate) async fn follow_operators(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
-    let mut watch = DependencyWatch::new("operators");
+pub(crate) async fn follow_operators(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
+    let mut monitor = DependencyMonitor::new("operators");
     let mut followed = FollowedRows::default();
     let mut probe_at = Deadline(0);
     loop {
-        let began_at = Timestamp::now();
-        let is_due = match routed.row_duty() {
-            RowDuty::Follow => true,
-            RowDuty::Probe => probe_at.is_past(began_at),
-            RowDuty::Rest => followed.position.is_none(),
+        let started_at = Timestamp::now();
+        let is_due = match routed.feed_role() {
+            FeedRole::Follow => true,
+            FeedRole::Probe => probe_at.is_past(started_at),
+            FeedRole::Standby => followed.position.is_none(),
         };
         if !is_due {
-            followed = FollowedRows { until: Some(began_at), by_others: true, ..followed };
-            Timer::after(LOOK_TIME).await;
+            followed = FollowedRows { until: Some(started_at), by_others: true, ..followed };
+            Timer::after(DUTY_CHECK_INTERVAL).await;
             continue;
         }
         // A connection that has gone silent is noticed sooner without a wait.
         let is_answered = routed.follows_rows.load(Ordering::Relaxed);
-        let wait = if is_answered { WAIT_TIME } else { Duration::ZERO };
+        let wait = if is_answered { MAX_POLL_WAIT } else { Duration::ZERO };
         let read = match followed.position {
             Some(position) => routed.operators.read_changes(position, wait).await,
             None => routed.operators.read_all().await,
         };
         match read {
             Ok(page) => {
-                watch.regained();
+                monitor.record_success();
                 routed.follows_rows.store(true, Ordering::Relaxed);
                 let now = Timestamp::now();
                 let age = followed.version_age(now);
                 let position = Some(page.position);
                 followed = FollowedRows { position, until: Some(now), by_others: false };
-                take_page(&shared, &routed, page, age);
+                apply_page(&shared, &routed, page, age);
                 shared.start_hold().mark_answered(shared.settings.platform.table);
             }
             Err(FeedError::HistoryLost) => {
@@ -73,30 +73,30 @@
                 followed.position = None;
             }
             Err(FeedError::Store(error)) => {
-                watch.lost(&error);
+                monitor.record_failure(&error);
                 routed.follows_rows.store(false, Ordering::Relaxed);
-                probe_at = Timestamp::now().deadline_after(PROBE_TIME);
-                let wait = rand::rng().random_range(AGAIN_MS);
+                probe_at = Timestamp::now().deadline_after(PROBE_INTERVAL);
+                let wait = rand::rng().random_range(RETRY_DELAY_MS);
                 Timer::after(Duration::from_millis(wait)).await;
             }
         }
     }
 }
 
-fn take_page(
+fn apply_page(
     shared: &EntryShared,
-    routed: &RoutedInterface,
+    routed: &RoutedState,
     page: FeedPage<OperatorRow>,
     (age, age_source): (Duration, AgeSource),
 ) {
     for row in page.rows {
         match row {
-            OperatorRow::Preset(preset) => spread::adopt(shared, &Arc::new(*preset)),
+            OperatorRow::Preset(preset) => peers::adopt(shared, &Arc::new(*preset)),
             OperatorRow::Version(named) => {
-                let named = NamedVersion { age_ms: age.as_millis() as u64, age_source, ..named };
-                take_version(shared, routed, &named);
+                let named = TargetVersion { age_ms: age.as_millis() as u64, age_source, ..named };
+                apply_version(shared, routed, &named);
             }
-            OperatorRow::Damaged(detail) => {
+            OperatorRow::Invalid(detail) => {
                 log::error!(target: "preset", cause:% = detail; "An operator's row cannot be read.");
             }
         }
@@ -104,8 +104,8 @@
 }
 
 /// Takes in a named version and tells the other entries, if it is new here.
-pub(crate) fn take_version(shared: &EntryShared, routed: &RoutedInterface, named: &NamedVersion) {
-    if !routed.offer_version(named) {
+pub(crate) fn apply_version(shared: &EntryShared, routed: &RoutedState, named: &TargetVersion) {
+    if !routed.add_version(named) {
         return;
     }
     log::info!(target: "preset", version:% = named.version, manifest:? = named.manifest, age_ms = named.age_ms, age_source:? = named.age_source; "A version is named.");
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -7,7 +7,6 @@
 #[macro_use]
 mod derives;
 
-pub mod callers;
 pub mod endpoint;
 pub mod finding;
 pub mod flags;
@@ -19,17 +18,18 @@
 pub mod outcome;
 pub mod preset;
 pub mod request;
+pub mod routing;
 pub mod settings;
 pub mod target;
 pub mod time;
 
-pub use callers::{CallerLimits, CallerTable, RouteKind, RouteRule, RouteShare};
 pub use endpoint::{
     EndpointReport, EndpointRole, EndpointState, LoadReport, NamedLimit, StagedWeights,
 };
-pub use finding::{FindingList, FindingPlace};
+pub use finding::{FindingList, InputFinding};
 pub use gossip::{
-    BarredRequest, CrashEvent, CrashRow, EntryRecord, GossipNews, LimitRow, LimitState, LoadRow,
+    CrashEvent, CrashRecord, EntryRecord, GossipDelta, LimitRecord, LimitState, LoadRecord,
+    QuarantinedRequest,
 };
 pub use header::HeaderField;
 pub use ids::{
@@ -42,5 +42,6 @@
 pub use outcome::{NotRunReason, OutcomeKind, RequestOutcome};
 pub use preset::{ForcedPreset, PresetContent, PresetRevision, ServiceKind, ServiceTarget};
 pub use request::{PriorityClass, Repeatability, RequestDigest, RequestHead};
-pub use target::{AgeSource, EngineProfile, ModelName, NamedVersion, OriginPlace};
+pub use routing::{CallerLimits, CallerTable, RouteKind, RouteRule, RouteShare};
+pub use target::{AgeSource, EngineProfile, ModelName, OriginPlace, TargetVersion};
 pub use time::{Deadline, Timestamp};
--- a/crates/wire/src/message/control.rs
+++ b/crates/wire/src/message/control.rs
@@ -3,8 +3,8 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use cassiawheel_model::{
-    EndpointReport, FailureDomain, ForcedPreset, GossipNews, InstanceId, ListedRow, LoadReport,
-    ManifestDigest, ModelVersion, NamedVersion, OriginPlace, PresetRevision, RegionName,
+    EndpointReport, FailureDomain, ForcedPreset, GossipDelta, InstanceId, ListedRow, LoadReport,
+    ManifestDigest, ModelVersion, OriginPlace, PresetRevision, RegionName, TargetVersion,
     WeightManifest, record,
 };
 use macro_rules_attribute::apply;
@@ -72,7 +72,7 @@
     /// Entry to entry: the preset in force is wanted, since a heartbeat told a newer one.
     PresetWanted,
     /// Entry to entry: a version that was named for a model.
-    Named(NamedVersion),
+    Named(TargetVersion),
     /// Entry to entry: what changed in the platform's list of endpoints.
     Listing {
         /// The rows that changed; all rows if `base` is zero.
@@ -106,7 +106,7 @@
         region: RegionName,
     },
     /// Entry to entry: what changed since the last message over this link.
-    Gossip(Box<GossipNews>),
+    Gossip(Box<GossipDelta>),
     /// Entry to entry: a message for every entry.
     Flood(Box<FloodMessage>),
     /// Entry to entry: orders for the agents that are connected to the receiver.
