--- a/crates/model/src/endpoint.rs
+++ b/crates/model/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What an endpoint's agent tells about itself.
+//! State that an agent reports about its endpoint.
 
 use std::net::SocketAddr;
 
@@ -9,93 +9,93 @@
     ServiceName, Timestamp,
 };
 
-/// What an endpoint is there for.
+/// What runs behind an agent.
 #[apply(label!)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointRole {
-    /// Runs a model engine.
+    /// A model engine, whose weights cassiawheel distributes.
     Model,
-    /// Runs a plain service.
+    /// A plain service without weights.
     Plain,
 }
 
-/// State of the weights at an endpoint, as its agent's gate knows it.
+/// State of an endpoint, as known to the agent's admission gate.
 #[apply(record!)]
 #[derive(Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointState {
     /// No weights are loaded.
     Empty,
-    /// Serves requests; plain services have no version.
+    /// Requests are served; plain services have no version.
     Serving {
-        /// The version in the engine.
+        /// Version that the engine serves.
         version: Option<ModelVersion>,
-        /// Counts the commits at this endpoint.
+        /// Incremented with each switch of weights at this endpoint.
         generation: u64,
     },
-    /// Exchanges the weights; no request starts.
+    /// The weights are being switched; no request is started.
     Switching,
-    /// Leaves; requests in progress finish, none starts.
+    /// Shutting down: requests in progress are finished, none is started.
     Draining,
 }
 
-/// Load of an endpoint, as its engine reported it.
+/// Load of an endpoint, as reported by its engine.
 #[apply(record!)]
 #[derive(Copy, Eq)]
 pub struct LoadReport {
     /// Requests in progress.
     pub in_flight: u32,
-    /// Requests that wait in the engine.
+    /// Requests queued in the engine.
     pub queued: u32,
-    /// When the engine measured this.
+    /// When the load was measured.
     pub measured_at: Timestamp,
 }
 
-/// Everything that an agent reports in a heartbeat.
+/// Content of an agent's full heartbeat.
 #[apply(record!)]
 pub struct EndpointReport {
-    /// The instance.
+    /// Instance of the agent.
     pub instance: InstanceId,
-    /// Distinguishes processes that run one after another at the same instance.
+    /// Identifies the process; a later process at the same instance has a higher value.
     pub incarnation: u64,
-    /// Rises with each whole report within one incarnation.
+    /// Incremented with each full report within an incarnation.
     #[serde(default)]
     pub sequence: u64,
-    /// Where it stands.
+    /// Region of the endpoint.
     pub region: RegionName,
-    /// Where it stands inside the region.
+    /// Failure domain inside the region.
     pub failure_domain: FailureDomain,
-    /// The service that the endpoint belongs to.
+    /// Service that the endpoint belongs to.
     pub service: ServiceName,
     /// Model engine or plain service.
     pub role: EndpointRole,
-    /// Where other agents fetch chunks from it.
+    /// Address from which other agents fetch chunks.
     pub inner_addr: SocketAddr,
-    /// Where its engine is reached, if requests go there without the agent.
+    /// Address of the engine, if entries send requests to it directly.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoint_addr: Option<SocketAddr>,
-    /// State of its weights.
+    /// Whether and with which version the endpoint serves.
     pub state: EndpointState,
-    /// The manifest being staged or already staged, if any.
+    /// Manifest that is being staged or is staged, if any.
     pub staged: Option<StagedWeights>,
-    /// Load of its engine.
+    /// Load of the engine.
     pub load: LoadReport,
-    /// The highest preset revision that it knows.
+    /// Highest preset revision known to the agent.
     pub revision: PresetRevision,
-    /// Fencing token of the newest order that it knows; zero if none.
+    /// Fencing token of the newest order received; zero if none.
     pub order: u64,
-    /// The manifest that this order names.
+    /// Manifest named by that order.
     #[serde(default)]
     pub ordered: Option<ManifestDigest>,
-    /// Highest fencing token that its engine has carried out.
+    /// Highest fencing token of an order that the engine has carried out.
     #[serde(default)]
     pub engine_fencing: u64,
-    /// Requests that its gate admits at a time.
+    /// Most requests that the agent admits at a time.
     pub limit: u32,
 }
 
 impl EndpointReport {
-    /// Whether this report replaces `known`.
+    /// Whether this report supersedes `known`.
     pub fn is_newer_than(&self, known: &Self) -> bool {
         (self.incarnation, self.sequence) > (known.incarnation, known.sequence)
     }
@@ -105,32 +105,33 @@
 #[apply(record!)]
 #[derive(Eq)]
 pub struct StagedWeights {
-    /// The version.
+    /// Version that the weights belong to.
     pub version: ModelVersion,
-    /// The manifest.
+    /// Digest of the manifest.
     pub manifest: ManifestDigest,
-    /// Verified chunks.
+    /// Number of verified chunks.
     pub chunks_ready: u32,
-    /// Chunks in the manifest.
+    /// Number of chunks in the manifest.
     pub chunks_total: u32,
 }
 
-/// Thousandths of a request a second in one request a second.
+/// Factor between requests per second and thousandths of them.
 const MILLI: f64 = 1_000.0;
 
-/// Requests that an endpoint takes from all entries together, in thousandths a second.
+/// Rate at which an endpoint accepts requests from all entries together, in thousandths of a
+/// request per second.
 #[apply(label!)]
 #[serde(transparent)]
 pub struct NamedLimit(pub u32);
 
 impl NamedLimit {
-    /// The limit of `rate` requests a second; none if that is no rate.
+    /// Converts from requests per second; `None` if `rate` is negative or not finite.
     pub fn from_rate(rate: f64) -> Option<Self> {
-        // Conversion saturates, so that a rate beyond all use stays one.
+        // The conversion saturates, so a rate that is too large becomes the maximum.
         (rate.is_finite() && rate >= 0.0).then_some(Self((rate * MILLI) as u32))
     }
 
-    /// Requests a second.
+    /// The limit in requests per second.
     pub fn rate(self) -> f64 {
         f64::from(self.0) / MILLI
     }
--- a/crates/model/src/gossip.rs
+++ b/crates/model/src/gossip.rs
@@ -1,125 +1,125 @@
-//! State that entries pass on to each other over a bounded number of links.
+//! State that entries gossip to each other, each over a bounded number of links.
 
 use std::net::SocketAddr;
 
 use macro_rules_attribute::apply;
 
 use crate::{
-    EndpointReport, FailureDomain, InstanceId, NamedLimit, PresetRevision, RegionName,
+    EndpointReport, FailureDomain, InstanceId, PresetRevision, NamedLimit, RegionName,
     RequestDigest, Timestamp,
 };
 
-/// The link-state record of an entry.
+/// Link-state record of an entry; the one with the highest incarnation and sequence applies.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct EntryRecord {
-    /// The entry.
+    /// Instance of the entry.
     pub instance: InstanceId,
-    /// Distinguishes processes that run one after another at the instance.
+    /// Identifies the process; a later process at the same instance has a higher value.
     pub incarnation: u64,
-    /// Rises with each change of the record within one incarnation.
+    /// Incremented with each change of the record within an incarnation.
     pub sequence: u64,
-    /// Its region.
+    /// Region of the entry.
     pub region: RegionName,
-    /// Where it stands inside the region.
+    /// Failure domain inside the region.
     pub failure_domain: FailureDomain,
-    /// Where our own processes reach it.
+    /// Address for connections from other entries and agents.
     pub inner_addr: SocketAddr,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_addr: SocketAddr,
-    /// Whether it leaves.
+    /// Whether the entry is shutting down.
     pub leaving: bool,
-    /// Whether callers may be sent there.
+    /// Whether the entry may be returned to callers that ask for addresses.
     pub advised: bool,
-    /// Whether the table service answers it.
+    /// Whether the entry currently gets answers from the table service.
     pub follows_rows: bool,
-    /// Entries at the other ends of its links.
+    /// Entries that it has links to.
     pub neighbours: Vec<InstanceId>,
-    /// Agents that are connected to it.
+    /// Agents that are connected to the entry.
     pub agents: Vec<InstanceId>,
 }
 
-/// Load of one process, named by the hash of its instance.
+/// Load of one process, identified by the hash of its instance.
 ///
-/// Serialised without field names: loads are most of the traffic between entries.
+/// Serialised without field names, since loads are most of the traffic between entries.
 #[apply(record!)]
 #[derive(Copy, Eq)]
 #[serde(from = "(u64, u32, u32)", into = "(u64, u32, u32)")]
 pub struct LoadRecord {
-    /// Hash of the instance's name.
+    /// Hash of the instance name.
     pub instance_hash: u64,
-    /// Requests in progress and waiting.
+    /// Requests in progress or queued.
     pub load: u32,
-    /// Time since it was measured, in milliseconds.
+    /// Time since the load was measured, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What became of one run of a request.
+/// What happened to one run of a request.
 #[apply(label!)]
 #[serde(rename_all = "kebab-case")]
 pub enum CrashEvent {
-    /// The endpoint whose process has this hash ended before a part of the answer had come.
+    /// The endpoint process with this hash ended before the first part of the answer arrived.
     EndedAtStart(u64),
-    /// The endpoint whose process has this hash ended while it was answering.
+    /// The endpoint process with this hash ended while it was answering.
     EndedInAnswer(u64),
-    /// No run of the request may begin any more, by a row of the table service.
+    /// The request is quarantined by a row of the table service: no further run may start.
     Barred,
-    /// It has begun although an endpoint has ended under the same request.
+    /// A run started after an endpoint had already ended during the same request.
     Begun,
-    /// The answer was whole.
+    /// The answer was complete.
     Answered,
 }
 
-/// What became of one run of a request under which endpoints have ended.
+/// Event of a request during which endpoints have ended.
 #[apply(record!)]
 #[derive(Copy, Eq)]
 pub struct CrashRecord {
-    /// What was asked for.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// What became of the run.
+    /// What happened to one of its runs.
     pub event: CrashEvent,
-    /// Time since then, in milliseconds.
+    /// Time since the event, in milliseconds.
     pub age_ms: u32,
-}
+    }
 
-/// State of an endpoint's limit.
+    /// State of an endpoint's rate limit.
 #[apply(label!)]
 #[serde(rename_all = "kebab-case")]
 pub enum LimitState {
-    /// It takes no more than this.
+    /// The endpoint accepts requests up to this rate.
     Named(NamedLimit),
-    /// It no longer names the limit that it named.
+    /// The endpoint has withdrawn this limit.
     Ended(NamedLimit),
 }
 
-/// The limit of an endpoint.
+/// Rate limit of an endpoint.
 #[apply(record!)]
 #[derive(Copy, Eq)]
 pub struct LimitRecord {
-    /// Hash of the endpoint's process.
+    /// Hash of the endpoint process.
     pub endpoint: u64,
-    /// Its state.
+    /// Whether the limit applies or has been withdrawn.
     pub state: LimitState,
-    /// Time since then, in milliseconds.
+    /// Time since the state was observed, in milliseconds.
     pub age_ms: u32,
 }
 
-/// A request that no endpoint gets any more, as a row of the table service keeps it.
+/// A request that is not sent to any endpoint, as stored in a row of the table service.
 #[apply(record!)]
 #[derive(Copy, Eq)]
 pub struct QuarantinedRequest {
-    /// What was asked for.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// When an endpoint ended under it last.
+    /// When an endpoint last ended during the request.
     pub ended_at: Timestamp,
 }
 
-/// One message between two neighbours; also their heartbeat.
+/// Changes since the last message over a link; also serves as the link's heartbeat.
 #[apply(record!)]
 #[derive(Default)]
 #[serde(default)]
 pub struct GossipDelta {
-    /// The highest preset revision that the sender has adopted.
+    /// Highest preset revision that the sender has adopted.
     pub revision: PresetRevision,
     /// Entries whose records changed.
     pub records: Vec<EntryRecord>,
@@ -127,14 +127,14 @@
     pub reports: Vec<EndpointReport>,
     /// Loads that were measured since the last message.
     pub loads: Vec<LoadRecord>,
-    /// Ends of endpoints under requests, and what clears these.
+    /// Events of requests during which endpoints have ended.
     pub crashes: Vec<CrashRecord>,
-    /// Limits that endpoints name.
+    /// Rate limits of endpoints that changed or were confirmed.
     pub limits: Vec<LimitRecord>,
 }
 
 impl CrashEvent {
-    /// Hash of the endpoint that ended.
+    /// Hash of the endpoint process that ended, if the event is such an end.
     pub fn endpoint_hash(self) -> Option<u64> {
         match self {
             Self::EndedAtStart(endpoint) | Self::EndedInAnswer(endpoint) => Some(endpoint),
@@ -156,7 +156,7 @@
 }
 
 impl EntryRecord {
-    /// Whether this record replaces `known`.
+    /// Whether this record supersedes `known`.
     pub fn is_newer_than(&self, known: &Self) -> bool {
         (self.incarnation, self.sequence) > (known.incarnation, known.sequence)
     }
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told about its request.
+//! Outcome of a request, as reported to its caller.
 
 use std::fmt;
 
@@ -6,35 +6,35 @@
 
 use crate::{Deadline, ModelVersion, PresetRevision};
 
-/// What is known about a request's run.
+/// Whether a request was run.
 #[apply(label!)]
 #[serde(rename_all = "kebab-case")]
 pub enum OutcomeKind {
-    /// It ran and the caller has the whole answer.
+    /// The request ran and the caller received the complete answer.
     Complete,
-    /// It did not run and never will.
+    /// The request did not run and will not run later.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// Why a request was not run.
+/// Reason for which a request was not run.
 #[apply(label!)]
 #[serde(rename_all = "kebab-case")]
 pub enum NotRunReason {
-    /// No endpoint serves the service now.
+    /// No endpoint currently serves the service.
     NoEndpoint,
-    /// Every endpoint is at its limit.
+    /// Every endpoint has reached its limit of concurrent requests.
     Overloaded,
     /// The deadline cannot be met.
     DeadlineTooClose,
-    /// The endpoint leaves.
+    /// The endpoint is shutting down.
     Draining,
-    /// The endpoint exchanges its weights.
+    /// The endpoint is switching its weights.
     Switching,
-    /// The endpoint knows a newer preset than the request was routed by.
+    /// The request was routed by an older preset than the endpoint knows.
     StaleRevision,
-    /// The endpoint serves another version than the request was routed to.
+    /// The endpoint does not serve the version that the request was routed to.
     VersionMismatch,
     /// The entry does not yet know which preset is in force.
     NotReady,
@@ -44,16 +44,16 @@
     KeyConflict,
     /// The preset in force has no such service.
     UnknownService,
-    /// The caller gave up before the run began.
+    /// The caller cancelled the request before it ran.
     Cancelled,
     /// The connection to the endpoint failed before anything was sent.
     ConnectFailed,
-    /// Several endpoints have ended under the same request.
+    /// Several endpoints have ended while they ran the same request.
     Quarantined,
 }
 
 impl NotRunReason {
-    /// Whether another endpoint may run the request now.
+    /// Whether the request may be retried at another endpoint at once.
     pub fn is_retryable(self) -> bool {
         match self {
             Self::Overloaded
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The code in headers and error bodies.
+    /// Stable code used in headers and error bodies.
     pub fn code(self) -> &'static str {
         match self {
             Self::NoEndpoint => "no-endpoint",
@@ -100,34 +100,34 @@
     }
 }
 
-/// The final word on a request.
+/// Final outcome of a request.
 #[apply(record!)]
 #[derive(Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestOutcome {
-    /// The caller has the whole answer.
+    /// The caller received the complete answer.
     Complete {
-        /// The version that answered; none for plain services.
+        /// Version that answered; none for plain services.
         version: Option<ModelVersion>,
-        /// The preset it was answered under.
+        /// Preset revision under which the request was answered.
         revision: PresetRevision,
     },
-    /// It was not run.
+    /// The request was not run.
     NotRun {
-        /// Why.
+        /// Reason for which it was not run.
         reason: NotRunReason,
-        /// When to come back.
+        /// Earliest time for a retry by the caller.
         retry_at: Deadline,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown {
-        /// What went wrong, in a short sentence.
+        /// Description of the failure, in one sentence.
         detail: String,
     },
 }
 
 impl RequestOutcome {
-    /// The kind without details.
+    /// The outcome without its details.
     pub fn kind(&self) -> OutcomeKind {
         match self {
             Self::Complete { .. } => OutcomeKind::Complete,
