--- a/crates/model/src/gossip.rs
+++ b/crates/model/src/gossip.rs
@@ -5,7 +5,7 @@
 use macro_rules_attribute::apply;
 
 use crate::{
-    EndpointReport, FailureDomain, InstanceId, PresetRevision, NamedLimit, RegionName,
+    EndpointReport, FailureDomain, InstanceId, NamedLimit, PresetRevision, RegionName,
     RequestDigest, Timestamp,
 };
 
@@ -80,9 +80,9 @@
     pub event: CrashEvent,
     /// Time since the event, in milliseconds.
     pub age_ms: u32,
-    }
+}
 
-    /// State of an endpoint's rate limit.
+/// State of an endpoint's rate limit.
 #[apply(label!)]
 #[serde(rename_all = "kebab-case")]
 pub enum LimitState {
