--- a/crates/model/src/derives.rs
+++ b/crates/model/src/derives.rs
@@ -1,10 +1,10 @@
-//! The sets of derives that domain types have in common.
+//! Macros that add the derives shared by domain types.
 //!
-//! Apply one with `#[apply(record!)]` or `#[apply(label!)]` from the
-//! `macro_rules_attribute` crate, so that the item itself stays formatted by
-//! `rustfmt`.
+//! They are applied with `#[apply(record!)]` or `#[apply(label!)]` from the
+//! `macro_rules_attribute` crate, since `rustfmt` does not format items inside a
+//! macro call.
 
-/// Derives for a record: printable, comparable, serialisable.
+/// Derives `Debug`, `Clone`, `PartialEq` and the serde traits.
 #[macro_export]
 macro_rules! record {
     ($($item:tt)*) => {
@@ -13,7 +13,7 @@
     };
 }
 
-/// Derives for a small closed set: a record that is also copied, ordered and hashed.
+/// Derives the traits of [`record!`] and those of small values: `Copy`, `Eq`, `Ord` and `Hash`.
 #[macro_export]
 macro_rules! label {
     ($($item:tt)*) => {
--- a/crates/model/src/finding.rs
+++ b/crates/model/src/finding.rs
@@ -1,24 +1,24 @@
-//! Findings: everything wrong with an operator's input, each with its place.
+//! Findings: errors in operator input, each with the path at which it occurs.
 //!
-//! A check goes on after the first fault, so that one run names them all.
+//! Checks continue after the first error, so that one run reports all of them.
 
 use std::fmt;
 
 use macro_rules_attribute::apply;
 
-/// Where a fault lies.
+/// An error in operator input.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct InputFinding {
-    /// The file or request part, for example `entry.json`.
+    /// File or part of a request, for example `entry.json`.
     pub source: String,
-    /// The JSON path inside the source, for example `listen.caller`.
+    /// JSON path inside the source, for example `listen.caller`.
     pub path: String,
-    /// What is wrong there and what would be right.
+    /// What is wrong and what is accepted instead.
     pub message: String,
 }
 
-/// The findings of one check.
+/// The findings of one check, in the order in which they were found.
 #[apply(record!)]
 #[derive(Eq, Default)]
 pub struct FindingList {
@@ -33,7 +33,7 @@
         Self { source: source.to_owned(), items: Vec::new() }
     }
 
-    /// Adds one finding.
+    /// Adds a finding.
     pub fn push(&mut self, path: impl fmt::Display, message: impl fmt::Display) {
         self.items.push(InputFinding {
             source: self.source.clone(),
@@ -49,23 +49,23 @@
         }
     }
 
-    /// Adds those findings of `other` for whose path and message `holds`.
+    /// Adds the findings of `other` for whose path and message `holds` returns true.
     pub fn extend_where(&mut self, other: FindingList, holds: impl Fn(&str, &str) -> bool) {
-        let kept = other.items.into_iter().filter(|place| holds(&place.path, &place.message));
+        let kept = other.items.into_iter().filter(|finding| holds(&finding.path, &finding.message));
         self.items.extend(kept);
     }
 
-    /// The findings in the order of their discovery.
+    /// The findings in the order in which they were found.
     pub fn as_slice(&self) -> &[InputFinding] {
         &self.items
     }
 
-    /// Whether nothing was found.
+    /// Whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// `value` if nothing was found, otherwise the findings.
+    /// Returns `value` if there are no findings, otherwise the findings.
     pub fn into_result<T>(self, value: T) -> Result<T, FindingList> {
         if self.is_empty() { Ok(value) } else { Err(self) }
     }
@@ -79,11 +79,11 @@
 
 impl fmt::Display for FindingList {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, place) in self.items.iter().enumerate() {
+        for (index, finding) in self.items.iter().enumerate() {
             if index > 0 {
                 writeln!(f)?;
             }
-            write!(f, "{place}")?;
+            write!(f, "{finding}")?;
         }
         Ok(())
     }
--- a/crates/model/src/header.rs
+++ b/crates/model/src/header.rs
@@ -1,20 +1,20 @@
-//! HTTP header fields that pass through the system.
+//! HTTP header fields that are forwarded between callers and endpoints.
 
 use macro_rules_attribute::apply;
 
-/// One header field, its name in lower case.
+/// A header field.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct HeaderField {
-    /// Its name.
+    /// Field name in lower case.
     pub name: String,
-    /// Its value.
+    /// Field value.
     pub value: String,
 }
 
-/// Names whose fields concern one connection (RFC 9110, section 7.6.1), or which
-/// the system sets itself on each leg.
-const OWN_LEG: [&str; 15] = [
+/// Fields that are not forwarded: hop-by-hop fields (RFC 9110, section 7.6.1) and fields that
+/// are set anew for each hop.
+const PER_HOP_FIELDS: [&str; 15] = [
     "connection",
     "content-length",
     "content-type",
@@ -32,22 +32,23 @@
     "x-request-id",
 ];
 
-/// Prefix of the system's own fields.
+/// Prefix of the fields defined by cassiawheel.
 const OWN_PREFIX: &str = "cassiawheel-";
 
 impl HeaderField {
-    /// The fields of `pairs` that pass from end to end; `connection` is the value
-    /// of the field of that name, which may list further names for one leg.
+    /// Returns the end-to-end fields of `pairs`. `connection` is the value of the `Connection`
+    /// field, which may name further hop-by-hop fields.
     ///
-    /// The system's own fields never pass: an endpoint could otherwise put an
-    /// outcome into its answer that nobody has established.
+    /// Fields with cassiawheel's own prefix are never forwarded; otherwise an endpoint could forge
+    /// the outcome of a request in its answer.
     pub fn end_to_end<'a>(
         pairs: impl Iterator<Item = (&'a str, &'a str)>,
         connection: &str,
     ) -> Vec<HeaderField> {
-        let named = |name: &str| connection.split(',').any(|n| n.trim().eq_ignore_ascii_case(name));
+        let named =
+            |name: &str| connection.split(',').any(|field| field.trim().eq_ignore_ascii_case(name));
         pairs
-            .filter(|(name, _)| !OWN_LEG.contains(name) && !name.starts_with(OWN_PREFIX))
+            .filter(|(name, _)| !PER_HOP_FIELDS.contains(name) && !name.starts_with(OWN_PREFIX))
             .filter(|(name, _)| !named(name))
             .map(|(name, value)| HeaderField { name: name.to_owned(), value: value.to_owned() })
             .collect()
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -1,26 +1,26 @@
 //! Identifiers.
 //!
-//! Each identifier is a type of its own, so that a workspace cannot be passed
-//! where a service is expected. Textual ones are cheap to clone; digests are
-//! fixed arrays.
+//! Each identifier has its own type, so that a workspace cannot be passed where
+//! a service is expected. Textual identifiers are reference-counted and cheap to
+//! clone; digests are arrays.
 
 use std::{borrow::Borrow, fmt, str::FromStr, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted textual identifier, in bytes.
+/// Longest textual identifier, in bytes.
 pub const MAX_ID_BYTES: usize = 128;
 
-/// A text that cannot be used as an identifier.
+/// Error for a text that is not a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum IdError {
     /// The text is empty or longer than [`MAX_ID_BYTES`].
     #[error("must have 1 to {MAX_ID_BYTES} bytes, has {0}")]
     Length(usize),
-    /// The text has a character outside `A-Z a-z 0-9 . _ : -`.
+    /// The text contains a character other than `A-Z a-z 0-9 . _ : -`.
     #[error("has the character {0:?}; allowed are letters, digits and . _ : -")]
     Character(char),
-    /// A digest that is not 64 hexadecimal digits.
+    /// The text of a digest does not consist of 64 hexadecimal digits.
     #[error("is not a digest of 64 hexadecimal digits")]
     InvalidDigest,
 }
@@ -51,12 +51,12 @@
                 Ok(Self(Arc::from(text)))
             }
 
-            /// An identifier of nothing, for examples of settings.
+            /// Placeholder for example settings.
             pub fn example() -> Self {
                 Self(Arc::from("example"))
             }
 
-            /// The text itself.
+            /// The identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -105,31 +105,31 @@
 }
 
 text_id! {
-    /// An entry or endpoint instance.
+    /// Name of an entry or endpoint instance, unique in the deployment.
     InstanceId;
-    /// A failure domain inside a region.
+    /// Name of a failure domain inside a region.
     FailureDomain;
-    /// A region.
+    /// Name of a region.
     RegionName;
-    /// A service that callers address.
+    /// Name of a service that callers address.
     ServiceName;
-    /// A version of a model.
+    /// Name of a version of a model.
     ModelVersion;
-    /// A preset.
+    /// Name of a preset.
     PresetName;
-    /// A workspace, the unit of fair shares.
+    /// Name of a workspace, the unit of fair sharing.
     WorkspaceId;
-    /// One request of a caller, unique per arrival.
+    /// Identifies one arrival of a request; a caller's retry has another one.
     RequestId;
-    /// A caller's idempotency key.
+    /// Idempotency key sent by a caller.
     RequestKey;
-    /// One attempt to run a request; tells our own writes from others'.
+    /// Identifies one attempt to run a request; used to recognise the process's own writes.
     AttemptNonce;
-    /// One change asked for by an operator.
+    /// Identifies a change requested by an operator.
     ChangeId;
-    /// The name under which an operator acts.
+    /// Name of an operator, as shown in the history.
     OperatorName;
-    /// One process's hold of a lease.
+    /// Identifies the process that holds a lease.
     LeaseHolder;
 }
 
@@ -141,12 +141,12 @@
         pub struct $name([u8; 32]);
 
         impl $name {
-            /// Digest of `bytes`.
+            /// BLAKE3 digest of `bytes`.
             pub fn of(bytes: &[u8]) -> Self {
                 Self(*blake3::hash(bytes).as_bytes())
             }
 
-            /// The raw digest.
+            /// The digest as bytes.
             pub fn as_bytes(&self) -> &[u8; 32] {
                 &self.0
             }
@@ -197,8 +197,8 @@
 }
 
 digest_id! {
-    /// Digest of one chunk of weights; its manifest tells how it is made.
+    /// Digest of a chunk of weights; the manifest defines the hash function.
     ChunkDigest;
-    /// BLAKE3 digest over a manifest's chunk list; pins one set of weights.
+    /// BLAKE3 digest over a manifest's chunk list; identifies one set of weights.
     ManifestDigest;
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,8 @@
-//! Domain types that every part of cassiawheel shares.
+//! Domain types shared by all crates of cassiawheel.
 //!
-//! Nothing here performs I/O or reads a clock: identifiers, deadlines,
-//! manifests, presets, requests and settings, together with the findings that
-//! a check of operator input reports.
+//! Identifiers, deadlines, manifests, presets, requests and settings, and the
+//! findings reported by checks of operator input. Nothing here performs I/O, and
+//! only [`Timestamp::now`] reads a clock.
 
 #[macro_use]
 mod derives;
--- a/crates/model/src/listing.rs
+++ b/crates/model/src/listing.rs
@@ -1,4 +1,4 @@
-//! Endpoints as the platform lists them.
+//! Endpoints registered in the platform's list of instances.
 
 use std::net::SocketAddr;
 
@@ -6,43 +6,43 @@
 
 use crate::{FailureDomain, InstanceId, ModelVersion, ServiceName, Timestamp};
 
-/// An endpoint in the platform's list.
+/// An endpoint as registered in the platform's list.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct ListedEndpoint {
-    /// Its process; one that starts later at the same address has another name
-    /// or a later start.
+    /// Identifies the process; a later process at the same address has another name or a later
+    /// start time.
     pub instance: InstanceId,
-    /// The service that it belongs to.
+    /// Service that the endpoint belongs to.
     pub service: ServiceName,
-    /// Where it is reached.
+    /// Address for requests.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// Failure domain of the endpoint.
     pub failure_domain: FailureDomain,
-    /// Requests that it works on at a time.
+    /// Requests that the endpoint processes concurrently.
     pub slots: u32,
-    /// Whether it leaves and must get nothing new.
+    /// Whether the endpoint is shutting down and must receive no new requests.
     pub is_leaving: bool,
-    /// When its process started by its own word; a later one holds and knows
-    /// nothing of what went before, also under the same name.
+    /// Start time of the process as reported by itself. A process with a later start time has no
+    /// state of an earlier one, even under the same name.
     #[serde(default)]
     pub born_at: Option<Timestamp>,
-    /// The version whose weights it holds as a whole, if it is a model engine.
+    /// Version of which a model engine holds all weights.
     pub version: Option<ModelVersion>,
 }
 
-/// One row of the list; without an endpoint the row was removed.
+/// A row of the list; a removed row has no endpoint.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct ListedRow {
-    /// The endpoint's process.
+    /// Instance of the endpoint.
     pub instance: InstanceId,
-    /// Rises with every write to the list; the higher of two rows is the newer.
+    /// Position in the sequence of writes to the list; a newer row has a higher one.
     pub position: u64,
-    /// What the row says.
+    /// Content of the row, unless it was removed or is unusable.
     pub endpoint: Option<ListedEndpoint>,
-    /// Whether the row is there but names no endpoint that could be used, as one
-    /// of a foreign writer.
+    /// Whether the row exists but describes no usable endpoint, such as a row written by other
+    /// software.
     #[serde(default)]
     pub is_unusable: bool,
 }
--- a/crates/model/src/manifest.rs
+++ b/crates/model/src/manifest.rs
@@ -1,15 +1,15 @@
-//! Manifests: the exact bytes of one version of a model.
+//! Manifests, which define the exact bytes of one version of a model.
 //!
-//! A manifest lists the digest of every chunk. Its own digest covers the whole
-//! list, so that a chunk request which names the manifest's digest can never
-//! be answered from another version.
+//! A manifest lists the digests of all chunks. Its own digest covers the whole
+//! list, so a chunk request that names the manifest's digest can never be
+//! answered from another version.
 
 use macro_rules_attribute::apply;
 use sha2::{Digest, Sha256};
 
 use crate::{ChunkDigest, ManifestDigest, ModelVersion};
 
-/// How the digests of chunks are made; the origin of weights decides.
+/// Hash function for the digests of chunks, chosen by the origin of the weights.
 #[apply(label!)]
 #[derive(Default)]
 #[serde(rename_all = "kebab-case")]
@@ -22,7 +22,7 @@
 }
 
 impl ChunkHash {
-    /// Digest of a chunk's bytes.
+    /// Computes the digest of a chunk.
     pub fn digest(self, bytes: &[u8]) -> ChunkDigest {
         match self {
             Self::Blake3 => ChunkDigest::of(bytes),
@@ -42,56 +42,56 @@
     pub bytes: u32,
 }
 
-/// The chunks of one version, in order.
+/// The ordered list of chunks of one version.
 #[apply(record!)]
 #[derive(Eq)]
 #[serde(deny_unknown_fields)]
 pub struct WeightManifest {
-    /// The version that these weights make up.
+    /// Version that the weights belong to.
     pub version: ModelVersion,
-    /// Length of every chunk but the last, in bytes.
+    /// Length in bytes of every chunk except the last, which may be shorter.
     pub chunk_bytes: u32,
-    /// The chunks in order.
+    /// Chunks in the order of their offsets.
     pub chunks: Vec<ChunkEntry>,
-    /// How the digests of the chunks are made.
+    /// Hash function for the digests of the chunks.
     #[serde(default)]
     pub hash: ChunkHash,
-    /// Digest over version, chunk length, hash and chunks.
+    /// Digest over version, chunk length, hash function and chunks.
     pub digest: ManifestDigest,
 }
 
-/// Why a manifest or a chunk was rejected.
+/// Error for a rejected manifest or chunk.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ManifestError {
     /// The manifest has no chunks.
     #[error("the manifest has no chunks")]
     Empty,
-    /// A chunk's stated length does not fit the chunk size.
+    /// The length of a chunk does not match the chunk size.
     #[error("chunk {index} has {bytes} bytes, the chunk size is {chunk_bytes}")]
     ChunkLength {
-        /// Position of the chunk.
+        /// Index of the chunk.
         index: usize,
-        /// Its stated length.
+        /// Length of the chunk according to the manifest.
         bytes: u32,
-        /// The manifest's chunk size.
+        /// Chunk size of the manifest.
         chunk_bytes: u32,
     },
-    /// The list does not match the manifest's digest.
+    /// The chunk list does not match the manifest's digest.
     #[error("the chunk list does not match the manifest's digest")]
     DigestMismatch,
-    /// The manifest is for another version or digest than the plan's.
-    #[error("the manifest is not the one that the plan pins")]
+    /// The manifest has another version or digest than the plan requires.
+    #[error("the manifest does not match the version and digest in the plan")]
     NotPinned,
-    /// A chunk index beyond the list.
+    /// The chunk index is out of range.
     #[error("chunk {0} is not in the manifest")]
     UnknownChunk(usize),
-    /// Received bytes do not match a chunk's digest or length.
+    /// The received bytes do not match the chunk's digest or length.
     #[error("the bytes of chunk {0} are corrupt")]
     CorruptChunk(usize),
 }
 
 impl WeightManifest {
-    /// Builds the manifest of `bytes` cut into chunks of `chunk_bytes`.
+    /// Builds the manifest of `bytes`, split into chunks of `chunk_bytes`.
     pub fn build(version: ModelVersion, bytes: &[u8], chunk_bytes: u32) -> Self {
         let chunks = bytes
             .chunks(chunk_bytes.max(1) as usize)
@@ -100,7 +100,7 @@
         Self::from_chunks(version, chunk_bytes, ChunkHash::Blake3, chunks)
     }
 
-    /// Builds a manifest from chunks whose digests are known.
+    /// Builds a manifest from chunks with known digests.
     pub fn from_chunks(
         version: ModelVersion,
         chunk_bytes: u32,
@@ -111,7 +111,7 @@
         Self { version, chunk_bytes, chunks, hash, digest }
     }
 
-    /// Checks that the list is consistent and matches its own digest.
+    /// Checks that the chunk lengths are consistent and that the list matches the digest.
     pub fn verify(&self) -> Result<(), ManifestError> {
         let Some(last) = self.chunks.len().checked_sub(1) else {
             return Err(ManifestError::Empty);
@@ -130,19 +130,19 @@
         Ok(())
     }
 
-    /// Checks received bytes against the chunk at `index`.
+    /// Checks that `bytes` are the chunk at `index`.
     pub fn verify_chunk(&self, index: usize, bytes: &[u8]) -> Result<(), ManifestError> {
         let entry = self.chunks.get(index).ok_or(ManifestError::UnknownChunk(index))?;
         let intact = bytes.len() == entry.bytes as usize && self.hash.digest(bytes) == entry.digest;
         if intact { Ok(()) } else { Err(ManifestError::CorruptChunk(index)) }
     }
 
-    /// Byte offset of the chunk at `index`.
+    /// Offset of the chunk at `index`, in bytes.
     pub fn offset(&self, index: usize) -> u64 {
         index as u64 * u64::from(self.chunk_bytes)
     }
 
-    /// Length of all chunks, in bytes.
+    /// Total length of all chunks, in bytes.
     pub fn total_bytes(&self) -> u64 {
         self.chunks.iter().map(|chunk| u64::from(chunk.bytes)).sum()
     }
--- a/crates/model/src/preset.rs
+++ b/crates/model/src/preset.rs
@@ -1,7 +1,7 @@
-//! Presets and the one that is in force.
+//! Presets and the preset in force.
 //!
-//! Operators keep several presets; exactly one is in force. Each change of the
-//! one in force has a revision, and revisions form one linear history.
+//! Operators store several presets, of which exactly one is in force. Each change
+//! of the preset in force has a revision, and revisions form one linear history.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -12,50 +12,50 @@
     OperatorName, PresetName, ServiceName, Timestamp,
 };
 
-/// Position of a change in the history of the preset in force.
+/// Position in the history of changes of the preset in force.
 #[apply(label!)]
 #[derive(Default)]
 #[serde(transparent)]
 pub struct PresetRevision(pub u64);
 
-/// What kind of endpoint serves a service.
+/// Kind of the endpoints of a service.
 #[apply(label!)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceKind {
     /// Model engines whose weights cassiawheel distributes.
     Model,
-    /// Plain services, which are only routed to.
+    /// Plain services, to which requests are routed and no weights are distributed.
     Plain,
 }
 
-/// What one service serves under a preset.
+/// Target state of a service under a preset.
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceTarget {
-    /// Whether model engines or plain services serve it.
+    /// Kind of the endpoints.
     pub kind: ServiceKind,
-    /// The model version to serve; required for models, forbidden for plain services.
+    /// Model version to serve; required for models, not allowed for plain services.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<ModelVersion>,
-    /// The manifest that pins the version's bytes, once known.
+    /// Digest of the version's manifest, once known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub manifest: Option<ManifestDigest>,
-    /// Replicas wanted.
+    /// Number of replicas that should serve the version.
     pub replicas: u32,
-    /// When the replicas have to be ready.
+    /// Time by which the replicas must be ready.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ready_by: Option<Deadline>,
-    /// Requests that may be in progress at one replica.
+    /// Most requests in progress at one replica.
     #[serde(default = "default_limit")]
     pub max_in_flight: u32,
-    /// Endpoints beyond the replicas that hold the version too; all of the
-    /// service's endpoints if left out.
+    /// Number of further endpoints that hold the version as well; if absent, all endpoints of the
+    /// service hold it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spares: Option<u32>,
-    /// Share of the endpoints, in percent, that goes on serving during a switch of versions.
+    /// Percentage of the endpoints that continues to serve while versions are switched.
     #[serde(default = "default_serving_percent")]
     pub serving_percent: u32,
-    /// How the service's engines work, where the platform tells.
+    /// Performance data of the service's engines, if the platform provides them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub engine: Option<EngineProfile>,
 }
@@ -68,23 +68,23 @@
     32
 }
 
-/// What an operator writes: the services of one preset.
+/// Content of a preset as written by an operator.
 #[apply(record!)]
 #[derive(Default)]
 #[serde(deny_unknown_fields)]
 pub struct PresetContent {
-    /// The services by name.
+    /// Target states by service name.
     pub services: BTreeMap<ServiceName, ServiceTarget>,
-    /// Routes and keys of callers, where callers reach services by host and path.
+    /// Routes and API keys, if requests are routed by host and path.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub callers: Option<Arc<CallerTable>>,
 }
 
-/// Most replicas that a preset may ask for in one service.
+/// Largest number of replicas of a service.
 pub const MAX_REPLICAS: u32 = 100_000;
 
 impl PresetContent {
-    /// Collects everything that is wrong with the content.
+    /// Checks the content and returns all findings.
     pub fn check(&self, source: &str) -> FindingList {
         let mut findings = FindingList::new(source);
         findings.require(!self.services.is_empty(), "services", "must name at least one service");
@@ -124,20 +124,20 @@
     }
 }
 
-/// The preset in force.
+/// The preset in force, with the change that put it in force.
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct ForcedPreset {
-    /// Position in the history.
+    /// Position of the change in the history.
     pub revision: PresetRevision,
-    /// The preset's name.
+    /// Name of the preset.
     pub preset: PresetName,
-    /// Its content at the time of the change.
+    /// Content of the preset at the time of the change.
     pub content: PresetContent,
-    /// The change that put it in force.
+    /// Identifies the change that put the preset in force.
     pub change: ChangeId,
-    /// Who made the change.
+    /// Operator who made the change.
     pub operator: OperatorName,
-    /// When it was made.
+    /// Time of the change.
     pub changed_at: Timestamp,
 }
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -1,4 +1,4 @@
-//! What routing needs to know about a request.
+//! Request metadata used for routing.
 
 use std::fmt;
 
@@ -9,14 +9,14 @@
     WorkspaceId,
 };
 
-/// Order in which requests are shed under overload.
+/// Priority of a request for load shedding.
 #[apply(label!)]
 #[derive(Default)]
 #[serde(rename_all = "kebab-case")]
 pub enum PriorityClass {
     /// Shed first.
     Low,
-    /// The default.
+    /// The default; shed after low and before high priority.
     #[default]
     Normal,
     /// Shed last.
@@ -27,56 +27,57 @@
 #[apply(label!)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeatability {
-    /// Idempotent: may be retried and hedged.
+    /// May be retried and hedged.
     Idempotent,
-    /// Runs at most once; without a key it is sent once, with a key it is claimed first.
+    /// Must run at most once. A request without an idempotency key is sent only once; one with a
+    /// key is claimed before it is sent.
     AtMostOnce,
 }
 
-/// A request as the entry identified it.
+/// Request metadata as determined by the entry.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct RequestHead {
-    /// Unique per arrival.
+    /// Identifies this arrival of the request.
     pub id: RequestId,
-    /// Whom it belongs to.
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// The service asked for.
+    /// Requested service.
     pub service: ServiceName,
-    /// Order of shedding.
+    /// Priority for load shedding.
     pub priority: PriorityClass,
-    /// Whether it may be repeated.
+    /// Whether the request may run more than once.
     pub repeat: Repeatability,
-    /// The caller's idempotency key.
+    /// Idempotency key sent by the caller.
     pub key: Option<RequestKey>,
-    /// When the answer is of no more use.
+    /// Time after which the caller no longer needs the answer.
     pub deadline: Deadline,
-    /// HTTP method towards the endpoint.
+    /// HTTP method of the request to the endpoint.
     pub method: String,
-    /// Path and query towards the endpoint.
+    /// Path and query of the request to the endpoint.
     pub path: String,
-    /// The body's media type.
+    /// Media type of the body.
     pub content_type: Option<String>,
-    /// Further header fields for the endpoint.
+    /// Further header fields forwarded to the endpoint.
     pub headers: Vec<HeaderField>,
-    /// Digest of the leading part of the prompt, for prefix affinity; a hint.
+    /// Hash of the leading bytes of the body, a hint for prefix affinity.
     pub prefix: Option<u64>,
-    /// The preset by which it is routed.
+    /// Preset revision by which the request is routed.
     pub revision: PresetRevision,
-    /// The version that has to answer; none for plain services.
+    /// Version that has to answer; none for plain services.
     pub version: Option<ModelVersion>,
 }
 
-/// Bytes of a [`RequestDigest`].
+/// Length of a [`RequestDigest`], in bytes.
 const DIGEST_BYTES: usize = 16;
 
-/// Digest of a request, the same for each attempt of its caller.
+/// Digest of a request's content, equal for all retries by its caller.
 #[apply(label!)]
 #[serde(transparent)]
 pub struct RequestDigest([u8; DIGEST_BYTES]);
 
 impl RequestDigest {
-    /// The digest of workspace, method, path with query, and body.
+    /// Computes the digest of workspace, method, path with query, and body.
     pub fn of(head: &RequestHead, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in [head.workspace.as_str(), &head.method, &head.path] {
@@ -89,7 +90,7 @@
         Self(bytes)
     }
 
-    /// A number for choices by rank.
+    /// Key of the request for rendezvous hashing.
     pub fn rendezvous_key(self) -> u64 {
         let [a, b, c, d, e, f, g, h, ..] = self.0;
         u64::from_le_bytes([a, b, c, d, e, f, g, h])
--- a/crates/model/src/routing.rs
+++ b/crates/model/src/routing.rs
@@ -1,7 +1,7 @@
-//! How callers reach services: routes by host and path, keys of workspaces.
+//! Routing of callers' requests: routes by host and path, and API keys of workspaces.
 //!
-//! A table belongs to a preset and changes with it, so that a caller never
-//! meets the routes of one preset and the keys of another.
+//! A table is part of a preset and is replaced with it, so routes and keys of
+//! different presets are never combined.
 
 use std::collections::BTreeMap;
 
@@ -9,78 +9,78 @@
 
 use crate::{ServiceName, WorkspaceId};
 
-/// What may be done with a request of a route.
+/// Whether requests of a route may be retried, and how they are answered.
 #[apply(label!)]
 #[serde(rename_all = "kebab-case")]
 pub enum RouteKind {
-    /// Idempotent; answered with one body.
+    /// Idempotent; answered with a single body.
     Idempotent,
-    /// Runs at most once; answered with one body.
+    /// Runs at most once; answered with a single body.
     AtMostOnce,
-    /// Answered with events; runs at most once.
+    /// Runs at most once; answered with an event stream.
     Stream,
-    /// Answered with events; another endpoint may go on after the last event that arrived.
+    /// Answered with an event stream; another endpoint may resume it after the last event received.
     ResumableStream,
 }
 
-/// A part of a route's requests.
+/// A service that receives a share of a route's requests.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct RouteShare {
-    /// The service that gets it.
+    /// Service that receives the share.
     pub service: ServiceName,
-    /// Its weight among the route's shares; the weights need not add up to anything.
+    /// Weight relative to the route's other shares; the weights need no particular sum.
     pub weight: u32,
 }
 
-/// One route.
+/// A route from host and path prefix to services.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct RouteRule {
-    /// Its name in logs.
+    /// Name of the route in logs.
     pub name: String,
-    /// Host that callers name, in lower case.
+    /// Host of matching requests, in lower case.
     pub host: String,
-    /// What paths of the route begin with; begins and ends with a slash.
+    /// Path prefix of matching requests; begins and ends with a slash.
     pub prefix: String,
-    /// Services that its requests go to; at least one.
+    /// Services that receive the requests; at least one.
     pub shares: Vec<RouteShare>,
-    /// What may be done with its requests.
+    /// Whether requests may be retried, and how they are answered.
     pub kind: RouteKind,
-    /// Longest time until the end of an answer, in milliseconds.
+    /// Timeout until the end of the answer, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer should begin, in milliseconds.
+    /// Target latency until the start of the answer, in milliseconds.
     pub aim_ms: u64,
-    /// Endpoints that one request may be sent to.
+    /// Most endpoints that one request is sent to.
     pub max_attempts: u32,
-    /// Whether callers need no key.
+    /// Whether the route is open to callers without a key.
     pub is_public: bool,
 }
 
-/// What callers may send and how long they may take.
+/// Size limits and timeouts of callers' connections.
 #[apply(record!)]
 #[derive(Copy, Eq)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Largest request head, in bytes.
     pub head_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Largest request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time to receive a head, in milliseconds.
+    /// Timeout for receiving a request head, in milliseconds.
     pub head_ms: u64,
-    /// Time for which callers may keep an idle connection, in milliseconds.
+    /// Timeout of idle connections, in milliseconds.
     pub idle_ms: u64,
 }
 
-/// The routes and keys of one preset.
+/// Routes, API keys and limits of callers under one preset.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct CallerTable {
-    /// The routes.
+    /// Routes; of several matches the one with the longest prefix applies.
     pub routes: Vec<RouteRule>,
-    /// Workspaces by the keys of their callers.
+    /// Workspaces by the API keys of their callers.
     pub keys: BTreeMap<String, WorkspaceId>,
-    /// Whether callers need a key, but for those of public routes.
+    /// Whether callers of routes that are not public need a key.
     pub needs_key: bool,
-    /// Limits of callers.
+    /// Limits of callers' connections.
     pub limits: CallerLimits,
 }
--- a/crates/model/src/settings/agent.rs
+++ b/crates/model/src/settings/agent.rs
@@ -8,48 +8,48 @@
     CheckedSettings, LogSettings, PlaceSettings, PlatformSettings,
     common::{
         EXAMPLE_KEY, check_distinct, check_listeners, check_millis, check_reachable, check_secret,
-        check_target, example_addr, indexed,
+        check_target, example_addr, indexed_paths,
     },
 };
 use crate::{EndpointRole, FindingList, ServiceName};
 
-/// Everything an agent process is told.
+/// Content of an agent's settings file.
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// Who it is and where it stands.
+    /// Identity and location of the process.
     pub place: PlaceSettings,
-    /// Where other agents reach it.
+    /// Listen address for other agents.
     pub listen_inner: SocketAddr,
-    /// Address told to other agents, where it differs from `listen_inner`.
+    /// Address announced to other agents, if it differs from `listen_inner`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub advertise_inner: Option<SocketAddr>,
-    /// Metrics and probes.
+    /// Listen address for metrics and probes.
     pub listen_metrics: SocketAddr,
-    /// Most open connections of other agents.
+    /// Most open connections from other agents.
     #[serde(default = "default_inner_connections")]
     pub inner_connections: usize,
-    /// Inner addresses of the entries.
+    /// Internal addresses of the entries.
     pub entries: Vec<SocketAddr>,
-    /// Entries that it keeps a connection to.
+    /// Number of entries that the agent keeps connections to.
     #[serde(default = "default_entry_links")]
     pub entry_links: usize,
-    /// The platform's services.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// Key that our own processes share; at least 16 bytes.
+    /// Secret shared by all processes of the deployment; at least 16 bytes.
     pub inner_key: String,
     /// The engine or plain service at this instance.
     pub engine: EngineSettings,
-    /// Transfer of weights.
+    /// Settings of the transfer of weights.
     #[serde(default)]
     pub transfer: TransferSettings,
-    /// Time between heartbeats, in milliseconds.
+    /// Heartbeat interval, in milliseconds.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// Longest graceful shutdown, in milliseconds.
+    /// Timeout of a graceful shutdown, in milliseconds.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
-    /// Logs.
+    /// Level, format and rate limit of logs.
     #[serde(default)]
     pub log: LogSettings,
 }
@@ -74,26 +74,27 @@
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct EngineSettings {
-    /// Its address.
+    /// Address of the engine.
     pub addr: SocketAddr,
     /// Model engine or plain service.
     pub role: EndpointRole,
-    /// The service it belongs to.
+    /// Service that the engine belongs to.
     pub service: ServiceName,
-    /// Whether the engine refuses orders with an old fencing token.
+    /// Whether the engine rejects orders with an old fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Requests that the agent admits at a time.
+    /// Most requests that the agent admits at a time.
     #[serde(default = "default_max_in_flight")]
     pub max_in_flight: u32,
-    /// Time between the word that the engine takes nothing new and the exchange of its weights,
-    /// in milliseconds. Zero where every request passes the agent, which then refuses by itself.
+    /// Time between the announcement that the engine accepts no new requests and the switch of its
+    /// weights, in milliseconds. Zero if all requests pass through the agent, which then rejects
+    /// them itself.
     #[serde(default)]
     pub notice_ms: u64,
 }
 
 impl EngineSettings {
-    /// Whether requests reach the engine without the agent.
+    /// Whether entries send requests to the engine without passing through the agent.
     pub fn is_direct(&self) -> bool {
         self.notice_ms > 0
     }
@@ -103,44 +104,44 @@
     32
 }
 
-/// Which of the two figures a deployment weighs more.
+/// Optimisation goal of the transfer of weights.
 #[apply(label!)]
 #[serde(rename_all = "kebab-case")]
 pub enum TransferMode {
-    /// Time until N replicas serve.
+    /// Minimises the time until the replicas serve.
     Time,
-    /// Bytes drawn from the origin.
+    /// Minimises the bytes read from the origin.
     Bytes,
 }
 
-/// Transfer of weights.
+/// Settings of the transfer of weights.
 #[apply(record!)]
 #[serde(deny_unknown_fields, default)]
 pub struct TransferSettings {
-    /// Which figure counts more.
+    /// Optimisation goal.
     pub mode: TransferMode,
-    /// Copies of a version that all agents together may draw from the origin.
+    /// Copies of a version that all agents together may read from the origin.
     pub origin_copies: f64,
     /// Capacity of the instance's link in each direction, in bytes per second; 0 is unlimited.
     pub link_bytes_per_s: u64,
-    /// Part of the link kept free for live requests, from 0 to 0.9.
+    /// Share of the link reserved for live requests, from 0 to 0.9.
     pub live_share: f64,
-    /// Chunks that other agents may have asked for at a time; further ones are refused as busy.
+    /// Concurrent chunk requests accepted from other agents; further ones are refused as busy.
     pub upload_slots: usize,
-    /// Chunks fetched from other agents at a time.
+    /// Chunks fetched concurrently from other agents.
     pub download_slots: usize,
-    /// Longest wait before a chunk is asked of another source, in milliseconds.
+    /// Timeout after which a chunk is requested from another source, in milliseconds.
     pub stall_ms: u64,
-    /// Shortest time before an agent that brings none of its chunks from the origin loses them to
-    /// others, in milliseconds.
+    /// Minimum time without progress after which the chunks that an agent has to read from the
+    /// origin are reassigned to other agents, in milliseconds.
     pub origin_step_ms: u64,
-    /// Verified chunks kept in memory for other agents, in bytes.
+    /// Size of the cache of verified chunks for other agents, in bytes.
     pub cache_bytes: u64,
-    /// Time of a chunk from another agent beyond which fewer are asked for at a time, in
-    /// milliseconds; 0 asks for `download_slots` always.
+    /// Transfer time of a chunk from another agent above which fewer chunks are requested at a
+    /// time, in milliseconds; with 0, `download_slots` are always requested.
     pub queue_ms: u64,
-    /// Time after which a chunk that hardly any agent holds is drawn from the origin again, in
-    /// milliseconds; 0 never does, so that one copy is drawn.
+    /// Time after which a chunk that few agents hold is read from the origin again, in
+    /// milliseconds; with 0 it is not, so that only one copy is read.
     pub rescue_ms: u64,
 }
 
@@ -216,10 +217,10 @@
             "listen_metrics",
             format_args!("{} has no port", self.listen_metrics),
         );
-        // Other agents are told this address.
+        // This address is announced to other agents.
         check_reachable(findings, "listen_inner", self.listen_inner);
         check_reachable(findings, "engine.addr", self.engine.addr);
-        let entries = indexed("entries", &self.entries);
+        let entries = indexed_paths("entries", &self.entries);
         for (path, addr) in &entries {
             check_reachable(findings, path, *addr);
         }
@@ -247,7 +248,7 @@
         findings.require(
             (1.0..=64.0).contains(&self.origin_copies),
             "transfer.origin_copies",
-            "must lie between 1 and 64: less than one copy never completes",
+            "must lie between 1 and 64: with less than one copy, a transfer never completes",
         );
         findings.require(
             (0.0..=0.9).contains(&self.live_share),
--- a/crates/model/src/settings/common.rs
+++ b/crates/model/src/settings/common.rs
@@ -1,4 +1,4 @@
-//! Settings that both binaries share.
+//! Settings shared by both binaries, and checks of addresses, secrets and times.
 
 use std::{net::SocketAddr, ops::RangeInclusive};
 
@@ -6,29 +6,29 @@
 
 use crate::{FailureDomain, FindingList, InstanceId, RegionName, ids::check_id};
 
-/// Who the process is and where it stands.
+/// Identity and location of the process.
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct PlaceSettings {
-    /// Name of the instance, unique in the deployment.
+    /// Instance name, unique in the deployment.
     pub instance: InstanceId,
-    /// Its region.
+    /// Region of the instance.
     pub region: RegionName,
-    /// Its failure domain inside the region.
+    /// Failure domain of the instance inside the region.
     pub failure_domain: FailureDomain,
 }
 
-/// The platform's services, by IP address and port.
+/// Addresses of the platform's services.
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Table service.
+    /// Address of the table service.
     pub table: SocketAddr,
-    /// Origin of weights.
+    /// Address of the origin of weights.
     pub origin: SocketAddr,
-    /// List of live and leaving instances.
+    /// Address of the list of live and leaving instances.
     pub instances: SocketAddr,
-    /// Longest wait for an answer, in milliseconds.
+    /// Timeout for an answer of the platform, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u64,
 }
@@ -37,25 +37,25 @@
     2_000
 }
 
-/// Layout of log lines.
+/// Format of log lines.
 #[apply(label!)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
     /// `key=value` pairs after a fixed prefix.
     KeyValue,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What is logged and how.
+/// Level, format and rate limit of logs.
 #[apply(record!)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Level or `flexi_logger` specification, for example `info`.
+    /// Level or `flexi_logger` specification, for example `info, route=warn`.
     pub level: String,
-    /// Layout of the lines.
+    /// Format of the lines.
     pub format: LogFormat,
-    /// Most decision lines per second; further ones are counted and summed up.
+    /// Most decision lines per second; further ones are counted and reported in one line.
     pub decisions_per_s: u32,
 }
 
@@ -65,18 +65,19 @@
     }
 }
 
-/// Secrets of the examples, which protect nothing.
+/// Placeholder secret of example settings.
 pub(super) const EXAMPLE_KEY: &str = "example-key-of-our-processes";
-/// An operator's token of the examples.
+/// Placeholder operator token of example settings.
 pub(super) const EXAMPLE_TOKEN: &str = "example-token-of-an-operator";
 
-/// An address that is reserved for documentation, so that no file names it by accident.
+/// An address from the range reserved for documentation, so that it does not collide with an
+/// address in a settings file.
 pub(super) fn example_addr(host: u8) -> SocketAddr {
     SocketAddr::from(([192, 0, 2, host], 7000))
 }
 
 impl PlaceSettings {
-    /// A place of nowhere.
+    /// Placeholder for example settings.
     pub(super) fn example() -> Self {
         Self {
             instance: InstanceId::example(),
@@ -87,7 +88,7 @@
 }
 
 impl PlatformSettings {
-    /// A platform of nowhere.
+    /// Placeholder for example settings.
     pub(super) fn example() -> Self {
         Self {
             table: example_addr(1),
@@ -97,7 +98,7 @@
         }
     }
 
-    /// The services' addresses with their paths.
+    /// Paths and values of the services' addresses.
     pub(super) fn addrs(&self) -> [(String, SocketAddr); 3] {
         [
             ("platform.table".to_owned(), self.table),
@@ -106,7 +107,7 @@
         ]
     }
 
-    /// Adds everything that is wrong with the values.
+    /// Adds a finding for each invalid value.
     pub(super) fn check(&self, findings: &mut FindingList) {
         check_millis(findings, "platform.timeout_ms", self.timeout_ms, 50..=60_000);
         for (path, addr) in self.addrs() {
@@ -115,11 +116,11 @@
     }
 }
 
-/// Levels that a log specification may name.
+/// Levels that are accepted in a log specification.
 const LOG_LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
 impl LogSettings {
-    /// Adds everything that is wrong with the values.
+    /// Adds a finding for each invalid value.
     pub fn check(&self, findings: &mut FindingList) {
         for item in self.level.split(',') {
             let (part, level) = match item.split_once('=') {
@@ -145,10 +146,10 @@
     }
 }
 
-/// Shortest accepted secret, in bytes.
+/// Minimum length of a secret, in bytes.
 pub const MIN_SECRET_BYTES: usize = 16;
 
-/// Adds a finding for a secret that protects nothing or cannot be sent in a header.
+/// Adds a finding for a secret that is too short or cannot be sent in a header.
 pub fn check_secret(findings: &mut FindingList, path: &str, secret: &str) {
     findings.require(
         secret.len() >= MIN_SECRET_BYTES,
@@ -158,14 +159,14 @@
     findings.require(
         secret.chars().all(|c| c.is_ascii_graphic()),
         path,
-        "must consist of visible ASCII characters without spaces, since it travels in a header",
+        "must consist of visible ASCII characters without spaces, since it is sent in a header",
     );
 }
 
-/// Adds a finding for a time outside `range`.
+/// Adds a finding for a time outside `range`, in milliseconds.
 ///
-/// Most wrong times are seconds written where milliseconds are read; they lie
-/// far below the range, so that the message can say so.
+/// Most wrong times are given in seconds instead of milliseconds and lie below the range, in
+/// which case the message asks about the unit.
 pub fn check_millis(
     findings: &mut FindingList,
     path: &str,
@@ -183,17 +184,17 @@
     );
 }
 
-/// Adds a finding for an address that others cannot connect to.
+/// Adds a finding for an address that other processes cannot connect to.
 pub fn check_reachable(findings: &mut FindingList, path: &str, addr: SocketAddr) {
     findings.require(addr.port() != 0, path, format_args!("{addr} has no port"));
     findings.require(
         !addr.ip().is_unspecified(),
         path,
-        format_args!("{addr} is no address that others can connect to"),
+        format_args!("other processes cannot connect to {addr}"),
     );
 }
 
-/// Adds a finding for each listener that cannot listen beside an earlier one.
+/// Adds a finding for each listener whose address overlaps with that of an earlier one.
 pub fn check_listeners(findings: &mut FindingList, listeners: &[(String, SocketAddr)]) {
     check_pairs(findings, listeners, |one, other| {
         let any = one.ip().is_unspecified() || other.ip().is_unspecified();
@@ -201,7 +202,7 @@
     });
 }
 
-/// Adds a finding for each address that is given to two different things.
+/// Adds a finding for each address that is used twice.
 pub fn check_distinct(findings: &mut FindingList, addrs: &[(String, SocketAddr)]) {
     check_pairs(findings, addrs, |one, other| one == other && one.port() != 0);
 }
@@ -209,17 +210,17 @@
 fn check_pairs(
     findings: &mut FindingList,
     addrs: &[(String, SocketAddr)],
-    clash: impl Fn(SocketAddr, SocketAddr) -> bool,
+    overlaps: impl Fn(SocketAddr, SocketAddr) -> bool,
 ) {
     for (index, (path, addr)) in addrs.iter().enumerate() {
-        let earlier = addrs[..index].iter().find(|(_, other)| clash(*addr, *other));
+        let earlier = addrs[..index].iter().find(|(_, other)| overlaps(*addr, *other));
         if let Some((other, _)) = earlier {
             findings.push(path, format_args!("{addr} is already used by {other}"));
         }
     }
 }
 
-/// Adds a finding for a target that is one of our own or our peers' addresses.
+/// Adds a finding if `target` is one of the process's own or its peers' addresses.
 pub(super) fn check_target(
     findings: &mut FindingList,
     own: &[(String, SocketAddr)],
@@ -230,7 +231,7 @@
     }
 }
 
-/// Paths for the items of a list.
-pub(super) fn indexed(path: &str, addrs: &[SocketAddr]) -> Vec<(String, SocketAddr)> {
+/// Pairs each address of a list with the path of its item.
+pub(super) fn indexed_paths(path: &str, addrs: &[SocketAddr]) -> Vec<(String, SocketAddr)> {
     addrs.iter().enumerate().map(|(index, addr)| (format!("{path}[{index}]"), *addr)).collect()
 }
--- a/crates/model/src/settings/entry.rs
+++ b/crates/model/src/settings/entry.rs
@@ -8,67 +8,67 @@
     CheckedSettings, ListenerSettings, LogSettings, PlaceSettings, PlatformSettings,
     common::{
         EXAMPLE_KEY, EXAMPLE_TOKEN, check_distinct, check_listeners, check_millis, check_reachable,
-        check_secret, check_target, example_addr, indexed,
+        check_secret, check_target, example_addr, indexed_paths,
     },
 };
 use crate::{FindingList, OperatorName};
 
-/// Everything an entry process is told.
+/// Content of an entry's settings file.
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Who it is and where it stands.
+    /// Identity and location of the process.
     pub place: PlaceSettings,
-    /// Where it listens.
+    /// Listen addresses.
     pub listen: EntryListen,
-    /// Limits of the listeners.
+    /// Limits of connections and requests.
     #[serde(default)]
     pub limits: ListenerSettings,
-    /// Inner addresses of the other entries.
+    /// Internal addresses of the other entries.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// The platform's services.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// Key that our own processes share; at least 16 bytes.
+    /// Secret shared by all processes of the deployment; at least 16 bytes.
     pub inner_key: String,
-    /// Tokens of the operator API.
+    /// Bearer tokens of the operator API.
     #[serde(default)]
     pub operators: Vec<OperatorToken>,
-    /// Treatment of callers.
+    /// Limits and defaults of callers' requests.
     #[serde(default)]
     pub caller: CallerSettings,
-    /// Control traffic.
+    /// Intervals and limits of control traffic.
     #[serde(default)]
     pub control: ControlSettings,
-    /// Logs.
+    /// Level, format and rate limit of logs.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Addresses an entry listens on.
+/// Listen addresses of an entry.
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct EntryListen {
-    /// Callers.
+    /// Address for callers, which is also announced to them.
     pub caller: SocketAddr,
-    /// Operators.
+    /// Address of the operator API.
     pub admin: SocketAddr,
-    /// Our own processes.
+    /// Address for agents and other entries.
     pub inner: SocketAddr,
-    /// Metrics and probes.
+    /// Address for metrics and probes.
     pub metrics: SocketAddr,
 }
 
-/// Largest body of a caller that the settings may allow, in bytes.
+/// Upper limit of `caller.max_body_bytes`.
 pub const MAX_BODY_BYTES: usize = 12 << 20;
 
-/// What a token's holder may do.
+/// Permissions of an operator token.
 #[apply(label!)]
 #[serde(rename_all = "kebab-case")]
 pub enum OperatorRole {
-    /// Read only.
+    /// May read.
     View,
-    /// Read and change.
+    /// May read and change.
     Operate,
 }
 
@@ -76,34 +76,34 @@
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorToken {
-    /// Name that the history shows.
+    /// Name of the operator, as shown in the history.
     pub name: OperatorName,
-    /// The token; at least 16 bytes.
+    /// Secret token; at least 16 bytes.
     pub token: String,
-    /// What it permits.
+    /// Permissions of the token.
     pub role: OperatorRole,
 }
 
-/// Treatment of callers.
+/// Limits and defaults of callers' requests.
 #[apply(record!)]
 #[serde(deny_unknown_fields, default)]
 pub struct CallerSettings {
-    /// Deadline of a request that names none, in milliseconds from its arrival.
+    /// Deadline of a request without one, in milliseconds from its arrival.
     pub default_deadline_ms: u64,
     /// Largest request body, in bytes.
     pub max_body_bytes: usize,
-    /// Most open connections.
+    /// Most open connections from callers.
     pub max_connections: usize,
-    /// How long an address answer may be kept, in milliseconds.
+    /// Time for which callers may cache the addresses of entries, in milliseconds.
     pub advice_ms: u64,
-    /// Addresses in an address answer.
+    /// Number of entry addresses returned to a caller.
     pub advice_addresses: usize,
-    /// Most attempts of one request.
+    /// Most attempts per request.
     pub max_attempts: u32,
-    /// Most requests that wait for room at the endpoints of one service.
+    /// Length of the admission queue of each service.
     pub queue_length: usize,
-    /// Leading bytes of a body by which requests with a common prefix are told,
-    /// to be sent where an engine has probably cached it; zero turns it off.
+    /// Length of the body prefix used for prefix affinity, in bytes: requests with the same prefix
+    /// are sent to an engine that has probably cached it. Zero disables prefix affinity.
     pub prefix_bytes: usize,
 }
 
@@ -122,19 +122,19 @@
     }
 }
 
-/// Control traffic.
+/// Intervals and limits of control traffic.
 #[apply(record!)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlSettings {
-    /// Time between reads of the preset in force, in milliseconds; jittered by a quarter.
+    /// Poll interval of the preset in force, in milliseconds; jittered by a quarter.
     pub poll_ms: u64,
-    /// Heartbeats without which a peer or agent counts as gone, in milliseconds.
+    /// Time without heartbeats after which a peer or agent counts as gone, in milliseconds.
     pub heartbeat_timeout_ms: u64,
-    /// Longest graceful shutdown, in milliseconds.
+    /// Timeout of a graceful shutdown, in milliseconds.
     pub drain_ms: u64,
-    /// Most reads of the table service in a second, polls included.
+    /// Most reads of the table service per second, polls included.
     pub store_reads_per_s: u32,
-    /// Most writes to the table service in a second.
+    /// Most writes to the table service per second.
     pub store_writes_per_s: u32,
 }
 
@@ -186,7 +186,7 @@
         findings.require(
             self.control.drain_ms > self.caller.advice_ms,
             "control.drain_ms",
-            "must be more than caller.advice_ms, for which callers still come to a leaving entry",
+            "must exceed caller.advice_ms, for which callers still use a leaving entry",
         );
         self.log.check(findings);
     }
@@ -204,14 +204,14 @@
         for (path, addr) in &listeners {
             findings.require(addr.port() != 0, path, format_args!("{addr} has no port"));
         }
-        // Callers are told this address; the other listeners may take any.
+        // This address is announced to callers; the other listeners may use 0.0.0.0.
         check_reachable(findings, "listen.caller", listen.caller);
-        let peers = indexed("peers", &self.peers);
+        let peers = indexed_paths("peers", &self.peers);
         for (path, addr) in &peers {
             check_reachable(findings, path, *addr);
         }
-        // The platform may serve several of its services at one address, so
-        // each is compared with the listeners and peers only.
+        // The platform's services may share an address, so each is compared only with the
+        // listeners and peers.
         check_listeners(findings, &listeners);
         check_distinct(findings, &peers);
         for peer in &peers {
@@ -230,7 +230,7 @@
             findings.require(
                 operator.token != self.inner_key,
                 &path,
-                "is the inner_key; an operator must not be able to act as one of our processes",
+                "is the inner_key; an operator must not be able to act as an entry or agent",
             );
             let earlier = &self.operators[..index];
             if let Some(other) = earlier.iter().position(|other| other.token == operator.token) {
@@ -256,7 +256,7 @@
         for (path, value) in positive {
             findings.require(value > 0, path, "must be at least 1");
         }
-        // A body travels to an agent in one message, which has a largest size.
+        // A body is sent to an agent in one message, whose size is limited.
         findings.require(
             self.max_body_bytes <= MAX_BODY_BYTES,
             "caller.max_body_bytes",
@@ -281,8 +281,8 @@
             "control.store_writes_per_s",
             "must be at least 1",
         );
-        let silence = self.heartbeat_timeout_ms;
-        check_millis(findings, "control.heartbeat_timeout_ms", silence, 200..=60_000);
+        let timeout = self.heartbeat_timeout_ms;
+        check_millis(findings, "control.heartbeat_timeout_ms", timeout, 200..=60_000);
         check_millis(findings, "control.drain_ms", self.drain_ms, 100..=3_600_000);
     }
 }
--- a/crates/model/src/settings/listener.rs
+++ b/crates/model/src/settings/listener.rs
@@ -5,24 +5,24 @@
 use super::common::check_millis;
 use crate::FindingList;
 
-/// Limits of the listeners, so that a slow or greedy client costs one connection at most.
+/// Limits of the listeners, so that a slow or greedy client occupies at most one connection.
 #[apply(record!)]
 #[derive(Copy)]
 #[serde(deny_unknown_fields, default)]
 pub struct ListenerSettings {
-    /// Most open connections of operators.
+    /// Most open connections to the operator API.
     pub admin_connections: usize,
-    /// Most open connections of our own processes.
+    /// Most open connections from agents and other entries.
     pub inner_connections: usize,
-    /// Most open connections for metrics and probes.
+    /// Most open connections to the listener for metrics and probes.
     pub metrics_connections: usize,
-    /// Largest head of a request, in bytes.
+    /// Largest request head, in bytes.
     pub head_bytes: usize,
-    /// Longest time for a request's head, and for an idle connection, in milliseconds.
+    /// Timeout for receiving a request head and for idle connections, in milliseconds.
     pub head_ms: u64,
-    /// Longest time for a request's body, in milliseconds.
+    /// Timeout for receiving a request body, in milliseconds.
     pub body_ms: u64,
-    /// Longest time in which a client takes nothing of its answer, in milliseconds.
+    /// Timeout for writes to a client that reads nothing of its answer, in milliseconds.
     pub write_ms: u64,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl ListenerSettings {
-    /// Adds everything that is wrong with the values.
+    /// Adds a finding for each invalid value.
     pub(super) fn check(&self, findings: &mut FindingList) {
         let positive = [
             ("limits.admin_connections", self.admin_connections),
--- a/crates/model/src/settings/walk.rs
+++ b/crates/model/src/settings/merge.rs
@@ -1,24 +1,25 @@
-//! Walking through a settings file beside an example that is known to be good.
+//! Merges a settings file with example settings to find all errors at once.
 //!
-//! Reading a file into its type ends at the first fault. The walk instead
-//! tries each value of the file by itself in the example's place: whatever
-//! the type refuses there is a finding, and the walk goes on. What was refused
-//! or is missing keeps the example's value, so that the rest can be checked.
+//! Deserialising a file stops at the first error. The merge instead puts each
+//! value of the file separately into the valid example and deserialises that; an
+//! error there becomes a finding, and the merge continues. A value that is
+//! rejected or missing is replaced by the example's, so that the rest can be
+//! checked.
 
 use serde_json::{Map, Value};
 
 use super::{CheckedSettings, tree::key_path};
 use crate::FindingList;
 
-/// The outcome of a walk.
-pub(super) struct WalkedSettings<T> {
-    /// The file's values, with the example's where the file has none that fits.
+/// Settings merged from a file and the example.
+pub(super) struct MergedSettings<T> {
+    /// Values of the file, replaced by the example's where they are missing or invalid.
     pub(super) settings: T,
     replaced: Vec<String>,
 }
 
-impl<T> WalkedSettings<T> {
-    /// Whether a finding may come from one of the example's values.
+impl<T> MergedSettings<T> {
+    /// Whether a finding may be caused by a value that was replaced by the example's.
     pub(super) fn depends_on_example(&self, path: &str, message: &str) -> bool {
         self.replaced.iter().any(|replaced| {
             path.starts_with(replaced.as_str()) || message.contains(replaced.as_str())
@@ -26,11 +27,11 @@
     }
 }
 
-/// Walks through `tree`; `None` if nothing can be made of it.
-pub(super) fn walk<T: CheckedSettings>(
+/// Merges `tree` with the example; returns `None` if no settings can be built from it.
+pub(super) fn merge_with_example<T: CheckedSettings>(
     tree: &Value,
     findings: &mut FindingList,
-) -> Option<WalkedSettings<T>> {
+) -> Option<MergedSettings<T>> {
     let example = match serde_json::to_value(T::example()) {
         Ok(example) => example,
         Err(error) => {
@@ -38,13 +39,13 @@
             return None;
         }
     };
-    let refusal = |trial: &Value| T::deserialize(trial).err().map(|error| error.to_string());
-    let mut walker =
-        TreeWalker { example: &example, refusal: &refusal, findings, replaced: vec![] };
-    let known = walker.visit(tree, &example, "", "");
-    let replaced = walker.replaced;
-    match T::deserialize(&known) {
-        Ok(settings) => Some(WalkedSettings { settings, replaced }),
+    let parse_error = |trial: &Value| T::deserialize(trial).err().map(|error| error.to_string());
+    let mut merger =
+        TreeMerger { example: &example, parse_error: &parse_error, findings, replaced: vec![] };
+    let tree = merger.merge(tree, &example, "", "");
+    let replaced = merger.replaced;
+    match T::deserialize(&tree) {
+        Ok(settings) => Some(MergedSettings { settings, replaced }),
         Err(error) => {
             findings.push(".", error);
             None
@@ -52,79 +53,79 @@
     }
 }
 
-struct TreeWalker<'a> {
+struct TreeMerger<'a> {
     example: &'a Value,
-    refusal: &'a dyn Fn(&Value) -> Option<String>,
+    parse_error: &'a dyn Fn(&Value) -> Option<String>,
     findings: &'a mut FindingList,
     replaced: Vec<String>,
 }
 
-impl TreeWalker<'_> {
-    /// Checks `given`; `known` is the example's value at `pointer`, `path` the place in the file.
-    fn visit(&mut self, given: &Value, known: &Value, pointer: &str, path: &str) -> Value {
+impl TreeMerger<'_> {
+    /// Merges `given`; `known` is the example's value at `pointer`, `path` the path in the file.
+    fn merge(&mut self, given: &Value, known: &Value, pointer: &str, path: &str) -> Value {
         match (given, known) {
             (Value::Object(given), Value::Object(known)) => {
-                self.visit_object(given, known, pointer, path)
+                self.merge_object(given, known, pointer, path)
             }
             (Value::Array(given), Value::Array(known)) if !known.is_empty() => {
                 let pointer = format!("{pointer}/0");
                 let items = given.iter().enumerate();
-                let visited = items.map(|(index, item)| {
-                    self.visit(item, &known[0], &pointer, &format!("{path}[{index}]"))
+                let merged = items.map(|(index, item)| {
+                    self.merge(item, &known[0], &pointer, &format!("{path}[{index}]"))
                 });
-                Value::Array(visited.collect())
+                Value::Array(merged.collect())
             }
-            _ => self.visit_value(given, known, pointer, path),
+            _ => self.merge_value(given, known, pointer, path),
         }
     }
 
-    fn visit_object(
+    fn merge_object(
         &mut self,
         given: &Map<String, Value>,
         known: &Map<String, Value>,
         pointer: &str,
         path: &str,
     ) -> Value {
-        let mut visited = Map::new();
+        let mut merged = Map::new();
         for (key, value) in given {
-            let place = key_path(path, key);
+            let path = key_path(path, key);
             if let Some(known) = known.get(key) {
                 let pointer = format!("{pointer}/{}", escape(key));
-                visited.insert(key.clone(), self.visit(value, known, &pointer, &place));
-            } else if let Some((sibling, known)) = self.free_key(known, pointer, key) {
+                merged.insert(key.clone(), self.merge(value, known, &pointer, &path));
+            } else if let Some((sibling, known)) = self.map_sibling(known, pointer, key) {
                 let pointer = format!("{pointer}/{}", escape(sibling));
-                visited.insert(key.clone(), self.visit(value, known, &pointer, &place));
+                merged.insert(key.clone(), self.merge(value, known, &pointer, &path));
             } else {
-                self.findings.push(&place, unknown_key(known));
+                self.findings.push(&path, unknown_key(known));
             }
         }
         for (key, value) in known {
             if !given.contains_key(key) && self.is_required(pointer, key) {
-                let place = key_path(path, key);
-                self.findings.push(&place, "is missing");
-                self.replaced.push(place);
-                visited.insert(key.clone(), value.clone());
+                let path = key_path(path, key);
+                self.findings.push(&path, "is missing");
+                self.replaced.push(path);
+                merged.insert(key.clone(), value.clone());
             }
         }
-        Value::Object(visited)
+        Value::Object(merged)
     }
 
-    fn visit_value(&mut self, given: &Value, known: &Value, pointer: &str, path: &str) -> Value {
+    fn merge_value(&mut self, given: &Value, known: &Value, pointer: &str, path: &str) -> Value {
         let mut trial = self.example.clone();
-        if let Some(place) = trial.pointer_mut(pointer) {
-            *place = given.clone();
+        if let Some(slot) = trial.pointer_mut(pointer) {
+            *slot = given.clone();
         }
-        let Some(refusal) = (self.refusal)(&trial) else {
+        let Some(error) = (self.parse_error)(&trial) else {
             return given.clone();
         };
-        let place = if path.is_empty() { "." } else { path };
-        self.findings.push(place, format_args!("{refusal}{}", unit_hint(given, path)));
-        self.replaced.push(place.to_owned());
+        let shown_path = if path.is_empty() { "." } else { path };
+        self.findings.push(shown_path, format_args!("{error}{}", unit_hint(given, path)));
+        self.replaced.push(shown_path.to_owned());
         known.clone()
     }
 
-    /// A key beside which `key` may stand freely, as in a map from names.
-    fn free_key<'k>(
+    /// Returns a known key and value if `key` is accepted next to it, as in a map.
+    fn map_sibling<'k>(
         &self,
         known: &'k Map<String, Value>,
         pointer: &str,
@@ -134,7 +135,7 @@
         let mut trial = self.example.clone();
         let object = trial.pointer_mut(pointer)?.as_object_mut()?;
         object.insert(key.to_owned(), value.clone());
-        (self.refusal)(&trial).is_none().then_some((sibling, value))
+        (self.parse_error)(&trial).is_none().then_some((sibling, value))
     }
 
     fn is_required(&self, pointer: &str, key: &str) -> bool {
@@ -142,7 +143,7 @@
         if let Some(Value::Object(object)) = trial.pointer_mut(pointer) {
             object.remove(key);
         }
-        (self.refusal)(&trial).is_some()
+        (self.parse_error)(&trial).is_some()
     }
 }
 
@@ -155,7 +156,7 @@
     format!("is not a known key; known here are {}", known.join(", "))
 }
 
-/// What to write instead, where the key's name tells its unit.
+/// Hint on the correct form of a value whose key ends in a unit.
 fn unit_hint(given: &Value, path: &str) -> &'static str {
     if !given.is_string() && !given.is_f64() {
         return "";
--- a/crates/model/src/settings/routing.rs
+++ b/crates/model/src/settings/routing.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry whose callers are routed by the table of the preset in force.
+//! Settings of an entry that routes requests by the table of the preset in force.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -6,23 +6,23 @@
 
 use crate::FailureDomain;
 
-/// What such an entry is told beside [`super::EntrySettings`].
+/// Settings in addition to [`super::EntrySettings`], derived from the platform's configuration.
 #[apply(record!)]
 pub struct RoutingSettings {
-    /// Where the platform asks whether the entry is ready.
+    /// Address of the platform's readiness check.
     pub listen_ready: SocketAddr,
-    /// Where callers ask which entries to use.
+    /// Address at which callers request the addresses of entries.
     pub listen_advice: SocketAddr,
-    /// Failure domains of the entry's own region.
+    /// Failure domains in the entry's own region.
     pub near_domains: BTreeSet<FailureDomain>,
-    /// Executor threads, one for each core that the process may use.
+    /// Number of executor threads, one for each core available to the process.
     pub threads: usize,
-    /// Time after a version was named in which every endpoint has to serve it, in milliseconds.
+    /// Time within which every endpoint has to serve a requested version, in milliseconds.
     pub version_ms: u64,
-    /// Time between the heartbeats of listed endpoints, in milliseconds.
+    /// Heartbeat interval of listed endpoints, in milliseconds.
     pub list_heartbeat_ms: u64,
-    /// Retries for each request of a service, over all entries.
+    /// Retry budget of a service as a ratio of its requests, over all entries.
     pub retry_ratio: f64,
-    /// Retries of a service beyond that ratio, over all entries.
+    /// Retries of a service that are allowed in addition to the ratio, over all entries.
     pub retry_slack: f64,
 }
--- a/crates/model/src/settings/tree.rs
+++ b/crates/model/src/settings/tree.rs
@@ -1,8 +1,8 @@
-//! Reading JSON into a tree.
+//! Parsing of JSON into a tree that reports duplicate keys.
 //!
-//! `serde_json::Value` keeps the last of two equal keys without a word; an
-//! operator who edits the first one would see no effect. Here the second one
-//! is a finding. Notes (`"//"`) are left out.
+//! `serde_json::Value` silently keeps the last of two equal keys, so an edit of
+//! the first one would have no effect. Here the second one is a finding. Comments
+//! (`"//"`) are omitted.
 
 use std::fmt;
 
@@ -11,15 +11,15 @@
 
 use crate::FindingList;
 
-/// Key of a note.
-const NOTE_KEY: &str = "//";
+/// Key of comments.
+const COMMENT_KEY: &str = "//";
 
-/// Reads `text`; `None` if it is not JSON.
-pub(super) fn read_tree(text: &str, findings: &mut FindingList) -> Option<Value> {
+/// Parses `text`; returns `None` if it is not JSON.
+pub(super) fn parse_tree(text: &str, findings: &mut FindingList) -> Option<Value> {
     let mut parser = serde_json::Deserializer::from_str(text);
     let seed = TreeSeed { path: String::new(), findings };
-    let read = seed.deserialize(&mut parser).and_then(|tree| parser.end().map(|()| tree));
-    match read {
+    let parsed = seed.deserialize(&mut parser).and_then(|tree| parser.end().map(|()| tree));
+    match parsed {
         Ok(tree) => Some(tree),
         Err(error) => {
             findings.push(".", format_args!("is not JSON: {error}"));
@@ -28,7 +28,7 @@
     }
 }
 
-/// The path of `key` inside `path`.
+/// Joins `path` and `key`.
 pub(super) fn key_path(path: &str, key: &str) -> String {
     if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") }
 }
@@ -95,7 +95,7 @@
             let path = key_path(&self.path, &key);
             let seed = TreeSeed { path: path.clone(), findings: &mut *self.findings };
             let value = entries.next_value_seed(seed)?;
-            if key == NOTE_KEY {
+            if key == COMMENT_KEY {
                 continue;
             }
             if object.insert(key, value).is_some() {
--- a/crates/model/src/target.rs
+++ b/crates/model/src/target.rs
@@ -1,4 +1,4 @@
-//! Versions that operators name for a model, and how its engines work.
+//! Target versions of models, and performance data of engines and origins.
 
 use std::net::SocketAddr;
 
@@ -6,70 +6,71 @@
 
 use crate::{ManifestDigest, ModelVersion, RegionName};
 
-/// Name of a model; several services may run the same one.
+/// Name of a model; several services may run the same model.
 pub type ModelName = String;
 
-/// The newest version that operators named for a model.
+/// The newest version of a model that operators have requested.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct TargetVersion {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Rises with every version that is named for the model.
+    /// Incremented with each version requested for the model.
     pub number: u64,
-    /// The version.
+    /// Version to serve.
     pub version: ModelVersion,
-    /// Pins its bytes, once an entry has read its manifest.
+    /// Digest of the version's manifest, once an entry has read it.
     pub manifest: Option<ManifestDigest>,
-    /// Time since it was named, in milliseconds, when this was sent.
+    /// Time from the request for the version to the sending of this message, in milliseconds.
     pub age_ms: u64,
-    /// How the sender knows this age.
+    /// How the sender determined the age.
     #[serde(default)]
     pub age_source: AgeSource,
 }
 
-/// How a process knows when a version was named.
+/// How a process determined when a version was requested.
 #[apply(label!)]
 #[derive(Default)]
 #[serde(rename_all = "kebab-case")]
 pub enum AgeSource {
-    /// It found the version already there and took an age that is safe if nobody knows better.
+    /// The version was already present when the process first read it, so the age is a safe
+    /// assumption until an observed age arrives.
     #[default]
     Assumed,
-    /// It was told as the version was named, or by a process that was.
+    /// The process, or one that informed it, observed the request for the version.
     Observed,
 }
 
-/// How the engines of a service work.
+/// Performance data of a service's engines.
 #[apply(record!)]
 pub struct EngineProfile {
-    /// The model that they run.
+    /// Model that the engines run.
     pub model: ModelName,
-    /// Requests that one engine answers at the same time.
+    /// Requests that an engine answers concurrently.
     pub slots: u32,
-    /// Prompt tokens that an engine reads in a millisecond.
+    /// Prompt tokens that an engine reads per millisecond.
     pub read_per_ms: f64,
-    /// Time of one step of all running requests, in milliseconds.
+    /// Duration of one step of all running requests, in milliseconds.
     pub step_ms: f64,
-    /// Tokens of one event.
+    /// Tokens per event of a stream.
     pub stride: u32,
-    /// Tokens of a usual answer.
+    /// Typical length of an answer, in tokens.
     pub usual_answer: u32,
-    /// The origin of its weights, if there is one.
+    /// Origin of the model's weights, if there is one.
     pub origin: Option<OriginPlace>,
 }
 
-/// Where weights come from.
+/// Address and capacity of an origin of weights.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct OriginPlace {
-    /// Its address.
+    /// Address of the origin.
     pub addr: SocketAddr,
-    /// Its region, if it is known.
+    /// Region of the origin, if known.
     pub region: Option<RegionName>,
-    /// What its link carries, in bytes per second; zero if it is not known.
+    /// Bandwidth of the origin's link in bytes per second; zero if unknown.
     pub bytes_per_s: u64,
-    /// Connections that it admits of all clients together; zero if it is not known.
+    /// Most connections that the origin accepts from all clients together; zero if unknown.
     #[serde(default)]
     pub max_connections: u32,
 }
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -1,7 +1,7 @@
-//! Points in time.
+//! Timestamps and deadlines.
 //!
-//! Stored values are always points, never durations: a deadline that was
-//! computed once keeps its meaning while it is queued, forwarded or retried.
+//! Stored values are points in time, never durations, so that a deadline keeps its
+//! meaning while a request is queued, forwarded or retried.
 
 use std::{
     sync::LazyLock,
@@ -10,40 +10,41 @@
 
 use macro_rules_attribute::apply;
 
-/// The time of day and the steady clock at the first look at the clock.
+/// Wall-clock time and monotonic time of the first call of [`Timestamp::now`].
 static PROCESS_START: LazyLock<(u64, Instant)> = LazyLock::new(|| {
-    let of_day = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    (of_day.as_millis() as u64, Instant::now())
+    let wall_clock = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    (wall_clock.as_millis() as u64, Instant::now())
 });
 
-/// A moment, in milliseconds since the Unix epoch.
+/// A point in time, in milliseconds since the Unix epoch.
 #[apply(label!)]
 #[serde(transparent)]
 pub struct Timestamp(pub u64);
 
-/// The moment after which a result is of no use, in milliseconds since the Unix epoch.
+/// The time after which a result is of no use, in milliseconds since the Unix epoch.
 #[apply(label!)]
 #[serde(transparent)]
 pub struct Deadline(pub u64);
 
 impl Timestamp {
-    /// Reads the clock of the process. Only called at the edge of a process.
+    /// Returns the current time. Called only by code that performs I/O; decision logic takes the
+    /// time as an argument.
     ///
-    /// The time of day is read once, at the first call; from then on the steady
-    /// clock counts. A time of day that is set forward would else end every
-    /// request at once, and one set back would keep requests past their
-    /// deadlines; callers would notice answers that come far too early or late.
+    /// The wall clock is read once, at the first call; later times are derived from the monotonic
+    /// clock. Otherwise a wall clock that is set forward would expire all requests at once, and
+    /// one that is set back would keep requests past their deadlines: callers would get answers
+    /// far too early or too late.
     pub fn now() -> Self {
         let (started_at, started) = *PROCESS_START;
         Self(started_at + started.elapsed().as_millis() as u64)
     }
 
-    /// The deadline `span` after this moment.
+    /// Returns the deadline `span` after this time.
     pub fn deadline_after(self, span: Duration) -> Deadline {
         Deadline(self.0.saturating_add(span.as_millis() as u64))
     }
 
-    /// Time since `earlier`; zero if `earlier` lies in the future.
+    /// Time since `earlier`; zero if `earlier` is in the future.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
--- a/crates/model/tests/settings.rs
+++ b/crates/model/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what a check accepts, and that it names every fault at once.
+//! Settings: valid files are accepted, and all errors of an invalid file are reported at once.
 
 use std::path::{Path, PathBuf};
 
@@ -20,17 +20,17 @@
     }
 }
 
-fn folder(path: &str) -> PathBuf {
+fn path_to(path: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join(path)
 }
 
 fn found_paths(findings: &FindingList) -> Vec<&str> {
-    findings.as_slice().iter().map(|place| place.path.as_str()).collect()
+    findings.as_slice().iter().map(|finding| finding.path.as_str()).collect()
 }
 
 #[test]
-fn every_sample_has_no_findings() {
-    let samples: Vec<_> = std::fs::read_dir(folder("../../samples"))
+fn samples_have_no_findings() {
+    let samples: Vec<_> = std::fs::read_dir(path_to("../../samples"))
         .expect("the samples are there")
         .map(|entry| entry.expect("an entry").path())
         .collect();
@@ -40,9 +40,8 @@
     }
 }
 
-/// An operator edits several things at once and gets several of them wrong. If
-/// the check ended at the first fault, a start on the hour would be lost to
-/// one correction after another.
+/// A file with several errors: if the check stopped at the first one, an operator would have to
+/// correct and restart once per error and would miss a planned start time.
 #[rstest]
 #[case("entry-unknown-keys.json", &[
     "operators[1].rights", "caller.max_conections", "log.levels", "listener",
@@ -93,26 +92,26 @@
     "entries", "entry_links", "engine.max_in_flight", "transfer.origin_copies",
     "transfer.live_share", "transfer.upload_slots",
 ])]
-fn every_fault_is_named_with_its_place(#[case] file: &str, #[case] expected: &[&str]) {
-    let findings = check(&folder("tests/data/invalid").join(file)).expect_err("has findings");
+fn every_error_is_reported_with_its_path(#[case] file: &str, #[case] expected: &[&str]) {
+    let findings = check(&path_to("tests/data/invalid").join(file)).expect_err("has findings");
     let mut found = found_paths(&findings);
     let mut expected = expected.to_vec();
     found.sort_unstable();
     found.dedup();
     expected.sort_unstable();
     assert_eq!(found, expected, "{findings}");
-    assert!(findings.as_slice().iter().all(|place| place.source == file));
+    assert!(findings.as_slice().iter().all(|finding| finding.source == file));
 }
 
-/// Times that were meant in seconds and sizes with a unit are the usual slips;
-/// the message has to say what to write instead.
+/// Times in seconds and sizes with a unit are the most common mistakes; the message has to say
+/// what to write instead.
 #[test]
-fn a_wrong_unit_is_told_what_to_write() {
-    let file = folder("tests/data/invalid/entry-wrong-units.json");
+fn a_wrong_unit_gets_a_hint() {
+    let file = path_to("tests/data/invalid/entry-wrong-units.json");
     let findings = check(&file).expect_err("has findings");
     let message = |path: &str| {
-        let place = findings.as_slice().iter().find(|place| place.path == path);
-        place.map(|place| place.message.as_str()).unwrap_or_default()
+        let finding = findings.as_slice().iter().find(|finding| finding.path == path);
+        finding.map(|finding| finding.message.as_str()).unwrap_or_default()
     };
     assert!(message("platform.timeout_ms").contains("whole milliseconds"), "{findings}");
     assert!(message("caller.max_body_bytes").contains("whole bytes"), "{findings}");
@@ -120,23 +119,23 @@
 }
 
 fn assert_keys_are_known<T: CheckedSettings>(annotated: &str) {
-    let text = std::fs::read_to_string(folder(annotated)).expect("the sample is there");
+    let text = std::fs::read_to_string(path_to(annotated)).expect("the sample is there");
     let sample: T = parse_settings(annotated, &text).expect("no findings");
-    let given = strip_notes(serde_json::from_str(&text).expect("JSON"));
+    let given = strip_comments(serde_json::from_str(&text).expect("JSON"));
     let example = serde_json::to_value(T::example()).expect("serialises");
     let read = serde_json::to_value(sample).expect("serialises");
     assert_eq!(keys("", &given), keys("", &read), "the sample names every key that is read");
     assert_eq!(keys("", &example), keys("", &read), "the example has every key that is read");
 }
 
-fn strip_notes(value: Value) -> Value {
+fn strip_comments(value: Value) -> Value {
     match value {
         Value::Object(object) => object
             .into_iter()
             .filter(|(key, _)| key != "//")
-            .map(|(key, value)| (key, strip_notes(value)))
+            .map(|(key, value)| (key, strip_comments(value)))
             .collect(),
-        Value::Array(items) => items.into_iter().map(strip_notes).collect(),
+        Value::Array(items) => items.into_iter().map(strip_comments).collect(),
         other => other,
     }
 }
@@ -185,33 +184,34 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Someone writes anything at all in place of one value of a good file. The
-    /// check ends, and finds it or accepts what a process would read as well.
+    /// Replaces one value of a valid file by arbitrary JSON. The check must terminate and report
+    /// every file that cannot be deserialised.
     #[test]
-    fn any_value_in_any_place_is_judged(place in any::<prop::sample::Index>(), value in any_json()) {
-        let text = std::fs::read_to_string(folder("../../samples/entry.json")).expect("the sample");
-        let mut tree = strip_notes(serde_json::from_str(&text).expect("JSON"));
+    fn any_value_at_any_key_is_checked(key in any::<prop::sample::Index>(), value in any_json()) {
+        let text = std::fs::read_to_string(path_to("../../samples/entry.json")).expect("the sample");
+        let mut tree = strip_comments(serde_json::from_str(&text).expect("JSON"));
         let paths: Vec<_> = keys("", &tree).into_iter().filter(|key| !key.contains('[')).collect();
-        let pointer = paths[place.index(paths.len())].replace('.', "/");
-        *tree.pointer_mut(&pointer).expect("the place") = value;
+        let pointer = paths[key.index(paths.len())].replace('.', "/");
+        *tree.pointer_mut(&pointer).expect("the key") = value;
         let read = parse_settings::<EntrySettings>("entry.json", &tree.to_string());
         if serde_json::from_value::<EntrySettings>(tree).is_err() {
             let findings = read.expect_err("a type that cannot be read is a finding");
-            prop_assert!(findings.as_slice().iter().all(|place| !place.path.is_empty()));
+            prop_assert!(findings.as_slice().iter().all(|finding| !finding.path.is_empty()));
         }
     }
 }
 
-/// Keys whose default cannot be shown as a value.
+/// Keys whose default is not a fixed value of the sample.
 const DERIVED_DEFAULTS: [&str; 3] = ["peers", "operators", "advertise_inner"];
 
-/// An operator copies a line of an annotated sample, or trusts the default that
-/// the page tells, and gets another value than the process would have taken.
+/// The defaults in the samples and in the documentation must be those of the code; otherwise an
+/// operator who relies on them gets another value.
 #[rstest]
 #[case::entry(defaults::<EntrySettings>("../../samples/entry.json"))]
 #[case::agent(defaults::<AgentSettings>("../../samples/agent.json"))]
-fn samples_and_page_tell_the_defaults(#[case] defaults: Vec<(String, Value)>) {
-    let page = std::fs::read_to_string(folder("../../docs/operate/settings.md")).expect("the page");
+fn samples_and_page_have_the_defaults(#[case] defaults: Vec<(String, Value)>) {
+    let page =
+        std::fs::read_to_string(path_to("../../docs/operate/settings.md")).expect("the page");
     assert!(defaults.len() > 10);
     for (path, value) in defaults {
         let value = match value {
@@ -223,10 +223,10 @@
     }
 }
 
-/// Every value of the sample that may be left out, checked to be the default.
+/// Returns the optional values of the sample and checks that they are the defaults.
 fn defaults<T: CheckedSettings + PartialEq>(sample: &str) -> Vec<(String, Value)> {
-    let text = std::fs::read_to_string(folder(sample)).expect("the sample is there");
-    let tree = strip_notes(serde_json::from_str(&text).expect("JSON"));
+    let text = std::fs::read_to_string(path_to(sample)).expect("the sample is there");
+    let tree = strip_comments(serde_json::from_str(&text).expect("JSON"));
     let whole: T = parse_settings(sample, &text).expect("no findings");
     let mut found = Vec::new();
     for path in keys("", &tree) {
@@ -249,11 +249,11 @@
     found
 }
 
-/// An operator meets a key in a sample and looks it up. Each one has to be in
-/// the page, with its path, its default and its meaning.
+/// Every key has to be documented with its path, default and meaning.
 #[test]
-fn the_page_explains_every_key() {
-    let page = std::fs::read_to_string(folder("../../docs/operate/settings.md")).expect("the page");
+fn the_page_documents_every_key() {
+    let page =
+        std::fs::read_to_string(path_to("../../docs/operate/settings.md")).expect("the page");
     let entry = serde_json::to_value(EntrySettings::example()).expect("serialises");
     let agent = serde_json::to_value(AgentSettings::example()).expect("serialises");
     let mut all = keys("", &entry);
