--- a/crates/model/tests/settings.rs
+++ b/crates/model/tests/settings.rs
@@ -188,7 +188,7 @@
     /// every file that cannot be deserialised.
     #[test]
     fn any_value_at_any_key_is_checked(key in any::<prop::sample::Index>(), value in any_json()) {
-        let text = std::fs::read_to_string(path_to("../../samples/entry.json")).expect("the sample");
+        let text = std::fs::read_to_string(path_to("../../samples/entry.json")).expect("a sample");
         let mut tree = strip_comments(serde_json::from_str(&text).expect("JSON"));
         let paths: Vec<_> = keys("", &tree).into_iter().filter(|key| !key.contains('[')).collect();
         let pointer = paths[key.index(paths.len())].replace('.', "/");
--- a/crates/runtime/benches/decision_line.rs
+++ b/crates/runtime/benches/decision_line.rs
@@ -1,9 +1,9 @@
-//! What one decision line costs the thread that decides.
+//! Cost of a decision line for the thread that logs it.
 //!
 //! Run as `cargo bench -p cassiawheel-runtime --bench decision_line 2>/dev/null`:
 //! the lines go to standard error, through the same logger as in a process.
 
-#![allow(missing_docs)] // The macro that collects benchmarks writes none.
+#![allow(missing_docs)] // The criterion_group! macro generates items without docs.
 
 use std::hint::black_box;
 
--- a/crates/runtime/src/dial.rs
+++ b/crates/runtime/src/dial.rs
@@ -1,4 +1,4 @@
-//! Connecting to other processes.
+//! Outgoing TCP connections.
 
 use std::{
     io,
@@ -11,44 +11,43 @@
 
 use crate::timeout;
 
-/// `connect` goes on in the background.
+/// Error code of a non-blocking `connect` that is still in progress (Linux).
 const EINPROGRESS: i32 = 115;
 
-/// Time without an acknowledgement after which a connection counts as broken.
+/// Time without an acknowledgement after which a connection is closed (`TCP_USER_TIMEOUT`).
 ///
-/// A machine that lost its power, or stands behind a cut, never answers; without
-/// a limit the kernel would try for a quarter of an hour. Two seconds are above
-/// every pause that a busy machine makes.
-const SILENCE_TIME: Duration = Duration::from_secs(2);
+/// A host that has lost power or is partitioned never answers; without a limit the kernel would
+/// retransmit for about 15 minutes. Two seconds exceed the pauses of a busy host.
+const ACK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Idle time before the other end is asked whether it is still there.
-const PROBE_TIME: Duration = Duration::from_secs(1);
+/// Idle time before the first keepalive probe, and interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for one try to connect.
+/// Timeout of one attempt to connect.
 ///
-/// The kernel repeats a lost opening packet after a second, and one sent to a
-/// machine that is just being started is lost. Everybody who starts together
-/// would wait out that second; regions are a few milliseconds apart.
-const TRY_TIME: Duration = Duration::from_millis(250);
+/// The kernel retransmits a lost SYN only after a second, and a SYN to a host that is starting
+/// is lost, so processes that start together would all wait for that second. Round trips
+/// between regions take a few milliseconds.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Tries to connect before the other end counts as unreachable.
-const TRIES: u32 = 12;
+/// Attempts to connect before the remote host counts as unreachable.
+const MAX_ATTEMPTS: u32 = 12;
 
-/// Connects to `addr`, from `local` if given.
+/// Connects to `addr`, from the address `local` if given.
 pub async fn dial(addr: SocketAddr, local: Option<IpAddr>) -> io::Result<TcpStream> {
-    for _ in 0..TRIES {
-        if let Some(connected) = timeout(TRY_TIME, dial_once(addr, local)).await {
+    for _ in 0..MAX_ATTEMPTS {
+        if let Some(connected) = timeout(ATTEMPT_TIMEOUT, attempt_dial(addr, local)).await {
             return connected;
         }
     }
-    Err(io::Error::new(io::ErrorKind::TimedOut, "the other end does not answer"))
+    Err(io::Error::new(io::ErrorKind::TimedOut, "the remote host does not answer"))
 }
 
-async fn dial_once(addr: SocketAddr, local: Option<IpAddr>) -> io::Result<TcpStream> {
+async fn attempt_dial(addr: SocketAddr, local: Option<IpAddr>) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
-    watch_silence(&socket);
+    set_keepalive(&socket);
     if let Some(local) = local {
         socket.bind(&SocketAddr::new(local, 0).into())?;
     }
@@ -64,25 +63,26 @@
     }
 }
 
-/// Has a connection reset when it is closed, so that what was not sent yet never is.
+/// Makes closing the connection reset it, so that unsent bytes are discarded.
 ///
-/// Bytes for a machine that stands still wait in the kernel after a close and
-/// reach the machine when it wakes, seconds later: a request whose caller has
-/// long left would then run after all.
+/// Otherwise, bytes for a host that is paused remain in the kernel after the close and are
+/// delivered when the host resumes seconds later, and a request would run after its caller
+/// has given up.
 pub fn reset_on_close(stream: &TcpStream) -> io::Result<()> {
     SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
 
-/// Has a connection end once the other end has been silent for a while.
+/// Closes the connection if the remote host has not answered for a while.
 ///
-/// Works without as well, only slower, so a system that knows none of the
-/// options is not worth an error.
-fn watch_silence(socket: &Socket) {
-    let probes = TcpKeepalive::new().with_time(PROBE_TIME).with_interval(PROBE_TIME);
+/// Without these socket options a broken connection is only detected later, so a failure to
+/// set them is logged and ignored.
+fn set_keepalive(socket: &Socket) {
+    let probes =
+        TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
     if let Err(error) = socket
         .set_tcp_keepalive(&probes)
-        .and_then(|()| socket.set_tcp_user_timeout(Some(SILENCE_TIME)))
+        .and_then(|()| socket.set_tcp_user_timeout(Some(ACK_TIMEOUT)))
     {
-        log::debug!(target: "dial", cause:% = error; "A socket takes no limit of silence.");
+        log::debug!(target: "dial", cause:% = error; "Cannot set keepalive options of a socket.");
     }
 }
--- a/crates/runtime/src/executor.rs
+++ b/crates/runtime/src/executor.rs
@@ -1,8 +1,8 @@
-//! The executor that all tasks of a process share.
+//! The executor shared by all tasks of a process.
 //!
-//! `smol`'s global executor takes its number of threads from the environment;
-//! this one takes it from the caller, so that a process behaves the same
-//! wherever it is started.
+//! `smol`'s global executor takes its number of threads from an environment
+//! variable; this one takes it from the caller, so that a process does not depend
+//! on its environment.
 
 use std::{
     future::{Future, pending},
@@ -14,13 +14,13 @@
 
 static EXECUTOR: Executor<'static> = Executor::new();
 
-/// Starts `task` on the executor. Dropping the handle cancels the task; call
-/// `detach` to let it run on.
+/// Spawns `task` on the executor. Dropping the handle cancels the task; call `detach` to keep
+/// it running.
 pub fn spawn<T: Send + 'static>(task: impl Future<Output = T> + Send + 'static) -> Task<T> {
     EXECUTOR.spawn(task)
 }
 
-/// Runs `main` to its end on this thread, with `threads - 1` further ones for other tasks.
+/// Runs `main` to completion on this thread, with `threads - 1` further threads for tasks.
 pub fn run<T>(threads: usize, main: impl Future<Output = T>) -> std::io::Result<T> {
     for index in 1..threads {
         thread::Builder::new()
@@ -30,7 +30,7 @@
     Ok(smol::block_on(EXECUTOR.run(main)))
 }
 
-/// Result of `task`, or `None` once `span` has passed.
+/// Returns the result of `task`, or `None` if it takes longer than `span`.
 pub async fn timeout<T>(span: Duration, task: impl Future<Output = T>) -> Option<T> {
     let finished = async { Some(task.await) };
     let expired = async {
--- a/crates/runtime/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -1,11 +1,11 @@
-//! HTTP listeners with limits.
+//! HTTP servers with limits on connections, sizes and times.
 //!
-//! Every listener bounds its open connections, the size of a request's head,
-//! the time a client may take to send it, and the time in which it may take
-//! nothing of its answer; a slow or greedy client thus costs one connection
-//! for a while. Size and time of bodies are bounded where they are read.
+//! Every listener limits its open connections, the size of a request head, the
+//! time to receive it, and the time for which a write to the client may stall, so
+//! a slow or greedy client occupies only one connection for a limited time. Size
+//! and time of a body are limited where it is read.
 
-mod stall;
+mod write_timeout;
 
 use std::{
     convert::Infallible, future::Future, net::SocketAddr, pin::pin, sync::Arc, time::Duration,
@@ -25,28 +25,28 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
 use crate::{ShutdownSignal, listener::accept_connections, timeout};
-use stall::StallSocket;
+use write_timeout::WriteTimeoutSocket;
 
-/// Body of every response.
+/// Body of responses.
 pub type ReplyBody = BoxBody<Bytes, std::io::Error>;
 
-/// Limits of one listener.
+/// Limits of a listener.
 #[derive(Debug, Clone, Copy)]
 pub struct ListenerLimits {
-    /// Most open connections; further ones wait in the kernel's queue.
+    /// Most open connections; further ones wait in the kernel's accept queue.
     pub connections: usize,
     /// Largest request head, in bytes.
     pub head_bytes: usize,
-    /// Longest time to receive a request's head; also ends idle connections.
+    /// Timeout for receiving a request head, which also closes idle connections.
     pub head_timeout: Duration,
-    /// Longest time in which a client takes nothing of its answer.
+    /// Timeout for writes to a client that reads nothing of its answer.
     pub write_timeout: Duration,
 }
 
-/// Longest time to receive a body, unless the caller of [`read_body_within`] says otherwise.
+/// Timeout for receiving a body with [`read_body`].
 pub const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Smallest head that the HTTP library can be limited to, in bytes.
+/// Smallest limit for a request head that the HTTP library accepts, in bytes.
 const MIN_HEAD_BYTES: usize = 8 << 10;
 
 impl Default for ListenerLimits {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Accepts connections until `shutdown`; then finishes the requests in progress.
+/// Serves connections until `shutdown`, then finishes the requests in progress.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: ListenerLimits,
@@ -92,7 +92,7 @@
         let reply = handler(request, remote);
         async move { Ok::<_, Infallible>(reply.await) }
     });
-    let socket = StallSocket::new(stream, limits.write_timeout);
+    let socket = WriteTimeoutSocket::new(stream, limits.write_timeout);
     let mut connection = pin!(
         hyper::server::conn::http1::Builder::new()
             .timer(SmolTimer::new())
@@ -109,14 +109,14 @@
     }
 }
 
-/// Why a body could not be read.
+/// Error of reading a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// Longer than allowed.
+    /// The body is longer than allowed.
     TooLong,
-    /// The client stopped sending.
+    /// The connection ended before the end of the body.
     Truncated,
-    /// The client took too long.
+    /// The body was not received in time.
     TimedOut,
 }
 
@@ -139,12 +139,12 @@
     }
 }
 
-/// A body that is known as a whole.
+/// Creates a body from bytes in memory.
 pub fn full_body(bytes: impl Into<Bytes>) -> ReplyBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed()
 }
 
-/// A response with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json_reply(status: StatusCode, value: &impl Serialize) -> Response<ReplyBody> {
     let text = serde_json::to_vec(value).unwrap_or_else(|_| b"{}".to_vec());
     let mut reply = Response::new(full_body(text));
@@ -153,16 +153,16 @@
     reply
 }
 
-/// An error body: a code for programs and a sentence for people.
+/// Body of an error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ErrorReply<'a> {
-    /// Stable code.
+    /// Stable code for programs.
     pub error: &'a str,
-    /// What is wrong and what would be right.
+    /// Description of the error for people.
     pub message: String,
 }
 
-/// A response that reports an error.
+/// Creates a response with an [`ErrorReply`].
 pub fn error_reply(
     status: StatusCode,
     error: &str,
--- a/crates/runtime/src/http/stall.rs
+++ b/crates/runtime/src/http/write_timeout.rs
@@ -1,9 +1,9 @@
-//! A deadline for clients that take nothing of their answer.
+//! Timeout for writes to clients that do not read their answer.
 //!
-//! A client that stops reading fills the socket's buffer; the answer then
-//! waits for ever, and with it the connection's slot and the request that a
-//! graceful shutdown waits for. One would notice entries that need their whole
-//! shutdown deadline and listeners that fill up while little is going on.
+//! When a client stops reading, the socket's send buffer fills up and writes block
+//! indefinitely. Without a timeout the connection would keep its slot and its
+//! request in progress: listeners would fill up under little load, and a graceful
+//! shutdown would wait until its deadline.
 
 use std::{
     future::Future,
@@ -19,36 +19,36 @@
     net::TcpStream,
 };
 
-/// A socket whose writes fail once none has gone through for a while.
-pub(super) struct StallSocket {
+/// A socket whose writes fail when none has made progress for a while.
+pub(super) struct WriteTimeoutSocket {
     stream: TcpStream,
-    span: Duration,
-    expiry: Option<Timer>,
+    timeout: Duration,
+    timer: Option<Timer>,
 }
 
-impl StallSocket {
-    /// A socket whose writes may stall for `span`.
-    pub(super) fn new(stream: TcpStream, span: Duration) -> Self {
-        Self { stream, span, expiry: None }
+impl WriteTimeoutSocket {
+    /// Wraps `stream`; writes fail after `timeout` without progress.
+    pub(super) fn new(stream: TcpStream, timeout: Duration) -> Self {
+        Self { stream, timeout, timer: None }
     }
 
-    fn poll_expiry<T>(
+    fn check_timeout<T>(
         &mut self,
         cx: &mut Context<'_>,
         polled: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
         if polled.is_ready() {
-            self.expiry = None;
+            self.timer = None;
             return polled;
         }
-        let span = self.span;
-        let expiry = self.expiry.get_or_insert_with(|| Timer::after(span));
-        ready!(Pin::new(expiry).poll(cx));
-        Poll::Ready(Err(io::Error::new(io::ErrorKind::TimedOut, "the client takes nothing")))
+        let timeout = self.timeout;
+        let timer = self.timer.get_or_insert_with(|| Timer::after(timeout));
+        ready!(Pin::new(timer).poll(cx));
+        Poll::Ready(Err(io::Error::new(io::ErrorKind::TimedOut, "the client does not read")))
     }
 }
 
-impl AsyncRead for StallSocket {
+impl AsyncRead for WriteTimeoutSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -58,14 +58,14 @@
     }
 }
 
-impl AsyncWrite for StallSocket {
+impl AsyncWrite for WriteTimeoutSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.poll_expiry(cx, polled)
+        self.check_timeout(cx, polled)
     }
 
     fn poll_write_vectored(
@@ -74,7 +74,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.poll_expiry(cx, polled)
+        self.check_timeout(cx, polled)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,7 +1,7 @@
-//! What both binaries need of their process.
+//! Process infrastructure shared by both binaries.
 //!
-//! An executor on several threads, shutdown signals, structured logs, and HTTP
-//! listeners with limits. Nothing here knows about weights or requests.
+//! A multi-threaded executor, signal handling and shutdown, structured logs, and
+//! HTTP listeners with limits. Nothing here depends on weights or routing.
 
 pub mod dial;
 pub mod executor;
--- a/crates/runtime/src/listener.rs
+++ b/crates/runtime/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, a bounded number at a time.
+//! Accepts a limited number of concurrent connections.
 
 use std::{future::Future, net::SocketAddr, pin::pin, sync::Arc, time::Duration};
 
@@ -10,15 +10,15 @@
 
 use crate::{ShutdownSignal, spawn};
 
-/// Pause after a failed accept.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// Delay after a failed `accept`.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections until `shutdown`; then waits for the open ones to end.
+/// Accepts connections until `shutdown`, then waits for the open ones to end.
 ///
-/// Most `connections` are open at a time; further ones wait in the kernel's
-/// queue. A slot is taken before a connection is accepted, so that a process
-/// never holds a connection that it does not serve; the wait for a slot ends
-/// with `shutdown` as well, so that a full listener cannot delay a stop.
+/// At most `connections` are open at a time; further ones wait in the kernel's accept queue. A
+/// slot is acquired before a connection is accepted, so that every accepted connection is
+/// served. The wait for a slot is cancelled by `shutdown`, so that a full listener cannot delay
+/// the shutdown.
 pub async fn accept_connections<H, F>(
     listener: TcpListener,
     connections: usize,
@@ -39,9 +39,9 @@
             Either::Right(_) => break,
         };
         let Ok((stream, remote)) = accepted else {
-            // Out of file descriptors, most likely. Without a pause the loop
-            // would take a whole core until some are free again.
-            smol::Timer::after(ACCEPT_AGAIN).await;
+            // The process is probably out of file descriptors. Without a delay the loop would
+            // occupy a core until some are free.
+            smol::Timer::after(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
@@ -53,7 +53,7 @@
         .detach();
     }
     drop(listener);
-    // All slots free again means that every connection has ended.
+    // When all slots are free, every connection has ended.
     for _ in 0..connections {
         slots.acquire_arc().await.forget();
     }
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -1,7 +1,7 @@
 //! Structured logs.
 //!
-//! A line is a short sentence under the fixed prefix of its part (the log
-//! target), followed by its keys and values. Set up once per process.
+//! A line consists of time, level, log target, a short sentence, and keys with
+//! values. Logging is set up once per process.
 
 pub mod format;
 pub mod sampler;
@@ -15,23 +15,23 @@
 
 use sampler::DecisionSampler;
 
-/// Layout of a line's time, in the instance's time zone.
-const TIME_LAYOUT: &str = "%Y-%m-%dT%H:%M:%S%.3f%:z";
+/// Format of the time in a line, in the local time zone.
+const TIME_FORMAT: &str = "%Y-%m-%dT%H:%M:%S%.3f%:z";
 
-/// Starts logging to standard output; keep the handle until the process ends.
+/// Starts logging to standard output; the handle must be kept until the process ends.
 pub fn start(settings: &LogSettings) -> anyhow::Result<LoggerHandle> {
     let format: FormatFunction = match settings.format {
         LogFormat::KeyValue => write_key_value,
         LogFormat::Json => write_json,
     };
     Logger::try_with_str(&settings.level)
-        .with_context(|| format!("log.level {:?} is not understood", settings.level))?
+        .with_context(|| format!("log.level {:?} is invalid", settings.level))?
         .log_to_stdout()
         .format(format)
         .filter(Box::new(DecisionSampler::new(settings.decisions_per_s)))
         .write_mode(WriteMode::Async)
         .start()
-        .context("cannot start the log")
+        .context("cannot start logging")
 }
 
 fn write_key_value(
@@ -39,7 +39,7 @@
     now: &mut DeferredNow,
     record: &Record<'_>,
 ) -> std::io::Result<()> {
-    format::write_key_value(out, now.format(TIME_LAYOUT), record)
+    format::write_key_value(out, now.format(TIME_FORMAT), record)
 }
 
 fn write_json(
@@ -47,5 +47,5 @@
     now: &mut DeferredNow,
     record: &Record<'_>,
 ) -> std::io::Result<()> {
-    format::write_json(out, now.format(TIME_LAYOUT), record)
+    format::write_json(out, now.format(TIME_FORMAT), record)
 }
--- a/crates/runtime/src/logging/format.rs
+++ b/crates/runtime/src/logging/format.rs
@@ -1,8 +1,8 @@
-//! The two layouts of a log line.
+//! The two formats of log lines.
 //!
-//! Values come from callers and operators in part. Each is written so that a
-//! line can be read back: a value cannot forge another key, nor a newline in
-//! it another line.
+//! Some values come from callers and operators. They are quoted so that a line can
+//! be parsed unambiguously: a value cannot forge another key, and a newline in a
+//! value cannot forge another line.
 
 use std::{
     borrow::Cow,
@@ -15,7 +15,7 @@
     kv::{Error, Key, Value, VisitSource},
 };
 
-/// Writes `TIME LEVEL part: Sentence. key=value …`.
+/// Writes `TIME LEVEL target: Sentence. key=value …`.
 pub fn write_key_value(
     out: &mut dyn Write,
     time: impl Display,
@@ -29,7 +29,7 @@
     record.key_values().visit(&mut writer).map_err(io::Error::other)
 }
 
-/// Writes one JSON object with `time`, `level`, `part`, `message` and the keys.
+/// Writes a JSON object with `time`, `level`, `part` (the log target), `message` and the keys.
 pub fn write_json(out: &mut dyn Write, time: impl Display, record: &Record<'_>) -> io::Result<()> {
     let mut line = serde_json::Map::new();
     let mut collector = JsonCollector { line: &mut line };
@@ -79,7 +79,7 @@
         return flag.into();
     }
     match value.to_f64() {
-        // Neither infinity nor NaN can be written as a JSON number.
+        // Infinity and NaN are not JSON numbers.
         Some(number) if number.is_finite() => number.into(),
         _ => value.to_string().into(),
     }
@@ -94,7 +94,7 @@
     !text.is_empty() && !text.contains(special)
 }
 
-/// Writes `text` as it stands if it is `plain`, otherwise as a JSON string.
+/// Writes `text` unquoted if it is `plain`, otherwise as a JSON string.
 fn write_text(out: &mut dyn Write, text: &str, plain: bool) -> io::Result<()> {
     if plain {
         return out.write_all(text.as_bytes());
--- a/crates/runtime/src/logging/sampler.rs
+++ b/crates/runtime/src/logging/sampler.rs
@@ -1,8 +1,9 @@
-//! A limit on decision lines.
+//! Rate limit of decision lines.
 //!
-//! One line for each routing decision is what explains an incident, but a
-//! burst must not drown in its own log. Lines beyond the limit of a second are
-//! counted, and the first line of a later second tells how many there were.
+//! A line for each routing decision is needed to explain incidents, but a burst of
+//! requests must not flood the log. Lines beyond the limit per second are
+//! dropped and counted, and their number is logged before the first line of a
+//! later second.
 
 use std::{
     io,
@@ -16,27 +17,27 @@
 };
 use log::{Level, Record};
 
-/// Parts whose lines tell a routing or placement decision.
+/// Log targets of routing and placement decisions.
 pub const DECISION_TARGETS: [&str; 3] = ["route", "admit", "place"];
 
-/// Bits of a window that hold its lines; the rest holds its second.
+/// Bits of a window that hold its line count; the other bits hold its second.
 const COUNT_BITS: u32 = 24;
 
-/// What happens to a line.
+/// Whether a line is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SampleOutcome {
-    /// It is written.
+    /// The line is written.
     Written,
-    /// It is written after a word about the lines that were left out.
+    /// The line is written after a line with the number of dropped lines.
     WrittenAfter {
-        /// Lines left out.
-        left_out: u64,
+        /// Number of dropped lines.
+        dropped: u64,
     },
-    /// It is left out.
-    LeftOut,
+    /// The line is dropped.
+    Dropped,
 }
 
-/// Limits the decision lines of each second.
+/// Limits the number of decision lines per second.
 #[derive(Debug)]
 pub struct DecisionSampler {
     per_s: u64,
@@ -44,15 +45,15 @@
 }
 
 impl DecisionSampler {
-    /// Lets `per_s` lines of a second through.
+    /// Creates a sampler that passes `per_s` lines per second.
     pub fn new(per_s: u32) -> Self {
         Self { per_s: u64::from(per_s).min(MAX_COUNT - 1), window: AtomicU64::new(0) }
     }
 
-    /// Counts one line.
+    /// Counts a line and decides whether it is written.
     ///
-    /// Second and count share one atomic, since this runs on the path of each
-    /// request: there is no lock to wait for, and no line is counted twice.
+    /// This runs for each request, so second and count share one atomic: no lock is needed, and no
+    /// line is counted twice.
     pub fn sample(&self, now: Timestamp) -> SampleOutcome {
         let second = now.0 / 1_000;
         let advance = |window| Some(advance(window, second));
@@ -63,22 +64,22 @@
         if previous >> COUNT_BITS < second {
             return match (previous & MAX_COUNT).saturating_sub(self.per_s) {
                 0 => SampleOutcome::Written,
-                left_out => SampleOutcome::WrittenAfter { left_out },
+                dropped => SampleOutcome::WrittenAfter { dropped },
             };
         }
         if previous & MAX_COUNT < self.per_s {
             SampleOutcome::Written
         } else {
-            SampleOutcome::LeftOut
+            SampleOutcome::Dropped
         }
     }
 }
 
-/// Largest count of a window.
+/// Largest line count of a window.
 const MAX_COUNT: u64 = (1 << COUNT_BITS) - 1;
 
 fn advance(window: u64, second: u64) -> u64 {
-    // A clock that was set back stays in the newer second's window.
+    // A second before the current window, as after a clock was set back, is counted in the window.
     if window >> COUNT_BITS < second {
         return (second << COUNT_BITS) | 1;
     }
@@ -98,21 +99,21 @@
         }
         match self.sample(Timestamp::now()) {
             SampleOutcome::Written => writer.write(now, record),
-            SampleOutcome::WrittenAfter { left_out } => {
-                write_left_out(now, left_out, writer)?;
+            SampleOutcome::WrittenAfter { dropped } => {
+                write_dropped(now, dropped, writer)?;
                 writer.write(now, record)
             }
-            SampleOutcome::LeftOut => Ok(()),
+            SampleOutcome::Dropped => Ok(()),
         }
     }
 }
 
-fn write_left_out(
+fn write_dropped(
     now: &mut DeferredNow,
-    left_out: u64,
+    dropped: u64,
     writer: &dyn LogLineWriter,
 ) -> io::Result<()> {
-    let pairs = ("lines", left_out);
+    let pairs = ("lines", dropped);
     let record = Record::builder()
         .level(Level::Info)
         .target("log")
--- a/crates/runtime/src/pacer.rs
+++ b/crates/runtime/src/pacer.rs
@@ -1,11 +1,11 @@
-//! Pacing of bytes to the rate of a link.
+//! Pacing of transfers to the bandwidth of a link.
 
 use std::{
     sync::Mutex,
     time::{Duration, Instant},
 };
 
-/// Spreads bytes over time; a rate of zero is unlimited.
+/// Limits transfers to a rate; a rate of zero is unlimited.
 #[derive(Debug)]
 pub struct RatePacer {
     bytes_per_s: u64,
@@ -13,16 +13,16 @@
 }
 
 impl RatePacer {
-    /// A pacer of `bytes_per_s`.
+    /// Creates a pacer with a rate of `bytes_per_s`.
     pub fn new(bytes_per_s: u64) -> Self {
         Self { bytes_per_s, free_at: Mutex::new(Instant::now()) }
     }
 
-    /// Waits until the link has room for `bytes` more.
+    /// Reserves `bytes` and waits until the link has sent all bytes reserved before.
     ///
-    /// What passed before is waited for, and not the bytes themselves: an idle
-    /// link would else keep each chunk for as long again as it takes to send,
-    /// and chunks that are swapped one after another took twice the time.
+    /// The wait does not include the time for `bytes` themselves: on an idle link each chunk would
+    /// be delayed by its own transfer time, and chunks exchanged one after another would take
+    /// twice as long.
     pub async fn acquire(&self, bytes: usize) {
         if self.bytes_per_s == 0 {
             return;
--- a/crates/runtime/src/probes.rs
+++ b/crates/runtime/src/probes.rs
@@ -1,7 +1,7 @@
-//! The listener for metrics and probes.
+//! HTTP server for metrics and probes.
 //!
-//! `/metrics` in Prometheus' text format, `/livez` as long as the process
-//! runs, `/readyz` once `is_ready` says so.
+//! `/metrics` returns metrics in the Prometheus text format, `/livez` succeeds
+//! while the process runs, and `/readyz` succeeds while `is_ready` returns true.
 
 use std::sync::Arc;
 
--- a/crates/runtime/src/shutdown.rs
+++ b/crates/runtime/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: one trigger, many waiting tasks, one deadline.
+//! Process signals and graceful shutdown with a deadline.
 
 use std::{future::Future, pin::pin};
 
@@ -13,83 +13,81 @@
 
 use crate::timeout;
 
-/// Starts the shutdown of a process.
+/// Triggers the shutdown of a process.
 #[derive(Debug, Clone)]
 pub struct ShutdownTrigger {
     sender: Sender<()>,
 }
 
-/// Tells tasks that the process shuts down.
+/// Notifies tasks of the shutdown of the process.
 #[derive(Debug, Clone)]
 pub struct ShutdownSignal {
     receiver: Receiver<()>,
 }
 
 impl ShutdownTrigger {
-    /// A trigger and the signal that it sets off.
+    /// Creates a trigger and its signal.
     pub fn new() -> (Self, ShutdownSignal) {
         let (sender, receiver) = bounded(1);
         (Self { sender }, ShutdownSignal { receiver })
     }
 
-    /// Sets the signal off; further calls do nothing.
+    /// Triggers the shutdown; further calls have no effect.
     pub fn fire(&self) {
         self.sender.close();
     }
 }
 
 impl ShutdownSignal {
-    /// Completes once the signal is set off.
+    /// Completes when the shutdown is triggered.
     pub async fn wait(&self) {
         while self.receiver.recv().await.is_ok() {}
     }
 
-    /// Whether the signal has been set off.
+    /// Whether the shutdown has been triggered.
     pub fn is_set(&self) -> bool {
         self.receiver.is_closed()
     }
 }
 
-/// SIGTERM and SIGINT, which ask a process to stop, and SIGHUP, which tells that
-/// the settings have changed.
+/// Receives SIGTERM and SIGINT, which stop the process, and SIGHUP, which reloads its settings.
 #[derive(Debug)]
 pub struct ProcessSignals {
     signals: Signals,
 }
 
-/// How a graceful shutdown ended.
+/// Outcome of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShutdownOutcome {
-    /// Nothing was left to finish.
+    /// All work was finished.
     Finished,
-    /// The deadline came first.
+    /// The deadline passed before all work was finished.
     DeadlinePassed,
-    /// The process was asked to stop a second time and did not wait any longer.
+    /// A second stop signal aborted the shutdown.
     SecondSignal,
 }
 
 impl ProcessSignals {
-    /// Takes the signals over; from now on they no longer end the process by themselves.
+    /// Registers handlers for the signals, which then no longer terminate the process by default.
     pub fn listen() -> anyhow::Result<Self> {
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
             .context("cannot listen for signals")?;
         Ok(Self { signals })
     }
 
-    /// Completes when the process is asked to stop.
+    /// Completes when a stop signal arrives.
     pub async fn wait(&mut self) {
         self.wait_or_reload(|| {}).await;
     }
 
-    /// Completes when the process is asked to stop; calls `reload` whenever it is
-    /// told that the settings have changed.
+    /// Completes when a stop signal arrives; calls `reload` for each SIGHUP before it.
     pub async fn wait_or_reload(&mut self, mut reload: impl FnMut()) {
         while let Some(Ok(Signal::Hup)) = self.signals.next().await {
             reload();
         }
     }
 
-    /// Runs `drain` to its end, to `deadline`, or until the process is asked again.
+    /// Runs `drain` until it completes, `deadline` passes or a stop signal arrives.
     pub async fn drain_until(
         &mut self,
         deadline: Deadline,
@@ -105,13 +103,13 @@
 }
 
 impl ShutdownOutcome {
-    /// An error if requests were cut off; it tells how many.
+    /// Returns an error with the number of aborted requests unless all work was finished.
     pub fn into_result(self, in_progress: u32) -> anyhow::Result<()> {
         let cause = match self {
             Self::Finished => return Ok(()),
-            Self::DeadlinePassed => "the deadline of the shutdown passed",
-            Self::SecondSignal => "the process was asked to stop a second time",
+            Self::DeadlinePassed => "the shutdown deadline passed",
+            Self::SecondSignal => "a second stop signal arrived",
         };
-        anyhow::bail!("{cause}; {in_progress} requests in progress were cut off")
+        anyhow::bail!("{cause}; {in_progress} requests in progress were aborted")
     }
 }
--- a/crates/runtime/tests/dial.rs
+++ b/crates/runtime/tests/dial.rs
@@ -1,4 +1,4 @@
-//! Connecting to a machine that does not answer the first packet.
+//! Connecting to a host that drops the first SYN.
 
 use std::{
     net::SocketAddr,
@@ -9,25 +9,24 @@
 use smol::Timer;
 use socket2::{Domain, Socket, Type};
 
-/// Time after which the kernel would send a lost opening packet again.
-const KERNEL_TIME: Duration = Duration::from_secs(1);
+/// Time after which the kernel retransmits a lost SYN.
+const RETRANSMIT_TIME: Duration = Duration::from_secs(1);
 
 fn full_listener() -> std::io::Result<(Socket, SocketAddr, Vec<std::net::TcpStream>)> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
     socket.listen(0)?;
     let addr = socket.local_addr()?.as_socket().expect("an IP address");
-    // Further opening packets are dropped until somebody accepts.
+    // Further SYNs are dropped until a connection is accepted.
     let connect = || std::net::TcpStream::connect_timeout(&addr, Duration::from_millis(100));
     let held = std::iter::repeat_with(connect).map_while(Result::ok).take(8).collect();
     Ok((socket, addr, held))
 }
 
-/// A machine is just being started when its peers connect, and drops their
-/// opening packets. The kernel repeats one after a second, for which everybody
-/// would wait; a new try finds the machine as soon as it is there.
+/// A host that is starting drops the SYNs of its peers. The kernel retransmits a SYN only after
+/// a second, for which all peers would wait; a new attempt connects as soon as the host is up.
 #[test]
-fn a_lost_opening_packet_is_made_up_for_within_the_second() {
+fn a_lost_syn_is_retried_within_a_second() {
     let test = async {
         let (listener, addr, held) = full_listener()?;
         anyhow::ensure!(held.len() < 8, "the listener takes all connections");
@@ -41,5 +40,5 @@
         anyhow::Ok(started.elapsed())
     };
     let took = cassiawheel_runtime::run(2, test).expect("the executor runs").expect("connected");
-    assert!(took < KERNEL_TIME, "took {took:?}");
+    assert!(took < RETRANSMIT_TIME, "took {took:?}");
 }
--- a/crates/runtime/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -1,4 +1,4 @@
-//! Limits of HTTP listeners, over real sockets.
+//! Limits of HTTP listeners, tested over real sockets.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,8 +15,8 @@
     net::{TcpListener, TcpStream},
 };
 
-/// Far beyond every limit under test.
-const LONG: Duration = Duration::from_secs(20);
+/// Timeout of the test, far above the tested limits.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 const LIMITS: ListenerLimits = ListenerLimits {
     connections: 2,
@@ -55,10 +55,10 @@
     stream
 }
 
-/// Everything until the server closes the connection.
+/// Reads until the server closes the connection.
 async fn read_to_close(mut stream: TcpStream) -> String {
     let mut bytes = Vec::new();
-    let _ = timeout(LONG, stream.read_to_end(&mut bytes)).await.expect("the server closes");
+    let _ = timeout(TEST_TIMEOUT, stream.read_to_end(&mut bytes)).await.expect("the server closes");
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
@@ -71,9 +71,8 @@
     cassiawheel_runtime::run(2, test).expect("the executor runs");
 }
 
-/// Clients open every connection that the listener grants and then send their
-/// request one byte at a time or not at all. Without deadlines nobody else
-/// would be served again until they go away by themselves.
+/// Clients occupy all connections of the listener and send incomplete requests or nothing.
+/// Without timeouts no other client would be served until they disconnect.
 #[rstest]
 #[case::no_head("")]
 #[case::half_a_head("POST / HTTP/1.1\r\nhost:")]
@@ -91,8 +90,8 @@
     });
 }
 
-/// A client asks for a long answer and takes nothing of it. Its connection
-/// would stay for ever, and so would the request that a shutdown waits for.
+/// A client requests a large answer and does not read it. Without a timeout the connection
+/// and its request would remain open, and a shutdown would wait for them.
 #[test]
 fn a_client_that_reads_nothing_loses_its_connection() {
     run(async {
@@ -110,7 +109,7 @@
         let server = start().await;
         let head = format!("GET / HTTP/1.1\r\nhost: x\r\nlong: {}\r\n\r\n", "x".repeat(64 << 10));
         let mut stream = TcpStream::connect(server.addr).await.expect("connects");
-        // The server may close before everything is sent.
+        // The server may close the connection before everything is sent.
         let _ = stream.write_all(head.as_bytes()).await;
         let answer = read_to_close(stream).await;
         assert!(!answer.contains("200"), "{answer}");
@@ -121,9 +120,8 @@
     });
 }
 
-/// An operator stops an entry whose listener is full of idle connections. The
-/// stop has to come through, or the process would be killed with requests in
-/// progress.
+/// An entry is stopped while idle connections occupy all slots of its listener. The shutdown
+/// must proceed; otherwise the process would be killed with requests in progress.
 #[test]
 fn a_full_listener_shuts_down() {
     run(async {
@@ -132,7 +130,7 @@
         let held = [send(server.addr, sent).await, send(server.addr, sent).await];
         let waiting = TcpStream::connect(server.addr).await;
         server.trigger.fire();
-        assert!(timeout(LONG, server.served).await.is_some());
+        assert!(timeout(TEST_TIMEOUT, server.served).await.is_some());
         drop((held, waiting));
     });
 }
--- a/crates/runtime/tests/logging.rs
+++ b/crates/runtime/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: that they can be read back, and that a burst is limited.
+//! Log lines: unambiguous quoting, the rate limit of decision lines, and level specifications.
 
 use std::collections::BTreeMap;
 
@@ -34,7 +34,7 @@
     write_json(line, "T", record).expect("written");
 }
 
-/// Reads ` key=value` pairs as the page for operators describes them.
+/// Parses ` key=value` pairs as described in the documentation for operators.
 fn read_pairs(mut rest: &str) -> BTreeMap<String, String> {
     let mut pairs = BTreeMap::new();
     while let Some((key, value)) = rest.trim_start().split_once('=') {
@@ -52,8 +52,8 @@
     pairs
 }
 
-/// A caller names its workspace with a newline and a forged key in it. Written
-/// as it stands, the log would show a decision that was never made.
+/// A caller sends a value with a newline and a forged key. Written without quotes, it would
+/// make the log show a decision that was never made.
 #[rstest]
 #[case("plain-1.2:3")]
 #[case("two words")]
@@ -62,7 +62,7 @@
 #[case("a=b")]
 #[case("")]
 #[case("Gangwon 삼척")]
-fn a_value_is_read_back_as_it_was(#[case] value: &str) {
+fn a_value_is_parsed_as_it_was_written(#[case] value: &str) {
     let pairs: [(&str, log::kv::Value); 2] = [("cause", value.into()), ("revision", 7_u64.into())];
     let line = line_of(key_value, "Chose an endpoint.", &&pairs[..]);
     assert_eq!(line.lines().count(), 1);
@@ -85,22 +85,21 @@
     assert_eq!(line, r#"T INFO route: "Two\nlines=1" n=1"#);
 }
 
-/// A burst brings more decisions than the log may hold. The lines beyond the
-/// limit are left out, and the next second tells how many; an operator who
-/// counts lines would otherwise take the log for the whole traffic.
+/// Lines beyond the limit are dropped, and their number is logged in a later second. Without
+/// it, an operator who counts lines would take them for the whole traffic.
 #[test]
 fn lines_beyond_the_limit_are_counted() {
     let sampler = DecisionSampler::new(3);
     let first = Timestamp(5_000);
-    let verdicts: Vec<_> = (0..5).map(|_| sampler.sample(first)).collect();
-    use SampleOutcome::{LeftOut, Written, WrittenAfter};
-    assert_eq!(verdicts, [Written, Written, Written, LeftOut, LeftOut]);
-    assert_eq!(sampler.sample(Timestamp(6_000)), WrittenAfter { left_out: 2 });
+    let outcomes: Vec<_> = (0..5).map(|_| sampler.sample(first)).collect();
+    use SampleOutcome::{Dropped, Written, WrittenAfter};
+    assert_eq!(outcomes, [Written, Written, Written, Dropped, Dropped]);
+    assert_eq!(sampler.sample(Timestamp(6_000)), WrittenAfter { dropped: 2 });
     assert_eq!(sampler.sample(Timestamp(6_001)), Written);
     assert_eq!(sampler.sample(Timestamp(9_000)), Written);
 }
 
-/// Many threads decide at a time; none of their lines may be lost from the count.
+/// Lines logged by several threads at a time must all be counted.
 #[test]
 fn threads_share_the_limit() {
     let sampler = DecisionSampler::new(100);
@@ -109,19 +108,19 @@
             scope.spawn(|| (0..1_000).for_each(|_| _ = sampler.sample(Timestamp(5_000))));
         }
     });
-    let verdict = sampler.sample(Timestamp(6_000));
-    assert_eq!(verdict, SampleOutcome::WrittenAfter { left_out: 3_900 });
+    let outcome = sampler.sample(Timestamp(6_000));
+    assert_eq!(outcome, SampleOutcome::WrittenAfter { dropped: 3_900 });
 }
 
-/// What the check of settings accepts as a level has to be understood when the
-/// log starts; otherwise a file without findings would not start.
+/// A level that the check of settings accepts must be accepted when logging starts; otherwise
+/// a process could fail to start with a file that has no findings.
 #[rstest]
 #[case("info")]
 #[case("INFO")]
 #[case("warn, route=info")]
 #[case("info,route=off,transfer=debug")]
 #[case("off")]
-fn levels_are_understood(#[case] level: &str) {
+fn valid_levels_are_accepted(#[case] level: &str) {
     use cassiawheel_model::{FindingList, settings::LogSettings};
     let settings = LogSettings { level: level.to_owned(), ..LogSettings::default() };
     let mut findings = FindingList::new("test");
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -2,13 +2,13 @@
 
 use crate::WireMessage;
 
-/// Largest encoded message, in bytes; larger frames close the connection.
+/// Largest encoded message, in bytes; a larger frame closes the connection.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// Why a message could not be encoded or decoded.
+/// Error of encoding or decoding a message.
 #[derive(Debug, thiserror::Error)]
 pub enum CodecError {
-    /// The message cannot be expressed.
+    /// The message cannot be encoded.
     #[error("cannot encode the message: {0}")]
     Encode(String),
     /// The bytes are not a message.
@@ -16,7 +16,7 @@
     Decode(String),
 }
 
-/// Encodes `message`.
+/// Encodes `message` as CBOR.
 pub fn encode(message: &WireMessage) -> Result<Vec<u8>, CodecError> {
     let mut bytes = Vec::with_capacity(256);
     ciborium::into_writer(message, &mut bytes)
@@ -24,15 +24,15 @@
     Ok(bytes)
 }
 
-/// Decodes a message; never panics, whatever the bytes are.
+/// Decodes a message; never panics, even on invalid input.
 pub fn decode(bytes: &[u8]) -> Result<WireMessage, CodecError> {
     let mut rest = bytes;
     let message =
         ciborium::from_reader(&mut rest).map_err(|error| CodecError::Decode(error.to_string()))?;
-    // Bytes behind a message mean that the sender's idea of it is another
-    // than ours; whatever was decoded may be a part of what was meant.
+    // Trailing bytes indicate that the sender uses another format, so the decoded message may
+    // be incomplete.
     if !rest.is_empty() {
-        return Err(CodecError::Decode(format!("{} bytes behind the message", rest.len())));
+        return Err(CodecError::Decode(format!("{} bytes after the message", rest.len())));
     }
     Ok(message)
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! Messages between cassiawheel's own processes.
+//! Messages between the processes of cassiawheel.
 //!
-//! Typed messages, encoded as CBOR by `ciborium`, travel as binary frames of a
-//! WebSocket. A connection opens with a shared key in the handshake's
-//! `authorization` header and a [`message::HelloMessage`] in each direction.
+//! Typed messages are encoded as CBOR by `ciborium` and sent as binary frames of
+//! a WebSocket. A connection starts with a shared key in the `authorization`
+//! header of the handshake, followed by a [`message::HelloMessage`] in each
+//! direction.
 
 pub mod codec;
 pub mod message;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages, one file per conversation.
+//! Message types, one module per kind.
 
 mod chunk;
 mod control;
@@ -13,40 +13,40 @@
 
 use cassiawheel_model::record;
 
-/// Anything that one of our processes sends another.
+/// A message between two processes of cassiawheel.
 #[apply(record!)]
 #[serde(rename_all = "kebab-case")]
 pub enum WireMessage {
-    /// Opens the conversation.
+    /// First message on a connection, in each direction.
     Hello(HelloMessage),
-    /// Presets, plans, membership.
+    /// Presets, plans and membership.
     Control(ControlMessage),
-    /// Requests and their answers.
+    /// Requests and answers.
     Request(RequestMessage),
-    /// Weights.
+    /// Chunks of weights.
     Chunk(ChunkMessage),
 }
 
-/// Which binary a process runs.
+/// Binary that a process runs.
 #[apply(record!)]
 #[derive(Copy, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProcessKind {
-    /// An entry.
+    /// The entry binary.
     Entry,
-    /// An agent.
+    /// The agent binary.
     Agent,
 }
 
-/// Who is at the other end.
+/// Identifies the sender of the messages on a connection.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct HelloMessage {
-    /// Which binary.
+    /// Binary that the sender runs.
     pub kind: ProcessKind,
-    /// At which instance.
+    /// Instance of the sender.
     pub instance: InstanceId,
-    /// Distinguishes processes that run one after another at one instance.
+    /// Identifies the process; a later process at the same instance has a higher value.
     pub incarnation: u64,
 }
 
--- a/crates/wire/src/message/chunk.rs
+++ b/crates/wire/src/message/chunk.rs
@@ -1,94 +1,94 @@
-//! Weights between agents.
+//! Transfer of chunks of weights between agents.
 //!
-//! Every message names the manifest's digest, so that chunks of two versions
-//! can never be taken for each other.
+//! Announcements and requests contain the digest of the manifest, so that chunks
+//! of different versions cannot be confused.
 
 use cassiawheel_model::{ManifestDigest, WeightManifest, record};
 use macro_rules_attribute::apply;
 
-/// Traffic of weights between two agents.
+/// A message about chunks of weights between two agents.
 #[apply(record!)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChunkMessage {
-    /// Which chunks the sender holds, one bit each, least significant first.
+    /// Announces the chunks that the sender holds.
     Held {
-        /// The manifest.
+        /// Digest of the manifest.
         manifest: ManifestDigest,
-        /// The bits.
+        /// Bitmap with one bit per chunk, the least significant bit first.
         #[serde(with = "serde_bytes")]
         bits: Vec<u8>,
     },
-    /// The sender has just verified one more chunk.
+    /// Announces that the sender has verified another chunk.
     Gained {
-        /// The manifest.
+        /// Digest of the manifest.
         manifest: ManifestDigest,
-        /// The chunk.
+        /// Index of the chunk.
         index: u32,
     },
-    /// Which chunks the sender draws from the origin at present.
+    /// Announces the chunks that the sender is currently reading from the origin.
     Drawing {
-        /// The manifest.
+        /// Digest of the manifest.
         manifest: ManifestDigest,
-        /// The chunks.
+        /// Indices of the chunks.
         indices: Vec<u32>,
     },
-    /// The sender has told a new connection all that it holds.
+    /// Ends the initial announcements on a new connection.
     ToldAll,
-    /// Asks for the manifest itself.
+    /// Requests the manifest.
     ManifestWanted {
-        /// The manifest.
+        /// Digest of the manifest.
         manifest: ManifestDigest,
     },
-    /// The manifest that was asked for.
+    /// The requested manifest.
     Manifest(Box<WeightManifest>),
-    /// Asks for a chunk.
+    /// Requests a chunk.
     Wanted {
-        /// Number of the call on this connection.
+        /// Identifies the transfer on this connection.
         call: u64,
-        /// The manifest.
+        /// Digest of the manifest.
         manifest: ManifestDigest,
-        /// The chunk.
+        /// Index of the chunk.
         index: u32,
-        /// Whether all agents of the asker's region wait for it.
+        /// Whether all agents in the region of the requester wait for the chunk.
         #[serde(default)]
         is_import: bool,
     },
-    /// The next part of the chunk that was asked for.
+    /// The next part of the requested chunk.
     Bytes {
-        /// The call.
+        /// Identifies the transfer.
         call: u64,
-        /// The part's bytes.
+        /// Bytes of the part.
         #[serde(with = "serde_bytes")]
         bytes: Vec<u8>,
-        /// Whether it is the last part.
+        /// Whether this is the last part.
         last: bool,
     },
-    /// A part of a chunk has arrived, and there is room for another one.
+    /// Flow control: a part was received, and another one may be sent.
     More {
-        /// The call.
+        /// Identifies the transfer.
         call: u64,
     },
-    /// Nobody waits for the chunk any more; no further part of it is wanted.
+    /// Cancels the transfer; no further part should be sent.
     Abandoned {
-        /// The call.
+        /// Identifies the transfer.
         call: u64,
     },
-    /// The chunk is not sent.
+    /// The request is refused.
     Refused {
-        /// The call.
+        /// Identifies the transfer.
         call: u64,
-        /// Why.
+        /// Reason for the refusal.
         reason: ChunkRefusal,
     },
 }
 
-/// Why a chunk is not sent.
+/// Reason for which a chunk request is refused.
 #[apply(record!)]
 #[derive(Copy, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChunkRefusal {
-    /// The sender does not hold it.
+    /// The sender does not hold the chunk.
     NotHeld,
-    /// All upload slots are taken.
+    /// All upload slots are in use.
     Busy,
 }
--- a/crates/wire/src/message/control.rs
+++ b/crates/wire/src/message/control.rs
@@ -1,4 +1,4 @@
-//! Presets, plans and membership.
+//! Messages about presets, plans and membership.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -9,160 +9,160 @@
 };
 use macro_rules_attribute::apply;
 
-/// Control traffic between entries and agents.
+/// A control message between entries and agents.
 #[apply(record!)]
 #[serde(rename_all = "kebab-case")]
 pub enum ControlMessage {
-    /// Agent to entry: a heartbeat with the endpoint's whole state.
+    /// Agent to entry: full heartbeat with the endpoint's state.
     Report(Box<EndpointReport>),
-    /// Agent to entry: a heartbeat; the last whole report still holds but for this load.
+    /// Agent to entry: short heartbeat; only the load has changed since the last full report.
     Beat(LoadReport),
-    /// The sender has no whole heartbeat that a short one could refer to.
+    /// Requests a full heartbeat, since the sender has none that a short one could refer to.
     ReportWanted,
-    /// Entry to agent: loads are wanted no more often than this.
+    /// Entry to agent: limits how often the load is reported.
     LoadWanted {
-        /// Time between two of them, in milliseconds.
+        /// Minimum interval between two load reports, in milliseconds.
         every_ms: u64,
     },
-    /// Agent or entry to entry: no new work from now on.
+    /// Agent or entry to entry: the process is shutting down and takes no new work.
     Leaving {
-        /// Who leaves.
+        /// Instance that is shutting down.
         instance: InstanceId,
-        /// Which process there; one that starts later does not leave.
+        /// Process that is shutting down; a later process at the instance is not affected.
         incarnation: u64,
     },
-    /// Entry to entry or agent: an operator wants this instance's process to leave.
+    /// Entry to entry or agent: an operator has requested that an instance be drained.
     Drain {
-        /// Who has to leave.
+        /// Instance to drain.
         instance: InstanceId,
     },
-    /// Entry to entry or agent: the preset in force, as far as the sender knows.
+    /// Entry to entry or agent: the newest preset in force known to the sender.
     Force(Arc<ForcedPreset>),
-    /// Entry to entry: a heartbeat; the last whole one over this connection still holds but for
-    /// the requests in progress.
+    /// Entry to entry: short heartbeat; only the requests in progress have changed since the last
+    /// full heartbeat on this connection.
     EntryAlive {
-        /// Requests in progress there.
+        /// Requests in progress at the sender.
         in_flight: u32,
     },
-    /// Entry to entry: the sender's whole heartbeat.
+    /// Entry to entry: full heartbeat of the sender.
     EntryBeat {
-        /// The entry.
+        /// Instance of the entry.
         instance: InstanceId,
-        /// Distinguishes processes that run one after another at the instance.
+        /// Identifies the process; a later process at the same instance has a higher value.
         incarnation: u64,
-        /// Where callers reach it.
+        /// Address for callers.
         caller_addr: SocketAddr,
-        /// Where it stands.
+        /// Failure domain of the entry.
         failure_domain: FailureDomain,
-        /// The highest revision that it has adopted.
+        /// Highest preset revision that the entry has adopted.
         revision: PresetRevision,
-        /// Requests in progress there.
+        /// Requests in progress at the sender.
         in_flight: u32,
-        /// Whether it leaves; repeats a word of leaving that was lost.
+        /// Whether the entry is shutting down, in case its `Leaving` message was lost.
         leaving: bool,
-        /// Whether callers may be sent there.
+        /// Whether the entry may be returned to callers that ask for addresses.
         advised: bool,
-        /// Where our own processes reach it.
+        /// Address for agents and other entries.
         inner_addr: SocketAddr,
     },
-    /// Entry to agent: which weights to hold and to serve.
+    /// Entry to agent: the weights to stage or serve.
     Order(WeightOrder),
-    /// Entry to agent: agents that stage or hold the same weights.
+    /// Entry to agent: other agents that stage or hold the same weights.
     Peers(Vec<EndpointAddress>),
-    /// Entry to entry: the preset in force is wanted, since a heartbeat told a newer one.
+    /// Entry to entry: requests the preset in force, since a heartbeat contained a newer revision.
     PresetWanted,
-    /// Entry to entry: a version that was named for a model.
+    /// Entry to entry: the target version of a model.
     Named(TargetVersion),
-    /// Entry to entry: what changed in the platform's list of endpoints.
+    /// Entry to entry: changes in the platform's list of endpoints.
     Listing {
-        /// The rows that changed; all rows if `base` is zero.
+        /// Changed rows; all rows if `base` is zero.
         rows: Vec<ListedRow>,
-        /// Whoever knows the list up to here knows it up to `position` with these rows.
+        /// Position from which these rows bring a copy of the list up to `position`.
         base: u64,
-        /// Where the list stands with them.
+        /// Position of the list after these rows.
         position: u64,
-        /// Time since the platform was asked, in milliseconds.
+        /// Time since the list was read from the platform, in milliseconds.
         age_ms: u64,
     },
-    /// Entry to entry: the whole list is wanted.
+    /// Entry to entry: requests the complete list.
     ListingWanted,
-    /// Agent or entry to entry: the manifest with this digest is wanted.
+    /// Agent or entry to entry: requests a manifest.
     ManifestWanted {
-        /// Its digest.
+        /// Digest of the manifest.
         manifest: ManifestDigest,
     },
-    /// Entry to agent or entry: a manifest that an entry has read from the origin.
+    /// Entry to agent or entry: a manifest read from the origin.
     Manifest(Arc<WeightManifest>),
-    /// Entry to agent or entry: the sender does not have the manifest with this digest.
+    /// Entry to agent or entry: the sender does not have the requested manifest.
     ManifestUnknown {
-        /// Its digest.
+        /// Digest of the manifest.
         manifest: ManifestDigest,
     },
-    /// Entry to agent: inner addresses of the entries that it may connect to.
+    /// Entry to agent: internal addresses of the entries that it may connect to.
     Entries(Vec<SocketAddr>),
-    /// Agent to entry: the entries of this region are wanted.
+    /// Agent to entry: requests the addresses of the entries in a region.
     EntriesWanted {
-        /// The agent's region.
+        /// Region of the agent.
         region: RegionName,
     },
-    /// Entry to entry: what changed since the last message over this link.
+    /// Entry to entry: changes since the last message over this link.
     Gossip(Box<GossipDelta>),
-    /// Entry to entry: a message for every entry.
+    /// Entry to entry: a message that is flooded to all entries.
     Flood(Box<FloodMessage>),
     /// Entry to entry: orders for the agents that are connected to the receiver.
     Orders(Vec<EndpointOrder>),
 }
 
-/// A message that each entry passes on to its neighbours once.
+/// A message that each entry forwards to its neighbours once.
 #[apply(record!)]
 pub struct FloodMessage {
-    /// Who sent it first.
+    /// Instance of the entry that created the message.
     pub origin: InstanceId,
-    /// Distinguishes processes that run one after another there.
+    /// Identifies the process that created the message; a later one has a higher value.
     pub incarnation: u64,
-    /// Rises with each message of that process.
+    /// Sequence number of the message within that process.
     pub number: u64,
-    /// The message.
+    /// Content of the message.
     pub content: ControlMessage,
 }
 
-/// An order and the endpoint that it is for.
+/// An order together with its recipient.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct EndpointOrder {
-    /// The endpoint.
+    /// Endpoint that the order is for.
     pub instance: InstanceId,
-    /// The order.
+    /// Order for the endpoint.
     pub order: WeightOrder,
 }
 
-/// Which weights an endpoint has to hold.
+/// Tells an endpoint which weights to stage or serve.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct WeightOrder {
-    /// The version.
+    /// Version of the weights.
     pub version: ModelVersion,
-    /// Pins its bytes.
+    /// Digest of the version's manifest.
     pub manifest: ManifestDigest,
-    /// Rises with each newer order; an older one is refused.
+    /// Fencing token; an order with a lower token than a previous one is refused.
     pub fencing: u64,
-    /// Whether to serve the version once it is staged, or only to stage it.
+    /// Whether to serve the version once it is staged, rather than only to stage it.
     pub serve: bool,
-    /// The origin of weights, where it comes with the preset.
+    /// Origin of the weights, if it is defined by the preset.
     #[serde(default)]
     pub origin: Option<OriginPlace>,
 }
 
-/// Where an agent is reached by other agents.
+/// Address and location of an agent, for transfers of weights.
 #[apply(record!)]
 #[derive(Eq)]
 pub struct EndpointAddress {
-    /// The instance.
+    /// Instance of the agent.
     pub instance: InstanceId,
-    /// Its inner address.
+    /// Internal address of the agent.
     pub inner_addr: SocketAddr,
-    /// Where it stands.
+    /// Failure domain of the agent.
     pub failure_domain: FailureDomain,
-    /// Its region.
+    /// Region of the agent.
     pub region: RegionName,
 }
--- a/crates/wire/src/message/request.rs
+++ b/crates/wire/src/message/request.rs
@@ -1,92 +1,92 @@
-//! Requests and their answers, many at a time over one connection.
+//! Requests and answers, multiplexed over one connection.
 //!
-//! Each attempt has a number that is unique per connection. An answer is
-//! `Head`, any number of `Data`, then `End`; only `End` makes it whole.
+//! Each attempt has a number that is unique per connection. An answer consists of
+//! `Head`, any number of `Data` and `End`; it is complete only with `End`.
 
 use cassiawheel_model::{
     HeaderField, ModelVersion, NotRunReason, PresetRevision, RequestHead, record,
 };
 use macro_rules_attribute::apply;
 
-/// Traffic of one request attempt between an entry and an agent.
+/// A message about one attempt of a request between an entry and an agent.
 #[apply(record!)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestMessage {
-    /// Entry to agent: run this.
+    /// Entry to agent: run the request.
     Dispatch {
-        /// Number of the attempt on this connection.
+        /// Identifies the attempt on this connection.
         attempt: u64,
-        /// The request.
+        /// Metadata of the request.
         head: Box<RequestHead>,
-        /// Its body.
+        /// Body of the request.
         #[serde(with = "serde_bytes")]
         body: Vec<u8>,
     },
-    /// Entry to agent: the caller is gone or has been answered.
+    /// Entry to agent: stop, since the caller has disconnected or has been answered.
     Cancel {
-        /// The attempt.
+        /// Identifies the attempt.
         attempt: u64,
     },
-    /// Entry to agent: room for more answer bytes.
+    /// Entry to agent: flow control for the bytes of the answer.
     Credit {
-        /// The attempt.
+        /// Identifies the attempt.
         attempt: u64,
-        /// Further bytes that the agent may send.
+        /// Number of further bytes that the agent may send.
         bytes: u32,
     },
-    /// Agent to entry: not run, and it never will be under this attempt.
+    /// Agent to entry: the request was not run and will not be run for this attempt.
     Refused {
-        /// The attempt.
+        /// Identifies the attempt.
         attempt: u64,
-        /// Why.
+        /// Reason for which it was not run.
         reason: NotRunReason,
     },
-    /// Agent to entry: the endpoint answers.
+    /// Agent to entry: start of the answer.
     Head {
-        /// The attempt.
+        /// Identifies the attempt.
         attempt: u64,
-        /// The request that is answered.
+        /// Request that is answered.
         request: cassiawheel_model::RequestId,
-        /// HTTP status of the endpoint.
+        /// HTTP status of the answer.
         status: u16,
         /// Media type of the answer.
         content_type: Option<String>,
         /// Further header fields of the answer.
         headers: Vec<HeaderField>,
-        /// The version that the endpoint says it answers from.
+        /// Version that the endpoint reports to have answered with.
         version: Option<ModelVersion>,
-        /// The preset under which it ran.
+        /// Preset revision under which the request ran.
         revision: PresetRevision,
-        /// Whether this is the recorded answer of an earlier run of the same key,
-        /// which may come from an earlier version than the one routed to.
+        /// Whether this is the stored answer of an earlier run with the same key, which may
+        /// come from an earlier version than the one that the request was routed to.
         replayed: bool,
     },
-    /// Agent to entry: a part of the answer.
+    /// Agent to entry: a part of the body of the answer.
     Data {
-        /// The attempt.
+        /// Identifies the attempt.
         attempt: u64,
-        /// The part.
+        /// Bytes of the part.
         #[serde(with = "serde_bytes")]
         bytes: Vec<u8>,
     },
-    /// Agent to entry: the answer is whole.
+    /// Agent to entry: the answer is complete.
     End {
-        /// The attempt.
+        /// Identifies the attempt.
         attempt: u64,
-        /// Length of all parts, in bytes.
+        /// Total length of all parts, in bytes.
         bytes: u64,
     },
-    /// Agent to entry: the run failed; it may have had effects.
+    /// Agent to entry: the run failed and may have had side effects.
     Failed {
-        /// The attempt.
+        /// Identifies the attempt.
         attempt: u64,
-        /// What went wrong, in a short sentence.
+        /// Description of the failure, in one sentence.
         detail: String,
     },
 }
 
 impl RequestMessage {
-    /// Number of the attempt that the message belongs to.
+    /// The attempt that the message belongs to.
     pub fn attempt(&self) -> u64 {
         match self {
             Self::Dispatch { attempt, .. }
--- a/crates/wire/src/socket.rs
+++ b/crates/wire/src/socket.rs
@@ -1,8 +1,8 @@
-//! Connections that carry messages.
+//! WebSocket connections that carry messages.
 //!
-//! [`connect`] and [`accept`] give a sender, which any number of tasks may
-//! clone, and a receiver. A task of its own writes the queued messages and
-//! flushes when the queue is empty, so that a burst shares system calls.
+//! [`connect`] and [`accept`] return a sender, which may be cloned and shared by
+//! tasks, and a receiver. A separate task writes the queued messages and flushes
+//! when the queue is empty, so that a burst of messages shares system calls.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -37,45 +37,44 @@
     traffic::TRAFFIC,
 };
 
-/// Messages that may wait to be written before senders wait.
+/// Capacity of the write queue; senders wait while it is full.
 ///
-/// The queue's slots are allocated with the connection, some 140 bytes each, and
-/// an agent may be connected to hundreds of others.
+/// The slots are allocated with the connection, about 140 bytes each, and an agent may be
+/// connected to hundreds of others.
 const QUEUE_LENGTH: usize = 96;
 
-/// Bytes read from a socket at a time. Each connection keeps a buffer of this size, and an agent
-/// may be connected to hundreds of others.
+/// Size of the read buffer of each connection; an agent may be connected to hundreds of others.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Longest time for a connection and its handshake.
-const HANDSHAKE_TIME: Duration = Duration::from_secs(3);
+/// Timeout for connecting including the handshake, and for closing a connection.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
 type Stream = WebSocketStream<Compat<TcpStream>>;
 
-/// Why a connection cannot be used.
+/// Error of a connection.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// The connection could not be made.
+    /// The TCP connection could not be established.
     #[error("cannot connect: {0}")]
     Connect(#[from] std::io::Error),
-    /// The other end did not speak the protocol or refused our key.
+    /// The handshake failed or timed out, for example because the remote process rejected the key.
     #[error("handshake failed: {0}")]
     Handshake(String),
-    /// The connection was closed.
+    /// The connection is closed.
     #[error("the connection is closed")]
     Closed,
-    /// The other end sent something that is not a message.
+    /// A received frame is not a valid message.
     #[error("bad frame: {0}")]
     Frame(String),
 }
 
-/// Sends messages over a connection.
+/// Sending half of a connection; clones share the connection.
 #[derive(Debug, Clone)]
 pub struct WireSender {
     queue: Sender<WireMessage>,
 }
 
-/// Receives the messages of a connection.
+/// Receiving half of a connection.
 pub struct WireReceiver {
     stream: SplitStream<Stream>,
 }
@@ -86,9 +85,9 @@
         self.queue.send(message.into()).await.map_err(|_| WireError::Closed)
     }
 
-    /// Queues `message` unless the queue is full or closed.
+    /// Queues `message` without queued; returns `false` if the queue is full.
     ///
-    /// For traffic that a newer message replaces, such as heartbeats.
+    /// Used for messages that are superseded by the next one, such as heartbeats.
     pub fn try_send(&self, message: impl Into<WireMessage>) -> Result<bool, WireError> {
         match self.queue.try_send(message.into()) {
             Ok(()) => Ok(true),
@@ -97,7 +96,7 @@
         }
     }
 
-    /// Whether both send over the same connection.
+    /// Whether both senders use the same connection.
     pub fn same_connection(&self, other: &Self) -> bool {
         self.queue.same_channel(&other.queue)
     }
@@ -114,7 +113,7 @@
 }
 
 impl WireReceiver {
-    /// The next message.
+    /// Receives the next message.
     pub async fn recv(&mut self) -> Result<WireMessage, WireError> {
         loop {
             let frame = self.stream.next().await.ok_or(WireError::Closed)?;
@@ -127,7 +126,7 @@
                     return Ok(message);
                 }
                 Message::Text(_) => {
-                    return Err(WireError::Frame("text is not spoken here".to_owned()));
+                    return Err(WireError::Frame("unexpected text frame".to_owned()));
                 }
                 Message::Close(_) => return Err(WireError::Closed),
                 Message::Ping(_) | Message::Pong(_) | Message::Frame(_) => {}
@@ -136,7 +135,7 @@
     }
 }
 
-/// Connects to `addr`, from `local` if given, and presents `key`.
+/// Connects to `addr` from the address `local`, if given, and authenticates with `key`.
 pub async fn connect(
     addr: SocketAddr,
     key: &str,
@@ -155,17 +154,17 @@
             .map_err(|error| WireError::Handshake(error.to_string()))?;
         Ok(split(socket))
     };
-    timeout(HANDSHAKE_TIME, attempt)
+    timeout(HANDSHAKE_TIMEOUT, attempt)
         .await
         .unwrap_or_else(|| Err(WireError::Handshake("timed out".to_owned())))
 }
 
-/// Accepts a connection whose other end presents `key`.
+/// Accepts a connection if the client authenticates with `key`.
 pub async fn accept(stream: TcpStream, key: &str) -> Result<(WireSender, WireReceiver), WireError> {
     let _ = stream.set_nodelay(true);
     let check = |request: &Request, response: Response| check_key(request, response, key);
     let attempt = accept_hdr_async_with_config(stream.compat(), check, Some(frame_limits()));
-    let socket = timeout(HANDSHAKE_TIME, attempt)
+    let socket = timeout(HANDSHAKE_TIMEOUT, attempt)
         .await
         .ok_or_else(|| WireError::Handshake("timed out".to_owned()))?
         .map_err(|error| WireError::Handshake(error.to_string()))?;
@@ -175,7 +174,8 @@
 fn check_key(request: &Request, response: Response, key: &str) -> Result<Response, ErrorResponse> {
     let given = request.headers().get(AUTHORIZATION).map(HeaderValue::as_bytes).unwrap_or_default();
     let wanted = format!("Bearer {key}");
-    // Digests have one length, so the time tells nothing of the key's either.
+    // Digests of equal length are compared in constant time, so the time does not leak the
+    // key's length either.
     let (given, wanted) = (blake3::hash(given), blake3::hash(wanted.as_bytes()));
     if bool::from(given.as_bytes().ct_eq(wanted.as_bytes())) {
         return Ok(response);
@@ -194,35 +194,35 @@
 
 fn split(socket: Stream) -> (WireSender, WireReceiver) {
     let (sink, stream) = socket.split();
-    let (queue, waiting) = bounded(QUEUE_LENGTH);
-    spawn(write_queue(sink, waiting)).detach();
+    let (queue, queued) = bounded(QUEUE_LENGTH);
+    spawn(write_queue(sink, queued)).detach();
     (WireSender { queue }, WireReceiver { stream })
 }
 
-async fn write_queue(mut sink: SplitSink<Stream, Message>, waiting: Receiver<WireMessage>) {
-    while let Ok(message) = waiting.recv().await {
-        if write_burst(&mut sink, &waiting, message).await.is_none() {
+async fn write_queue(mut sink: SplitSink<Stream, Message>, queued: Receiver<WireMessage>) {
+    while let Ok(message) = queued.recv().await {
+        if write_burst(&mut sink, &queued, message).await.is_none() {
             break;
         }
     }
-    // Senders must see the end at once, or they would queue into nothing.
-    waiting.close();
-    let _ = timeout(HANDSHAKE_TIME, sink.close()).await;
+    // Senders must fail at once; otherwise they would queue messages that are never written.
+    queued.close();
+    let _ = timeout(HANDSHAKE_TIMEOUT, sink.close()).await;
 }
 
 async fn write_burst(
     sink: &mut SplitSink<Stream, Message>,
-    waiting: &Receiver<WireMessage>,
+    queued: &Receiver<WireMessage>,
     first: WireMessage,
 ) -> Option<()> {
     let mut next = Some(first);
     while let Some(message) = next {
-        // A message that is left out would leave its receiver waiting, so an
-        // encoding fault ends the connection instead.
+        // If the message were skipped, its receiver would wait for it indefinitely, so an encoding
+        // error closes the connection instead.
         let bytes = encode(&message).ok()?;
         TRAFFIC.count_sent(&message, bytes.len());
         sink.feed(Message::Binary(bytes.into())).await.ok()?;
-        next = waiting.try_recv().ok();
+        next = queued.try_recv().ok();
     }
     sink.flush().await.ok()
 }
--- a/crates/wire/src/traffic.rs
+++ b/crates/wire/src/traffic.rs
@@ -1,6 +1,6 @@
-//! Bytes that this process exchanges with others, by conversation.
+//! Counters of the bytes sent and received, by kind of message.
 //!
-//! Control traffic has an allowance of its own, so it is told apart from
+//! Control traffic has its own bandwidth limit, so it is counted separately from
 //! requests and weights.
 
 use std::sync::LazyLock;
@@ -9,7 +9,7 @@
 
 use crate::WireMessage;
 
-/// Counters of the bytes sent and received by this process.
+/// Counters of bytes by direction and kind of message.
 pub struct TrafficCounters {
     sent: ConversationCounters,
     received: ConversationCounters,
@@ -21,7 +21,7 @@
     chunk: IntCounter,
 }
 
-/// The counters of this process.
+/// Counters of this process.
 pub static TRAFFIC: LazyLock<TrafficCounters> = LazyLock::new(TrafficCounters::new);
 
 impl TrafficCounters {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Adds the counters to `registry`.
+    /// Registers the counters with `registry`.
     pub fn register(&self, registry: &Registry) -> prometheus::Result<()> {
         for counters in [&self.sent, &self.received] {
             for counter in [&counters.control, &counters.request, &counters.chunk] {
@@ -42,14 +42,14 @@
         Ok(())
     }
 
-    /// Counts a message of `bytes` that was sent.
+    /// Counts a sent message of `bytes`.
     pub(crate) fn count_sent(&self, message: &WireMessage, bytes: usize) {
-        self.sent.of(message).inc_by(bytes as u64);
+        self.sent.counter(message).inc_by(bytes as u64);
     }
 
-    /// Counts a message of `bytes` that was received.
+    /// Counts a received message of `bytes`.
     pub(crate) fn count_received(&self, message: &WireMessage, bytes: usize) {
-        self.received.of(message).inc_by(bytes as u64);
+        self.received.counter(message).inc_by(bytes as u64);
     }
 }
 
@@ -58,14 +58,14 @@
         let counter = |conversation: &str| {
             let name = format!("cassiawheel_wire_{conversation}_{direction}_bytes_total");
             let help = format!("Bytes of {conversation} messages {direction}");
-            // The names are fixed and valid, so this cannot fail at run time.
+            // The names are constant and valid, so this cannot fail at run time.
             IntCounter::new(name, help)
-                .unwrap_or_else(|error| unreachable!("a fixed metric name: {error}"))
+                .unwrap_or_else(|error| unreachable!("invalid metric name: {error}"))
         };
         Self { control: counter("control"), request: counter("request"), chunk: counter("chunk") }
     }
 
-    fn of(&self, message: &WireMessage) -> &IntCounter {
+    fn counter(&self, message: &WireMessage) -> &IntCounter {
         match message {
             WireMessage::Hello(_) | WireMessage::Control(_) => &self.control,
             WireMessage::Request(_) => &self.request,
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,5 +1,5 @@
-//! Frames from anyone: whatever the bytes are, decoding ends with a message or
-//! an error.
+//! Decoding of valid, damaged and arbitrary frames: the result is a message or an error, never
+//! a panic.
 
 use cassiawheel_model::InstanceId;
 use cassiawheel_wire::{
@@ -22,10 +22,10 @@
 }
 
 proptest! {
-    /// A stranger, or a process of another version, sends bytes that are no
-    /// message. A panic would end the whole process and cut every request.
+    /// Bytes that are not a message, for example from a process of another version. A panic would
+    /// end the process and abort all its requests.
     #[test]
-    fn garbage_is_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         let _ = decode(&bytes);
     }
 
@@ -35,17 +35,17 @@
         prop_assert_eq!(decode(&bytes).expect("decodes"), message);
     }
 
-    /// A frame that lost its end, as after a fault in a sender. Taken for a
-    /// shorter message it would be an answer with a part missing.
+    /// A frame without its end, as after an error in the sender. If it were decoded as a shorter
+    /// message, an answer would be incomplete without notice.
     #[test]
     fn a_truncated_message_is_an_error(message in messages(), cut in any::<prop::sample::Index>()) {
         let bytes = encode(&message).expect("encodes");
         prop_assert!(decode(&bytes[..cut.index(bytes.len())]).is_err());
     }
 
-    /// One message with bytes of another behind it.
+    /// A message followed by bytes of another one.
     #[test]
-    fn bytes_behind_a_message_are_an_error(message in messages(), more in any::<u8>()) {
+    fn trailing_bytes_are_an_error(message in messages(), more in any::<u8>()) {
         let mut bytes = encode(&message).expect("encodes");
         bytes.push(more);
         prop_assert!(decode(&bytes).is_err());
@@ -64,10 +64,10 @@
     }
 }
 
-/// A few bytes that announce a list of 2^60 items, or lists within lists
-/// without end: an allocation or a stack of that size would end the process.
+/// A few bytes that announce a list of 2^60 items or deeply nested lists: an allocation or a
+/// stack of that size would end the process.
 #[test]
-fn announced_sizes_are_not_believed() {
+fn announced_sizes_are_not_allocated() {
     let huge = [0x9b, 0x10, 0, 0, 0, 0, 0, 0, 0];
     assert!(decode(&huge).is_err());
     let huge_text = [0x7b, 0x10, 0, 0, 0, 0, 0, 0, 0, b'x'];
