--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -42,7 +42,7 @@
         Adoption::Conflicting => {
             log::error!(target: "preset", revision = revision.0; "Two presets have the same revision.");
         }
-        Adoption::Known | Adoption::Older => {}
+        Adoption::Unchanged | Adoption::Stale => {}
     }
 }
 
@@ -55,7 +55,7 @@
     }
     log::info!(target: "order", version:% = order.version, fencing = order.fencing, serve = order.serve; "A new order.");
     if let Some(origin) = &order.origin {
-        shared.origin.relocate(origin.addr);
+        shared.origin.set_addr(origin.addr);
     }
     *newest = Some(order);
     drop(newest);
@@ -143,7 +143,7 @@
     if gate.state() != before || gate.begin_switch().is_err() {
         return;
     }
-    gate.abandon_switch();
+    gate.abort_switch();
     drop(gate);
     log::warn!(target: "switch", wanted:% = version, told:? = status.version; "The engine lost its weights.");
     shared.transfer.wake();
@@ -183,7 +183,7 @@
 async fn reach(shared: &Arc<EndpointShared>, order: &WeightOrder) -> anyhow::Result<ReachEnd> {
     let status = shared.engine.status().await?;
     ensure_current(order, &status)?;
-    let answers = status.answers_from(&order.version, order.manifest);
+    let answers = status.serves(&order.version, order.manifest);
     if answers && is_empty(shared) {
         // The engine's answer to the order that did this was lost, or the engine
         // started with these weights after the order had come.
@@ -237,7 +237,7 @@
     let before = shared.gate().state().clone();
     shared.gate().begin_switch()?;
     announce_switch(shared).await;
-    while !shared.gate().may_exchange() {
+    while !shared.gate().can_swap_weights() {
         shared.permit_released().await;
     }
     if let Err(error) = load(shared, order).await {
@@ -277,7 +277,7 @@
     {
         return;
     }
-    gate.abandon_switch();
+    gate.abort_switch();
 }
 
 async fn load(shared: &EndpointShared, order: &WeightOrder) -> anyhow::Result<()> {
@@ -287,12 +287,12 @@
         fencing: order.fencing,
     };
     ensure_current(order, &shared.engine.status().await?)?;
-    shared.engine.load(&load).await?;
+    shared.engine.load_weights(&load).await?;
     let status = shared.engine.status().await?;
     // The answer to an order tells what was asked, not what is loaded; another
     // process may have given an order in between.
     anyhow::ensure!(
-        status.answers_from(&order.version, order.manifest),
+        status.serves(&order.version, order.manifest),
         "the engine answers from other weights than ordered"
     );
     Ok(())
--- a/crates/decide/src/admit.rs
+++ b/crates/decide/src/admit.rs
@@ -32,12 +32,12 @@
     /// When its answer is of no more use.
     pub deadline: Deadline,
     /// Whether its caller asks for the first time.
-    pub turn: CallerTurn,
+    pub tier: AdmitTier,
 }
 
 /// Whether a caller asks for the first time; the first goes before the second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum CallerTurn {
+pub enum AdmitTier {
     /// It has asked nobody before.
     Fresh,
     /// It was refused before and has missed its aim.
@@ -82,7 +82,7 @@
 /// after some seconds in which nobody was served.
 const FRESH_PART: u32 = 8;
 
-impl CallerTurn {
+impl AdmitTier {
     /// Places of which a caller of this turn may take one.
     fn room(self, capacity: u32) -> u32 {
         match self {
@@ -95,13 +95,13 @@
 /// Whose requests wait in a part of the queue.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
-    turn: CallerTurn,
+    turn: AdmitTier,
     workspace: WorkspaceId,
 }
 
 impl QueueKey {
     fn of(ticket: &AdmitTicket) -> Self {
-        Self { turn: ticket.turn, workspace: ticket.workspace.clone() }
+        Self { turn: ticket.tier, workspace: ticket.workspace.clone() }
     }
 }
 
@@ -147,12 +147,12 @@
     }
 
     /// Admits a request if there is room and nobody waits.
-    pub fn admit_now(&self, turn: CallerTurn, capacity: u32) -> bool {
+    pub fn try_admit(&self, turn: AdmitTier, capacity: u32) -> bool {
         self.waiting.load(Ordering::SeqCst) == 0 && self.take_place(turn.room(capacity))
     }
 
     /// Lets a request wait; `notify` tells verdicts and whether they were heard.
-    pub fn wait(
+    pub fn enqueue(
         &self,
         ticket: &AdmitTicket,
         handle: T,
@@ -242,7 +242,7 @@
     }
 
     /// The turn of the request that is admitted next.
-    fn next_turn(&self) -> Option<CallerTurn> {
+    fn next_turn(&self) -> Option<AdmitTier> {
         self.workspaces.first_key_value().map(|(key, _)| key.turn)
     }
 
@@ -252,8 +252,8 @@
         let own = self.workspaces.get(&QueueKey::of(ticket));
         let own = own.map_or(0, |queue| queue.ahead_of(ticket.priority));
         let others = self.workspaces.iter().filter(|(key, _)| key.workspace != ticket.workspace);
-        let earlier = self.workspaces.iter().filter(|(key, _)| key.turn < ticket.turn);
-        let others = others.filter(|(key, _)| key.turn == ticket.turn);
+        let earlier = self.workspaces.iter().filter(|(key, _)| key.turn < ticket.tier);
+        let others = others.filter(|(key, _)| key.turn == ticket.tier);
         own + earlier.map(|(_, queue)| queue.length).sum::<usize>()
             + others.map(|(_, queue)| queue.length.min(own + 1)).sum::<usize>()
     }
--- a/crates/decide/src/cell.rs
+++ b/crates/decide/src/endpoint_tracker.rs
@@ -64,24 +64,24 @@
 
 impl EndpointPace {
     /// No request at all.
-    pub const NOTHING: Self = Self { interval_us: u64::MAX, first_us: u64::MAX };
+    pub const ZERO: Self = Self { interval_us: u64::MAX, first_us: u64::MAX };
 
     /// `rate` requests a second.
-    pub fn of_rate(rate: f64) -> Self {
+    pub fn from_rate(rate: f64) -> Self {
         // Conversion saturates: a rate near zero gives no request at all.
         let interval_us = ((1e6 / rate) as u64).max(1);
         Self { interval_us, first_us: interval_us }
     }
 
     /// The same pace with a first request after `part` of the time between two.
-    pub fn starting_after(self, part: f64) -> Self {
+    pub fn with_first_delay(self, part: f64) -> Self {
         Self { first_us: (self.interval_us as f64 * part) as u64, ..self }
     }
 }
 
 /// Load and health of one endpoint.
 #[derive(Debug, Default)]
-pub struct EndpointCell {
+pub struct EndpointTracker {
     in_flight: AtomicU32,
     report: AtomicU64,
     hard_limit: AtomicU32,
@@ -102,14 +102,14 @@
     next_at_us: AtomicU64,
 }
 
-impl EndpointCell {
+impl EndpointTracker {
     /// Requests that this entry has in progress there.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
     /// Counts a request.
-    pub fn begin(&self) {
+    pub fn acquire(&self) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -117,13 +117,13 @@
     ///
     /// Looked at and counted in one step: between the two another thread could
     /// take the same last place.
-    pub fn begin_below(&self, most: u32) -> bool {
+    pub fn try_acquire(&self, most: u32) -> bool {
         let next = |count: u32| (count < most).then(|| count + 1);
         self.in_flight.fetch_update(Ordering::Relaxed, Ordering::Relaxed, next).is_ok()
     }
 
     /// Counts a request no more.
-    pub fn end(&self) {
+    pub fn release(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 
@@ -184,25 +184,25 @@
 
     /// Counts a request if fewer than `most` are in progress and the pace lets it be sent;
     /// false if not.
-    pub fn begin_paced(&self, most: u32, now: Timestamp) -> bool {
-        if !self.begin_below(most) {
+    pub fn try_acquire_paced(&self, most: u32, now: Timestamp) -> bool {
+        if !self.try_acquire(most) {
             return false;
         }
         let is_taken = self.take_pace(now);
         if !is_taken {
-            self.end();
+            self.release();
         }
         is_taken
     }
 
     /// Takes the endpoint's own report of its load and the limit of its gate.
-    pub fn hear(&self, load: &LoadReport, limit: u32) {
+    pub fn apply_report(&self, load: &LoadReport, limit: u32) {
         // The report counts our own requests too; what is left is the others'.
         let others = (load.in_flight + load.queued).saturating_sub(self.in_flight());
         let moment = load.measured_at.0 & ((1 << MOMENT_BITS) - 1);
         let others = u64::from(others.min(u32::from(u16::MAX)));
         self.report.store(others << MOMENT_BITS | moment, Ordering::Relaxed);
-        self.set_limit(limit);
+        self.set_hard_limit(limit);
     }
 
     /// Most requests that the endpoint takes, as it told.
@@ -211,7 +211,7 @@
     }
 
     /// Takes the most requests that the endpoint takes, without a word of its load.
-    pub fn set_limit(&self, limit: u32) {
+    pub fn set_hard_limit(&self, limit: u32) {
         if self.hard_limit.swap(limit, Ordering::Relaxed) != limit {
             self.limit.store(limit.saturating_mul(UNIT), Ordering::Relaxed);
         }
@@ -224,11 +224,11 @@
 
     /// Own requests, and others' by the last report, discounted by its age.
     pub fn load(&self, now: Timestamp) -> u32 {
-        self.in_flight() + self.others(now)
+        self.in_flight() + self.others_in_flight(now)
     }
 
     /// Requests of others by the last report, discounted by its age.
-    pub fn others(&self, now: Timestamp) -> u32 {
+    pub fn others_in_flight(&self, now: Timestamp) -> u32 {
         self.others_after(now, 0)
     }
 
@@ -245,8 +245,8 @@
         ((report >> MOMENT_BITS) * weight / (REPORT_LIFE_MS - fresh_ms)) as u32
     }
 
-    /// Notes that a request was sent, of which [`Self::note_delay`] tells more.
-    pub fn await_answer(&self, now: Timestamp) {
+    /// Notes that a request was sent, of which [`Self::record_delay`] tells more.
+    pub fn record_sent(&self, now: Timestamp) {
         if self.unanswered.fetch_add(1, Ordering::Relaxed) == 0 {
             self.heard_at.store(now.0, Ordering::Relaxed);
         }
@@ -254,7 +254,7 @@
 
     /// Notes how long a request waited for the beginning of its answer, or has
     /// waited so far when it was given up.
-    pub fn note_delay(&self, delay_ms: u64, answered: bool, now: Timestamp) {
+    pub fn record_delay(&self, delay_ms: u64, answered: bool, now: Timestamp) {
         self.unanswered.fetch_sub(1, Ordering::Relaxed);
         if answered {
             self.heard_at.store(now.0, Ordering::Relaxed);
@@ -301,7 +301,7 @@
     }
 
     /// Notes an answer: raises the limit by one per round of full use.
-    pub fn succeed(&self) {
+    pub fn record_success(&self) {
         if self.failures.load(Ordering::Relaxed) != 0 {
             self.failures.store(0, Ordering::Relaxed);
         }
@@ -315,7 +315,7 @@
     }
 
     /// Notes a refusal for overload: lowers the limit by an eighth.
-    pub fn refuse(&self, now: Timestamp) {
+    pub fn record_refusal(&self, now: Timestamp) {
         let cut_at = self.cut_at.load(Ordering::Relaxed);
         if now.0 < cut_at + CUT_MS {
             return;
@@ -328,7 +328,7 @@
     }
 
     /// Notes a failure; true if there were enough in a row for an ejection.
-    pub fn fail(&self) -> bool {
+    pub fn record_failure(&self) -> bool {
         self.failures.fetch_add(1, Ordering::Relaxed) + 1 >= EJECT_FAILURES
     }
 
--- a/crates/decide/src/entry_choice.rs
+++ b/crates/decide/src/entry_selector.rs
@@ -16,12 +16,12 @@
 
 /// The entries that an agent may connect to.
 #[derive(Debug, Clone, Default)]
-pub struct EntryChoice {
+pub struct EntrySelector {
     candidates: Vec<SocketAddr>,
     avoided: BTreeMap<SocketAddr, Deadline>,
 }
 
-impl EntryChoice {
+impl EntrySelector {
     /// Replaces the candidates; an empty list changes nothing.
     pub fn set_candidates(&mut self, addrs: Vec<SocketAddr>) {
         if !addrs.is_empty() {
@@ -45,7 +45,7 @@
     }
 
     /// The `count` entries to be connected to.
-    pub fn chosen(&mut self, subject: u64, count: usize, now: Timestamp) -> Vec<SocketAddr> {
+    pub fn select(&mut self, subject: u64, count: usize, now: Timestamp) -> Vec<SocketAddr> {
         self.avoided.retain(|_, until| !until.is_past(now));
         let open = self.candidates.iter().filter(|addr| !self.avoided.contains_key(addr));
         let names: Vec<_> = open.map(ToString::to_string).collect();
--- a/crates/decide/tests/crash_book.rs
+++ b/crates/decide/tests/crash_book.rs
@@ -6,7 +6,9 @@
     net::{Ipv4Addr, SocketAddr},
 };
 
-use cassiawheel_decide::{BAR_TIME, CrashBook, CrashVerdict, EntryPlace, LinkNumber, chosen_links};
+use cassiawheel_decide::{
+    BAR_DURATION, CrashTracker, CrashVerdict, EntryLocation, LinkId, links_to_dial,
+};
 use cassiawheel_model::{
     CrashEvent, CrashRecord, Deadline, InstanceId, PresetRevision, PriorityClass,
     QuarantinedRequest, RegionName, Repeatability, RequestDigest, RequestHead, RequestId,
@@ -44,7 +46,7 @@
     CrashRecord { digest: digest(body), event, age_ms }
 }
 
-fn is_barred(book: &CrashBook, body: u64) -> bool {
+fn is_barred(book: &CrashTracker, body: u64) -> bool {
     matches!(book.verdict(digest(body)), CrashVerdict::Barred { .. })
 }
 
@@ -71,11 +73,11 @@
     #[case] event: fn(u64) -> CrashEvent,
     #[case] ends: u64,
 ) {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     for endpoint in 1..=ends {
         assert!(!is_barred(&book, 7), "barred after {} ends", endpoint - 1);
-        assert!(book.note(row(7, event(endpoint), 0), None, NOW));
-        assert!(!book.note(row(7, event(endpoint), 50), Some(1), NOW), "one end counts once");
+        assert!(book.record(row(7, event(endpoint), 0), None, NOW));
+        assert!(!book.record(row(7, event(endpoint), 50), Some(1), NOW), "one end counts once");
     }
     assert!(is_barred(&book, 7));
     assert!(!is_barred(&book, 8));
@@ -84,13 +86,13 @@
 /// Guards against a bar that outlasts what it was made from.
 #[test]
 fn a_bar_ends() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     for endpoint in 0..3 {
-        book.note(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
+        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
     }
     let CrashVerdict::Barred { until } = book.verdict(digest(7)) else { panic!("barred") };
-    assert_eq!(until, NOW.deadline_after(BAR_TIME));
-    let later = Timestamp(NOW.0 + BAR_TIME.as_millis() as u64 + 1);
+    assert_eq!(until, NOW.deadline_after(BAR_DURATION));
+    let later = Timestamp(NOW.0 + BAR_DURATION.as_millis() as u64 + 1);
     assert!(book.expire(later));
     assert_eq!(book.verdict(digest(7)), CrashVerdict::Clear);
 }
@@ -98,17 +100,17 @@
 /// Guards against barring a request that endpoints answer, for the ends of some of them.
 #[test]
 fn a_whole_answer_clears_the_ends_before_it() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     for endpoint in 0..3 {
-        book.note(row(7, CrashEvent::EndedAtStart(endpoint), 500), None, NOW);
+        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 500), None, NOW);
     }
-    assert!(book.note(row(7, CrashEvent::Answered, 0), Some(2), NOW));
+    assert!(book.record(row(7, CrashEvent::Answered, 0), Some(2), NOW));
     assert_eq!(book.verdict(digest(7)), CrashVerdict::Clear);
-    assert!(!book.note(row(7, CrashEvent::EndedAtStart(1), 495), Some(3), NOW), "a late copy");
+    assert!(!book.record(row(7, CrashEvent::EndedAtStart(1), 495), Some(3), NOW), "a late copy");
     assert_eq!(book.verdict(digest(7)), CrashVerdict::Clear);
     let later = Timestamp(NOW.0 + 100);
     for endpoint in 5..8 {
-        book.note(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, later);
+        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, later);
     }
     assert!(is_barred(&book, 7), "ends after the answer count");
 }
@@ -116,11 +118,11 @@
 /// Guards against a message for each answer to a request that is often asked for.
 #[test]
 fn only_an_answer_that_clears_something_is_passed_on() {
-    let mut book = CrashBook::default();
-    book.note(row(7, CrashEvent::EndedInAnswer(1), 0), None, NOW);
+    let mut book = CrashTracker::default();
+    book.record(row(7, CrashEvent::EndedInAnswer(1), 0), None, NOW);
     let answers = (1..50).filter(|step| {
         let now = Timestamp(NOW.0 + step * 100);
-        book.note(row(7, CrashEvent::Answered, 0), None, now)
+        book.record(row(7, CrashEvent::Answered, 0), None, now)
     });
     assert_eq!(answers.count(), 1);
 }
@@ -128,25 +130,25 @@
 /// Guards against a retry that waits for the run that it follows.
 #[test]
 fn an_own_run_keeps_other_entries_waiting_and_not_this_one() {
-    let mut book = CrashBook::default();
-    book.note(row(7, CrashEvent::EndedAtStart(1), 500), None, NOW);
-    book.note(row(7, CrashEvent::Begun, 100), None, NOW);
-    assert!(book.verdict(digest(7)).turn_at(0, 15).is_past(NOW));
-    let mut other = CrashBook::default();
-    other.note(row(7, CrashEvent::EndedAtStart(1), 500), Some(1), NOW);
-    other.note(row(7, CrashEvent::Begun, 100), Some(1), NOW);
-    assert!(!other.verdict(digest(7)).turn_at(0, 15).is_past(NOW));
+    let mut book = CrashTracker::default();
+    book.record(row(7, CrashEvent::EndedAtStart(1), 500), None, NOW);
+    book.record(row(7, CrashEvent::Begun, 100), None, NOW);
+    assert!(book.verdict(digest(7)).not_before(0, 15).is_past(NOW));
+    let mut other = CrashTracker::default();
+    other.record(row(7, CrashEvent::EndedAtStart(1), 500), Some(1), NOW);
+    other.record(row(7, CrashEvent::Begun, 100), Some(1), NOW);
+    assert!(!other.verdict(digest(7)).not_before(0, 15).is_past(NOW));
 }
 
 /// Guards against a book that a caller fills with different bodies, or empties of its bars.
 #[test]
 fn many_bodies_neither_fill_the_book_nor_free_a_barred_request() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     for endpoint in 0..3 {
-        book.note(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
+        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
     }
     for body in 100..20_000 {
-        book.note(row(body, CrashEvent::EndedAtStart(body), 0), None, NOW);
+        book.record(row(body, CrashEvent::EndedAtStart(body), 0), None, NOW);
     }
     assert!(book.verdicts().len() <= 4_096);
     assert!(is_barred(&book, 7));
@@ -155,36 +157,40 @@
 /// Guards against bars that are lost or kept for ever where all entries have lost power.
 #[test]
 fn kept_bars_are_taken_up_again_until_they_are_over() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     for endpoint in 0..3 {
-        book.note(row(7, CrashEvent::EndedAtStart(endpoint), 1_000), None, NOW);
-        book.note(row(8, CrashEvent::EndedInAnswer(endpoint), 0), None, NOW);
+        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 1_000), None, NOW);
+        book.record(row(8, CrashEvent::EndedInAnswer(endpoint), 0), None, NOW);
     }
     let ended_at = Timestamp(NOW.0 - 1_000);
-    let over_at = Timestamp(NOW.0 - BAR_TIME.as_millis() as u64);
+    let over_at = Timestamp(NOW.0 - BAR_DURATION.as_millis() as u64);
     let over = QuarantinedRequest { digest: digest(9), ended_at: over_at };
-    let bars = book.bars_to_keep(&[over], NOW).expect("one is to be added");
+    let bars = book.bars_to_persist(&[over], NOW).expect("one is to be added");
     assert_eq!(bars, [QuarantinedRequest { digest: digest(7), ended_at }]);
-    assert_eq!(book.bars_to_keep(&bars, NOW), None);
-    let mut started = CrashBook::default();
-    assert!(started.note(row(7, CrashEvent::Barred, 1_000), None, NOW));
+    assert_eq!(book.bars_to_persist(&bars, NOW), None);
+    let mut started = CrashTracker::default();
+    assert!(started.record(row(7, CrashEvent::Barred, 1_000), None, NOW));
     assert_eq!(started.verdict(digest(7)), book.verdict(digest(7)));
-    assert!(!started.note(row(9, CrashEvent::Barred, BAR_TIME.as_millis() as u32), None, NOW));
+    assert!(!started.record(
+        row(9, CrashEvent::Barred, BAR_DURATION.as_millis() as u32),
+        None,
+        NOW
+    ));
 }
 
 /// Guards against an entry that starts or returns and does not learn what the others know.
 #[test]
 fn a_new_link_brings_every_fact_and_an_old_one_only_news() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     for body in 0..600 {
-        book.note(row(body, CrashEvent::EndedAtStart(body), 0), Some(4), NOW);
+        book.record(row(body, CrashEvent::EndedAtStart(body), 0), Some(4), NOW);
     }
-    let mut other = CrashBook::default();
+    let mut other = CrashTracker::default();
     let mut mark = 0;
     for _ in 0..3 {
         let (rows, next) = book.rows_since(mark, 5, NOW);
         assert!(rows.len() <= 256, "a message of bounded size");
-        rows.into_iter().for_each(|row| assert!(other.note(row, Some(1), NOW)));
+        rows.into_iter().for_each(|row| assert!(other.record(row, Some(1), NOW)));
         mark = next;
     }
     assert_eq!(other.verdicts().len(), 600);
@@ -213,7 +219,7 @@
 /// Entries with their books, and callers with one request that ends endpoints.
 struct CrashDay {
     now: Timestamp,
-    books: Vec<CrashBook>,
+    books: Vec<CrashTracker>,
     links: Vec<BTreeMap<usize, u64>>,
     cut: BTreeSet<usize>,
     attempts: Vec<CallerAttempt>,
@@ -229,11 +235,11 @@
         };
         let region = |index: usize| RegionName::new(&format!("region-{index}")).expect("valid");
         let places: Vec<_> = (0..entries)
-            .map(|index| EntryPlace { inner_addr: addr(index), region: region(index % regions) })
+            .map(|index| EntryLocation { inner_addr: addr(index), region: region(index % regions) })
             .collect();
         let mut links = vec![BTreeMap::new(); entries];
         for (index, place) in places.iter().enumerate() {
-            for chosen in chosen_links(place, &places) {
+            for chosen in links_to_dial(place, &places) {
                 let other = places.iter().position(|p| p.inner_addr == chosen).expect("known");
                 links[index].insert(other, 0);
                 links[other].insert(index, 0);
@@ -241,7 +247,7 @@
         }
         Self {
             now: NOW,
-            books: (0..entries).map(|_| CrashBook::default()).collect(),
+            books: (0..entries).map(|_| CrashTracker::default()).collect(),
             links,
             cut: BTreeSet::new(),
             attempts: Vec::new(),
@@ -270,8 +276,8 @@
             CrashVerdict::Clear => true,
             CrashVerdict::Barred { .. } => false,
             verdict => {
-                let turn_at = verdict.turn_at(self.rank(entry), self.books.len());
-                turn_at.is_past(self.now) && others.count() == 0
+                let not_before = verdict.not_before(self.rank(entry), self.books.len());
+                not_before.is_past(self.now) && others.count() == 0
             }
         }
     }
@@ -283,7 +289,7 @@
                 self.attempts[index].ends_at = None;
                 self.ends.push(self.now);
                 let event = CrashEvent::EndedAtStart(self.ends.len() as u64);
-                self.books[entry].note(row(7, event, 0), None, self.now);
+                self.books[entry].record(row(7, event, 0), None, self.now);
             }
             let attempt = &self.attempts[index];
             let is_idle = attempt.ends_at.is_none() && attempt.runs < MAX_ATTEMPTS;
@@ -292,7 +298,7 @@
                 attempt.runs += 1;
                 attempt.ends_at = Some(Timestamp(self.now.0 + RUN_MS));
                 self.sends.push(self.now);
-                self.books[entry].note(row(7, CrashEvent::Begun, 0), None, self.now);
+                self.books[entry].record(row(7, CrashEvent::Begun, 0), None, self.now);
             }
         }
         self.pass_on();
@@ -306,14 +312,13 @@
                 if self.cut.contains(&index) || self.cut.contains(other) {
                     continue;
                 }
-                let (rows, next) =
-                    self.books[index].rows_since(*mark, *other as LinkNumber, self.now);
+                let (rows, next) = self.books[index].rows_since(*mark, *other as LinkId, self.now);
                 *mark = next;
                 messages.extend(rows.into_iter().map(|row| (index, *other, row)));
             }
         }
         for (from, to, row) in messages {
-            self.books[to].note(row, Some(from as LinkNumber), self.now);
+            self.books[to].record(row, Some(from as LinkId), self.now);
         }
     }
 
--- a/crates/decide/tests/routing.rs
+++ b/crates/decide/tests/routing.rs
@@ -10,8 +10,9 @@
 };
 
 use cassiawheel_decide::{
-    AttemptEnd, EndpointCell, EndpointPath, RepeatGuard, RetryBudget, RetryStep, RetryTracker,
-    RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes, affinity::prefix_of,
+    AttemptFailure, EndpointPath, EndpointTracker, RepeatGuard, RetryBudget, RetryStep,
+    RetryTracker, RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes,
+    affinity::prefix_digest,
 };
 use cassiawheel_model::{
     Deadline, InstanceId, LoadReport, ModelVersion, NotRunReason, ServiceName, Timestamp,
@@ -32,7 +33,7 @@
 struct Entry {
     service: ServiceName,
     snapshot: RouteSnapshot,
-    cells: Vec<Arc<EndpointCell>>,
+    cells: Vec<Arc<EndpointTracker>>,
     total: Arc<AtomicU32>,
     names: Vec<InstanceId>,
     next: usize,
@@ -42,20 +43,20 @@
 impl Entry {
     fn new(seed: u64) -> Self {
         let service = ServiceName::new("desk").expect("a service");
-        let cells: Vec<_> = (0..ENDPOINTS).map(|_| Arc::new(EndpointCell::default())).collect();
+        let cells: Vec<_> = (0..ENDPOINTS).map(|_| Arc::new(EndpointTracker::default())).collect();
         for cell in &cells {
             let measured_at = Timestamp(START);
-            cell.hear(&LoadReport { in_flight: 0, queued: 0, measured_at }, 64);
+            cell.apply_report(&LoadReport { in_flight: 0, queued: 0, measured_at }, 64);
         }
         let name = |index| InstanceId::new(&format!("endpoint-{index}")).expect("an instance");
         let names: Vec<_> = (0..ENDPOINTS).map(name).collect();
         let version = ModelVersion::new("v1").ok();
-        let candidate = |(index, cell): (usize, &Arc<EndpointCell>)| RouteCandidate {
+        let candidate = |(index, cell): (usize, &Arc<EndpointTracker>)| RouteCandidate {
             instance: names[index].clone(),
             version: version.clone(),
             is_near: index % 4 == 0,
             path: EndpointPath::Agent,
-            cell: cell.clone(),
+            tracker: cell.clone(),
         };
         let candidates = cells.iter().enumerate().map(candidate).collect();
         let total = Arc::new(AtomicU32::new(0));
@@ -89,7 +90,7 @@
                     prefix,
                     version: None,
                     allowed: None,
-                    extra_room: 0,
+                    extra_capacity: 0,
                     max_in_flight: 64,
                     now,
                 };
@@ -100,18 +101,18 @@
     }
 
     fn begin(&self, endpoint: usize) {
-        self.cells[endpoint].begin();
+        self.cells[endpoint].acquire();
         self.total.fetch_add(1, Ordering::Relaxed);
     }
 
     fn end(&self, endpoint: usize) {
-        self.cells[endpoint].end();
+        self.cells[endpoint].release();
         self.total.fetch_sub(1, Ordering::Relaxed);
     }
 
     fn fail(&self, endpoint: usize, now: Timestamp) {
         let routes = self.snapshot.service(&self.service).expect("the service");
-        routes.fail(&self.names[endpoint], now);
+        routes.record_failure(&self.names[endpoint], now);
     }
 }
 
@@ -164,7 +165,7 @@
             // A square makes low ranks popular: the first tenth gets a third.
             let rank = (rng.random::<f64>().powi(2) * 240.0) as u64;
             let prompt = format!("{rank:>64}");
-            let prefix = prefix_of(prompt.as_bytes(), 64);
+            let prefix = prefix_digest(prompt.as_bytes(), 64);
             let Some(endpoint) = entry.choose(policy, prefix, &[], now) else {
                 continue;
             };
@@ -236,7 +237,7 @@
                 let tracker =
                     RetryTracker::new(RepeatGuard::Idempotent, Deadline(now.0 + 5_000), 3);
                 requests.push(Request { entry, tracker, excluded: Vec::new() });
-                budget.earn();
+                budget.deposit();
                 waiting.push_back((tick, requests.len() - 1));
             }
         }
@@ -248,7 +249,7 @@
             let chosen = entry.choose(policy, None, &request.excluded, now);
             let endpoint = chosen.expect("there is room");
             request.excluded.push(entry.names[endpoint].clone());
-            request.tracker.begin();
+            request.tracker.begin_attempt();
             attempts += 1;
             entry.begin(endpoint);
             let work = match (endpoint, bad) {
@@ -265,15 +266,15 @@
             let entry = &entries[call.entry];
             entry.end(call.endpoint);
             if call.endpoint != 0 || bad != BadEndpoint::FailsAtOnce {
-                entry.cells[call.endpoint].succeed();
+                entry.cells[call.endpoint].record_success();
                 done += 1;
                 continue;
             }
             entry.fail(call.endpoint, now);
-            let end = AttemptEnd::NotRun(NotRunReason::ConnectFailed);
+            let end = AttemptFailure::NotRun(NotRunReason::ConnectFailed);
             let budget = &budgets[call.entry];
-            match requests[call.request].tracker.after(end, budget, now, &mut rng) {
-                RetryStep::Again(at) | RetryStep::Reroute(at) => {
+            match requests[call.request].tracker.next_step(end, budget, now, &mut rng) {
+                RetryStep::Retry(at) | RetryStep::Reroute(at) => {
                     waiting.push_back((at.0 - START, call.request));
                 }
                 RetryStep::Stop(_) => {
--- a/crates/entry/src/control/change.rs
+++ b/crates/entry/src/control/change.rs
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 
 use cassiawheel_decide::{
-    ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeVerdict, ChangeWriter,
+    ChangeAnswer, ChangeOutcome, ChangeRecord, ChangeRequest, ChangeStep, ChangeWriter,
 };
 use cassiawheel_edge::{
-    StoreError, TableGuard, TableRow, TableStore, TableWrite, WeightError, WriteVerdict,
+    StoreError, TableGuard, TableRow, TableStore, TableWrite, WeightError, WriteOutcome,
 };
 use cassiawheel_model::{
     ChangeId, ForcedPreset, ManifestDigest, ModelVersion, PresetContent, PresetName,
@@ -21,8 +21,8 @@
 use macro_rules_attribute::apply;
 
 use super::{
+    peers,
     poll::{FORCE_ROW, read_force},
-    spread,
 };
 use crate::shared::EntryShared;
 
@@ -120,7 +120,7 @@
             Some(manifest) => manifest,
             None => origin_manifest(shared, service, version).await?,
         };
-        if !is_bound(shared.table.as_ref(), version, manifest).await? {
+        if !bind_version(shared.table.as_ref(), version, manifest).await? {
             let (service, version) = (service.to_string(), version.to_string());
             return Err(PresetError::VersionBound { service, version });
         }
@@ -146,7 +146,7 @@
 /// Answers, requests and reports name a version, not its bytes. Were one name
 /// used for two sets of bytes, an endpoint with the old ones would count as
 /// ready, and nobody could tell from an answer which of them gave it.
-async fn is_bound(
+async fn bind_version(
     table: &dyn TableStore,
     version: &ModelVersion,
     manifest: ManifestDigest,
@@ -158,8 +158,8 @@
     }
     let write = TableWrite { key, guard: TableGuard::Absent, value: value.clone() };
     match table.write(&[write], true).await?.pop() {
-        Some(WriteVerdict::Written(_)) => Ok(true),
-        Some(WriteVerdict::Conflict(Some(row))) => Ok(row.value == value),
+        Some(WriteOutcome::Written(_)) => Ok(true),
+        Some(WriteOutcome::Conflict(Some(row))) => Ok(row.value == value),
         _ => Err(PresetError::Conflict),
     }
 }
@@ -177,7 +177,7 @@
     };
     let value = to_value(content)?;
     match table.write(&[TableWrite { key, guard, value }], true).await?.pop() {
-        Some(WriteVerdict::Written(revision)) => Ok(revision),
+        Some(WriteOutcome::Written(revision)) => Ok(revision),
         _ => Err(PresetError::Conflict),
     }
 }
@@ -222,22 +222,22 @@
         step = writer.next(answer, Timestamp::now());
     };
     log::info!(target: "preset", change:% = change, verdict:? = verdict; "A change was decided.");
-    Ok(reply_of(shared, change, verdict))
+    Ok(change_reply(shared, change, verdict))
 }
 
-fn reply_of(shared: &EntryShared, change: ChangeId, verdict: ChangeVerdict) -> ChangeReply {
+fn change_reply(shared: &EntryShared, change: ChangeId, verdict: ChangeOutcome) -> ChangeReply {
     match verdict {
-        ChangeVerdict::Accepted(preset) => {
-            spread::adopt(shared, &preset);
+        ChangeOutcome::Accepted(preset) => {
+            peers::adopt(shared, &preset);
             ChangeReply::Accepted { preset }
         }
-        ChangeVerdict::Conflict(winner) => ChangeReply::Conflict { winner },
-        ChangeVerdict::NotAccepted(detail) => ChangeReply::NotAccepted { detail },
-        ChangeVerdict::Unknown(detail) => ChangeReply::Unknown { change, detail },
+        ChangeOutcome::Conflict(winner) => ChangeReply::Conflict { winner },
+        ChangeOutcome::NotAccepted(detail) => ChangeReply::NotAccepted { detail },
+        ChangeOutcome::Unknown(detail) => ChangeReply::Unknown { change, detail },
     }
 }
 
-fn failed(error: StoreError) -> ChangeAnswer {
+fn store_failure(error: StoreError) -> ChangeAnswer {
     match error {
         StoreError::Unknown(_) => ChangeAnswer::Lost(error.to_string()),
         StoreError::NoEffect(_) | StoreError::RateLimited { .. } => {
@@ -249,14 +249,14 @@
 async fn find_record(shared: &EntryShared, change: &ChangeId) -> Result<ChangeAnswer, PresetError> {
     match shared.table.read(&change_id_row(change)).await {
         Ok(row) => Ok(ChangeAnswer::Record(row.map(parse_record).transpose()?)),
-        Err(error) => Ok(failed(error)),
+        Err(error) => Ok(store_failure(error)),
     }
 }
 
 async fn read_preset(shared: &EntryShared, name: &PresetName) -> Result<ChangeAnswer, PresetError> {
     match get_preset(shared.table.as_ref(), name).await {
         Ok(content) => Ok(ChangeAnswer::Preset(content)),
-        Err(PresetError::Store(error)) => Ok(failed(error)),
+        Err(PresetError::Store(error)) => Ok(store_failure(error)),
         Err(error) => Err(error),
     }
 }
@@ -264,7 +264,7 @@
 async fn find_force(shared: &EntryShared) -> ChangeAnswer {
     match read_force(shared.table.as_ref()).await {
         Ok(row) => ChangeAnswer::Force(row),
-        Err(error) => failed(error),
+        Err(error) => store_failure(error),
     }
 }
 
@@ -283,8 +283,8 @@
         new_row(change_row(preset.revision), value),
     ];
     match shared.table.write(&writes, true).await {
-        Ok(verdicts) => verdict_answer(&verdicts),
-        Err(error) => Ok(failed(error)),
+        Ok(verdicts) => write_answer(&verdicts),
+        Err(error) => Ok(store_failure(error)),
     }
 }
 
@@ -296,22 +296,22 @@
     let key = change_id_row(change);
     let write = TableWrite { key, guard: TableGuard::Absent, value: to_value(record)? };
     match shared.table.write(&[write], true).await {
-        Ok(verdicts) => verdict_answer(&verdicts),
-        Err(error) => Ok(failed(error)),
+        Ok(verdicts) => write_answer(&verdicts),
+        Err(error) => Ok(store_failure(error)),
     }
 }
 
 /// Reads the rows that stood in the way out of the answer itself.
 ///
 /// A read after the write could be answered from an earlier state and miss them.
-fn verdict_answer(verdicts: &[WriteVerdict]) -> Result<ChangeAnswer, PresetError> {
-    if verdicts.iter().all(|verdict| matches!(verdict, WriteVerdict::Written(_))) {
+fn write_answer(verdicts: &[WriteOutcome]) -> Result<ChangeAnswer, PresetError> {
+    if verdicts.iter().all(|verdict| matches!(verdict, WriteOutcome::Written(_))) {
         return Ok(ChangeAnswer::Written);
     }
     let mut record = None;
     let mut winner = None;
     for verdict in verdicts {
-        let WriteVerdict::Conflict(Some(row)) = verdict else {
+        let WriteOutcome::Conflict(Some(row)) = verdict else {
             continue;
         };
         if row.key.starts_with(CHANGE_ID_PREFIX) {
--- a/crates/entry/src/control/entries.rs
+++ b/crates/entry/src/control/entries.rs
@@ -5,47 +5,47 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use cassiawheel_edge::{ENTRY_ROWS, EntryRow, StoreError, TableGuard, TableWrite};
+use cassiawheel_edge::{ENTRY_KEY_PREFIX, EntryRow, StoreError, TableGuard, TableWrite};
 use cassiawheel_model::RegionName;
 use rand::Rng;
 use smol::Timer;
 
-use super::dependency::DependencyWatch;
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use super::dependency::DependencyMonitor;
+use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Waits after a failed call, in milliseconds; drawn anew each time.
-const AGAIN_MS: std::ops::Range<u64> = 300..900;
+const RETRY_DELAY_MS: std::ops::Range<u64> = 300..900;
 
 /// Leaves this entry's address in the store and notes those that did so before.
-pub(crate) async fn register(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
-    let mut watch = DependencyWatch::new("registry");
+pub(crate) async fn register(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
+    let mut monitor = DependencyMonitor::new("registry");
     loop {
-        match write_and_scan(&shared).await {
+        match scan_and_write(&shared).await {
             Ok(places) => {
-                watch.regained();
-                routed.overlay.lock().note_entries(places.into_iter());
+                monitor.record_success();
+                routed.overlay.lock().add_known_entries(places.into_iter());
                 return;
             }
-            Err(error) => watch.lost(&error),
+            Err(error) => monitor.record_failure(&error),
         }
-        let wait = rand::rng().random_range(AGAIN_MS);
+        let wait = rand::rng().random_range(RETRY_DELAY_MS);
         Timer::after(Duration::from_millis(wait)).await;
     }
 }
 
-async fn write_and_scan(
+async fn scan_and_write(
     shared: &EntryShared,
 ) -> Result<Vec<(SocketAddr, Option<RegionName>)>, StoreError> {
     let table = shared.table.as_ref();
-    let rows = table.scan(ENTRY_ROWS).await?;
+    let rows = table.scan(ENTRY_KEY_PREFIX).await?;
     let places: Vec<_> =
-        rows.iter().filter_map(EntryRow::read).map(|row| (row.inner_addr, row.region)).collect();
+        rows.iter().filter_map(EntryRow::decode).map(|row| (row.inner_addr, row.region)).collect();
     let inner = shared.settings.listen.inner;
     if places.iter().any(|(addr, region)| *addr == inner && region.is_some()) {
         return Ok(places);
     }
     let place = &shared.settings.place;
-    let (key, value) = EntryRow::write(inner, &place.instance, &place.region);
+    let (key, value) = EntryRow::encode(inner, &place.instance, &place.region);
     let known = rows.iter().find(|row| row.key == key);
     let guard = known.map_or(TableGuard::Absent, |row| TableGuard::Revision(row.revision));
     // A conflict means that the row is there already, which is all that is wanted.
--- a/crates/entry/src/control/links.rs
+++ b/crates/entry/src/control/links.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{EntryPlace, LinkNumber, chosen_links};
+use cassiawheel_decide::{EntryLocation, LinkId, links_to_dial};
 use cassiawheel_model::{Deadline, RegionName, Timestamp};
 use cassiawheel_runtime::{spawn, timeout};
 use cassiawheel_wire::{
@@ -16,30 +16,30 @@
 use rand::Rng;
 use smol::{Task, Timer};
 
-use super::{gossip, listing, spread};
-use crate::{limits, overlay::entries_for, routed::RoutedInterface, shared::EntryShared};
+use super::{gossip, listing, peers};
+use crate::{limits, overlay::entry_addrs_for, routed::RoutedState, shared::EntryShared};
 
 /// Time between looks whether links are to be made or ended.
-const LOOK_TIME: Duration = Duration::from_millis(150);
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Longest wait for a connection to another entry, and for its hello.
-const CONNECT_TIME: Duration = Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Time for which a link that is no longer chosen is kept, in case the choice changes back.
-const SURPLUS_TIME: Duration = Duration::from_secs(4);
+const SURPLUS_GRACE: Duration = Duration::from_secs(4);
 
 /// Time between repetitions of the named versions to the neighbours.
-const REPEAT_TIME: Duration = Duration::from_secs(3);
+const VERSION_RESEND_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Time between looks for state of processes that are gone.
-const EXPIRE_TIME: Duration = Duration::from_secs(5);
+const EXPIRE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Wait before the next entry is dialled while there is no link, in milliseconds.
-const ALONE_MS: std::ops::Range<u64> = 50..150;
+const REDIAL_DELAY_MS: std::ops::Range<u64> = 50..150;
 
 /// The links that this entry keeps.
 #[derive(Default)]
-struct KeptLinks {
+struct LinkManager {
     dialling: BTreeMap<SocketAddr, Task<()>>,
     /// Links that are no longer chosen, and until when they are kept.
     surplus: BTreeMap<SocketAddr, Deadline>,
@@ -47,34 +47,34 @@
 }
 
 /// Keeps the chosen links up, for ever.
-pub(crate) async fn keep_links(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
+pub(crate) async fn maintain_links(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     let seeds = shared.settings.peers.iter().map(|seed| (*seed, None));
-    routed.overlay.lock().note_entries(seeds);
-    let mut kept = KeptLinks::default();
-    let mut repeat_at = Timestamp::now().deadline_after(REPEAT_TIME);
-    let mut expire_at = Timestamp::now().deadline_after(EXPIRE_TIME);
+    routed.overlay.lock().add_known_entries(seeds);
+    let mut manager = LinkManager::default();
+    let mut resend_at = Timestamp::now().deadline_after(VERSION_RESEND_INTERVAL);
+    let mut expire_at = Timestamp::now().deadline_after(EXPIRE_INTERVAL);
     loop {
         let now = Timestamp::now();
-        kept.renew(&shared, &routed, now);
-        kept.send_entry_lists(&shared, &routed);
-        if repeat_at.is_past(now) {
-            repeat_at = now.deadline_after(REPEAT_TIME);
-            repeat_versions(&routed);
+        manager.update(&shared, &routed, now);
+        manager.send_entry_lists(&shared, &routed);
+        if resend_at.is_past(now) {
+            resend_at = now.deadline_after(VERSION_RESEND_INTERVAL);
+            resend_versions(&routed);
         }
         if expire_at.is_past(now) {
-            expire_at = now.deadline_after(EXPIRE_TIME);
+            expire_at = now.deadline_after(EXPIRE_INTERVAL);
             expire(&shared, &routed, now);
         }
-        Timer::after(LOOK_TIME).await;
+        Timer::after(CHECK_INTERVAL).await;
     }
 }
 
 /// Drops the state of processes that are gone.
-fn expire(shared: &EntryShared, routed: &RoutedInterface, now: Timestamp) {
+fn expire(shared: &EntryShared, routed: &RoutedState, now: Timestamp) {
     let mut state = routed.overlay.lock();
     state.expire(&shared.settings.place.instance, now);
     if state.crashes.expire(now) {
-        routed.crashes.renew(&state.crashes);
+        routed.crashes.refresh(&state.crashes);
     }
     let reported: BTreeSet<_> =
         state.store.reports().map(|report| report.instance.clone()).collect();
@@ -83,10 +83,10 @@
     shared.roster().keep_only(|instance| reported.contains(instance), now);
 }
 
-impl KeptLinks {
-    fn renew(&mut self, shared: &Arc<EntryShared>, routed: &Arc<RoutedInterface>, now: Timestamp) {
+impl LinkManager {
+    fn update(&mut self, shared: &Arc<EntryShared>, routed: &Arc<RoutedState>, now: Timestamp) {
         self.dialling.retain(|_, task| !task.is_finished());
-        let chosen = chosen_now(shared, routed, now);
+        let chosen = chosen_entries(shared, routed, now);
         for addr in &chosen {
             let is_linked = routed.overlay.lock().is_linked(*addr);
             if !is_linked && !self.dialling.contains_key(addr) {
@@ -98,17 +98,12 @@
     }
 
     /// Ends links that this end made and that have not been chosen for a while.
-    fn end_surplus(
-        &mut self,
-        routed: &RoutedInterface,
-        chosen: &BTreeSet<SocketAddr>,
-        now: Timestamp,
-    ) {
+    fn end_surplus(&mut self, routed: &RoutedState, chosen: &BTreeSet<SocketAddr>, now: Timestamp) {
         let state = routed.overlay.lock();
         let dialled: BTreeSet<_> = state.links.iter().filter_map(|link| link.dialled).collect();
         self.surplus.retain(|addr, _| dialled.contains(addr) && !chosen.contains(addr));
         for addr in dialled.difference(chosen) {
-            let until = self.surplus.entry(*addr).or_insert(now.deadline_after(SURPLUS_TIME));
+            let until = self.surplus.entry(*addr).or_insert(now.deadline_after(SURPLUS_GRACE));
             if until.is_past(now) {
                 let links = state.links.iter().filter(|link| link.dialled == Some(*addr));
                 links.for_each(|link| link.sender.close());
@@ -117,7 +112,7 @@
     }
 
     /// Sends the connected agents the entries that they may connect to, where these have changed.
-    fn send_entry_lists(&mut self, shared: &EntryShared, routed: &RoutedInterface) {
+    fn send_entry_lists(&mut self, shared: &EntryShared, routed: &RoutedState) {
         let links = shared.links.load();
         let roster = shared.roster();
         let region_of = |instance| roster.member(instance).map(|m| m.report.region.clone());
@@ -129,7 +124,7 @@
         let regions: BTreeSet<_> = agents.iter().map(|(region, _)| region.clone()).collect();
         let lists: BTreeMap<_, _> = regions
             .into_iter()
-            .map(|region| (region.clone(), entries_for(&present, &region)))
+            .map(|region| (region.clone(), entry_addrs_for(&present, &region)))
             .collect();
         drop(state);
         for (region, link) in agents {
@@ -143,38 +138,39 @@
 }
 
 /// The entries that links are wanted to; any that is known while there is none.
-fn chosen_now(
+fn chosen_entries(
     shared: &EntryShared,
-    routed: &RoutedInterface,
+    routed: &RoutedState,
     now: Timestamp,
 ) -> BTreeSet<SocketAddr> {
     let settings = &shared.settings;
     let own =
-        EntryPlace { inner_addr: settings.listen.inner, region: settings.place.region.clone() };
+        EntryLocation { inner_addr: settings.listen.inner, region: settings.place.region.clone() };
     let state = routed.overlay.lock();
     let candidates = state.candidates(&settings.place.instance, now);
-    let mut chosen = chosen_links(&own, &candidates);
+    let mut chosen = links_to_dial(&own, &candidates);
     if state.links.is_empty() {
         // The regions of entries from the settings are not known before they are linked.
-        chosen.extend(state.unplaced().into_iter().filter(|addr| *addr != own.inner_addr));
+        chosen.extend(state.without_region().into_iter().filter(|addr| *addr != own.inner_addr));
     }
     chosen
 }
 
 /// Makes a link to the entry at `addr` and keeps it until it ends.
-async fn dial(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>, addr: SocketAddr) {
+async fn dial(shared: Arc<EntryShared>, routed: Arc<RoutedState>, addr: SocketAddr) {
     let local = Some(shared.settings.listen.inner.ip());
-    let connected = timeout(CONNECT_TIME, connect(addr, &shared.settings.inner_key, local)).await;
+    let connected =
+        timeout(CONNECT_TIMEOUT, connect(addr, &shared.settings.inner_key, local)).await;
     let Some(Ok((sender, mut receiver))) = connected else {
         routed.overlay.lock().avoid(addr, Timestamp::now());
-        let wait = rand::rng().random_range(ALONE_MS);
+        let wait = rand::rng().random_range(REDIAL_DELAY_MS);
         Timer::after(Duration::from_millis(wait)).await;
         return;
     };
     let _ = sender.try_send(shared.hello());
-    match timeout(CONNECT_TIME, receiver.recv()).await {
+    match timeout(CONNECT_TIMEOUT, receiver.recv()).await {
         Some(Ok(WireMessage::Hello(hello))) if hello.kind == ProcessKind::Entry => {
-            converse(&shared, &routed, sender, receiver, hello, Some(addr)).await;
+            serve_link(&shared, &routed, sender, receiver, hello, Some(addr)).await;
         }
         Some(Ok(_) | Err(_)) | None => {
             sender.close();
@@ -186,19 +182,19 @@
 /// Answers the hello of an entry that dialled.
 pub(crate) async fn accept(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
+    routed: &Arc<RoutedState>,
     sender: WireSender,
     receiver: WireReceiver,
     hello: HelloMessage,
 ) {
     let _ = sender.try_send(shared.hello());
-    converse(shared, routed, sender, receiver, hello, None).await;
+    serve_link(shared, routed, sender, receiver, hello, None).await;
 }
 
 /// Takes in what comes over a link until it ends or falls silent.
-async fn converse(
+async fn serve_link(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
+    routed: &Arc<RoutedState>,
     sender: WireSender,
     mut receiver: WireReceiver,
     other: HelloMessage,
@@ -206,9 +202,9 @@
 ) {
     let silence = Duration::from_millis(shared.settings.control.heartbeat_timeout_ms);
     let number = routed.overlay.lock().add_link(sender.clone(), other.instance.clone(), dialled);
-    greet(routed, &sender);
-    gossip::refresh_own(shared, routed);
-    routed.overlay.note_change();
+    send_initial_state(routed, &sender);
+    gossip::refresh_own_record(shared, routed);
+    routed.overlay.notify_change();
     while let Some(Ok(message)) = timeout(silence, receiver.recv()).await {
         if let WireMessage::Control(message) = message {
             handle(shared, routed, &sender, (number, &other), message);
@@ -217,44 +213,44 @@
     sender.close();
     routed.overlay.lock().remove_link(number);
     log::info!(target: "overlay", entry:% = other.instance; "A link to an entry ended.");
-    gossip::refresh_own(shared, routed);
+    gossip::refresh_own_record(shared, routed);
 }
 
 fn handle(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
+    routed: &Arc<RoutedState>,
     sender: &WireSender,
-    (number, other): (LinkNumber, &HelloMessage),
+    (number, other): (LinkId, &HelloMessage),
     message: ControlMessage,
 ) {
     match message {
         ControlMessage::Gossip(news) => {
             let revision = news.revision;
-            gossip::merge_news(shared, routed, number, *news);
-            spread::pull_from(shared, routed, sender, &other.instance, revision);
+            gossip::merge_gossip(shared, routed, number, *news);
+            peers::pull_if_newer(shared, routed, sender, &other.instance, revision);
         }
         ControlMessage::Flood(message) => {
-            if routed.overlay.relay(&message, number) {
-                spread::handle_peer(shared, sender, message.content);
+            if routed.overlay.forward_flood(&message, number) {
+                peers::handle_peer_message(shared, sender, message.content);
             }
         }
-        message => spread::handle_peer(shared, sender, message),
+        message => peers::handle_peer_message(shared, sender, message),
     }
 }
 
 /// Sends the entry at the other end of a new link what gossip does not carry.
-fn greet(routed: &Arc<RoutedInterface>, sender: &WireSender) {
+fn send_initial_state(routed: &Arc<RoutedState>, sender: &WireSender) {
     for named in routed.versions.load().named(Timestamp::now()) {
         let _ = sender.try_send(ControlMessage::Named(named));
     }
     let has_listing = routed.listing().position() > 0;
     if !has_listing {
-        spawn(listing::ask_until_known(routed.clone(), sender.clone())).detach();
+        spawn(listing::request_until_known(routed.clone(), sender.clone())).detach();
     }
 }
 
 /// Repeats the named versions to the neighbours, in case a full queue dropped one.
-fn repeat_versions(routed: &RoutedInterface) {
+fn resend_versions(routed: &RoutedState) {
     let named = routed.versions.load().named(Timestamp::now());
     let state = routed.overlay.lock();
     for link in &state.links {
--- a/crates/entry/src/control/spread.rs
+++ b/crates/entry/src/control/peers.rs
@@ -10,8 +10,8 @@
 };
 
 use cassiawheel_decide::{
-    ListingNews, PeerEntry,
-    advice::AdviceInput,
+    ListingUpdate, PeerEntry,
+    advice::EntryCandidate,
     rank::{first_ranked, subject_of},
 };
 use cassiawheel_model::{
@@ -22,18 +22,18 @@
 
 use super::{drains, gossip, listing, manifests, operators, orders, pull};
 use crate::{
-    routed::RoutedInterface,
+    routed::RoutedState,
     shared::{EntryShared, PeerLink},
 };
 
 /// Time between heartbeats of an entry.
-const BEAT_TIME: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Longest time between whole heartbeats of an entry.
-const WHOLE_TIME: Duration = Duration::from_secs(2);
+const FULL_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Wait before another entry is dialled again.
-const DIAL_AGAIN: Duration = Duration::from_millis(250);
+const REDIAL_DELAY: Duration = Duration::from_millis(250);
 
 /// Most entries that an entry dials.
 ///
@@ -43,29 +43,29 @@
 const MAX_DIALLED: usize = 12;
 
 /// Time between looks whether a connection that the other end made is still up.
-const LINKED_TIME: Duration = Duration::from_millis(1_000);
+const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Time between looks whether the start hold is over.
-const SETTLE_STEP: Duration = Duration::from_millis(20);
+const START_HOLD_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Considers a preset and passes it on if it is new here.
 pub(crate) fn adopt(shared: &EntryShared, preset: &Arc<ForcedPreset>) {
     if shared.offer_preset(preset) {
-        push_everywhere(shared, preset);
+        push_preset(shared, preset);
     }
 }
 
 /// Waits until every source was heard at the start, then uses the highest preset.
-pub(crate) async fn settle(shared: Arc<EntryShared>) {
+pub(crate) async fn await_start_hold(shared: Arc<EntryShared>) {
     while !shared.start_hold().is_over(Timestamp::now()) {
-        Timer::after(SETTLE_STEP).await;
+        Timer::after(START_HOLD_CHECK_INTERVAL).await;
     }
-    if let Some(preset) = shared.publish_held() {
-        push_everywhere(&shared, &preset);
+    if let Some(preset) = shared.end_start_hold() {
+        push_preset(&shared, &preset);
     }
 }
 
-fn push_everywhere(shared: &EntryShared, preset: &Arc<ForcedPreset>) {
+fn push_preset(shared: &EntryShared, preset: &Arc<ForcedPreset>) {
     if let Some(routed) = &shared.routed {
         // A table of routes is large, and some neighbours have it already:
         // only its revision is pushed, and who lacks it pulls it.
@@ -91,7 +91,11 @@
 }
 
 /// Handles what another entry tells over the connection of `sender`.
-pub(crate) fn handle_peer(shared: &Arc<EntryShared>, sender: &WireSender, message: ControlMessage) {
+pub(crate) fn handle_peer_message(
+    shared: &Arc<EntryShared>,
+    sender: &WireSender,
+    message: ControlMessage,
+) {
     match message {
         ControlMessage::Force(preset) => adopt(shared, &preset),
         ControlMessage::EntryBeat {
@@ -105,22 +109,22 @@
             advised,
             inner_addr,
         } => {
-            note_link(shared, sender, inner_addr);
-            heal(shared, sender, revision);
-            let advice = AdviceInput { caller_addr, failure_domain, in_flight, leaving };
-            let heard_at = Timestamp::now();
-            let peer = PeerEntry { advice, incarnation, revision, advised, heard_at };
-            shared.peers().hear(&instance, peer);
+            record_link_addr(shared, sender, inner_addr);
+            send_if_newer(shared, sender, revision);
+            let advice = EntryCandidate { caller_addr, failure_domain, in_flight, leaving };
+            let last_seen = Timestamp::now();
+            let peer = PeerEntry { advice, incarnation, revision, advised, last_seen };
+            shared.peers().apply_heartbeat(&instance, peer);
         }
         ControlMessage::ReportWanted => {
-            let _ = sender.try_send(beat_message(shared));
+            let _ = sender.try_send(heartbeat_message(shared));
         }
         ControlMessage::Leaving { instance, incarnation } => {
-            take_leaving(shared, &instance, incarnation);
+            mark_leaving(shared, &instance, incarnation);
         }
-        ControlMessage::Drain { instance } => drains::drain_here(shared, &instance),
+        ControlMessage::Drain { instance } => drains::drain_local(shared, &instance),
         ControlMessage::PresetWanted => {
-            if let Some(preset) = shared.force.load_full() {
+            if let Some(preset) = shared.active_preset.load_full() {
                 let _ = sender.try_send(ControlMessage::Force(preset));
             }
         }
@@ -145,12 +149,12 @@
 }
 
 /// Marks an entry or an agent as leaving.
-fn take_leaving(shared: &EntryShared, instance: &InstanceId, incarnation: u64) {
+fn mark_leaving(shared: &EntryShared, instance: &InstanceId, incarnation: u64) {
     let now = Timestamp::now();
-    shared.peers().leave(instance, incarnation, now);
+    shared.peers().mark_leaving(instance, incarnation, now);
     log::info!(target: "roster", instance:% = instance; "A process leaves.");
     if shared.routed.is_some() {
-        shared.roster().leave(instance, incarnation, now);
+        shared.roster().mark_leaving(instance, incarnation, now);
         shared.rebuild_routes();
     }
 }
@@ -162,26 +166,26 @@
     };
     match message {
         ControlMessage::Named(named) => {
-            operators::take_version(shared, routed, &named);
-            manifests::ask_teller(routed, sender, &named);
+            operators::apply_version(shared, routed, &named);
+            manifests::request_manifest(routed, sender, &named);
         }
         ControlMessage::ManifestWanted { manifest } => {
-            manifests::answer(Some(routed), sender, manifest);
+            manifests::send_manifest(Some(routed), sender, manifest);
         }
-        ControlMessage::Manifest(manifest) => routed.manifests.keep(manifest),
+        ControlMessage::Manifest(manifest) => routed.manifests.insert(manifest),
         ControlMessage::Listing { rows, base, position, age_ms } => {
             let asked_at = Timestamp(Timestamp::now().0.saturating_sub(age_ms));
-            let news = ListingNews { rows, base, position, asked_at };
-            listing::hear_listing(shared, routed, sender, news);
+            let news = ListingUpdate { rows, base, position, asked_at };
+            listing::handle_listing(shared, routed, sender, news);
         }
-        ControlMessage::ListingWanted => listing::send_whole(routed, sender),
-        ControlMessage::Orders(orders) => orders::deliver(shared, orders),
+        ControlMessage::ListingWanted => listing::send_listing(routed, sender),
+        ControlMessage::Orders(orders) => orders::forward_orders(shared, orders),
         _ => {}
     }
 }
 
 /// Notes which entry is at the other end of a connection.
-fn note_link(shared: &EntryShared, sender: &WireSender, addr: SocketAddr) {
+fn record_link_addr(shared: &EntryShared, sender: &WireSender, addr: SocketAddr) {
     let mut links = shared.peer_links();
     if let Some(link) = links.iter_mut().find(|link| link.sender.same_connection(sender)) {
         link.addr = Some(addr);
@@ -196,16 +200,18 @@
 
 /// Sends the preset in force to an entry whose heartbeat shows an older one, or
 /// asks for a newer one.
-fn heal(shared: &EntryShared, sender: &WireSender, revision: PresetRevision) {
-    if let Some(preset) = shared.force.load_full().filter(|preset| preset.revision > revision) {
+fn send_if_newer(shared: &EntryShared, sender: &WireSender, revision: PresetRevision) {
+    if let Some(preset) =
+        shared.active_preset.load_full().filter(|preset| preset.revision > revision)
+    {
         let _ = sender.try_send(ControlMessage::Force(preset));
     }
 }
 
 /// Pulls the preset in force from a neighbour that has a newer one.
-pub(crate) fn pull_from(
+pub(crate) fn pull_if_newer(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
+    routed: &Arc<RoutedState>,
     sender: &WireSender,
     instance: &InstanceId,
     revision: PresetRevision,
@@ -214,12 +220,12 @@
     let domain = state.store.record(instance).map(|record| record.failure_domain.clone());
     drop(state);
     if let Some(domain) = domain {
-        pull::hear_revision(shared, routed, sender, instance, &domain, revision);
+        pull::handle_revision(shared, routed, sender, instance, &domain, revision);
     }
 }
 
 /// The entries that this one dials: the same choice after every restart.
-pub(crate) fn chosen_peers(settings: &EntrySettings) -> Vec<SocketAddr> {
+pub(crate) fn dialled_peers(settings: &EntrySettings) -> Vec<SocketAddr> {
     let names: Vec<_> = settings.peers.iter().map(ToString::to_string).collect();
     let subject = subject_of(settings.place.instance.as_str());
     first_ranked(subject, names.iter().map(String::as_str), MAX_DIALLED)
@@ -229,26 +235,26 @@
 }
 
 /// Keeps a connection to the entry at `addr`.
-pub(crate) async fn keep_peer(shared: Arc<EntryShared>, addr: SocketAddr) {
+pub(crate) async fn maintain_peer(shared: Arc<EntryShared>, addr: SocketAddr) {
     let local = Some(shared.settings.listen.inner.ip());
     loop {
         if is_linked(&shared, addr) {
-            Timer::after(LINKED_TIME).await;
+            Timer::after(LINK_CHECK_INTERVAL).await;
             continue;
         }
         match connect(addr, &shared.settings.inner_key, local).await {
             Ok((sender, receiver)) => {
                 let _ = sender.try_send(shared.hello());
-                converse(&shared, sender, receiver, Some(addr)).await;
+                serve_peer(&shared, sender, receiver, Some(addr)).await;
             }
-            Err(_) => shared.start_hold().heard(addr),
+            Err(_) => shared.start_hold().mark_answered(addr),
         }
-        Timer::after(DIAL_AGAIN).await;
+        Timer::after(REDIAL_DELAY).await;
     }
 }
 
 /// Talks with another entry until the connection ends; `dialled` if this end made it.
-pub(crate) async fn converse(
+pub(crate) async fn serve_peer(
     shared: &Arc<EntryShared>,
     sender: WireSender,
     mut receiver: WireReceiver,
@@ -256,8 +262,8 @@
 ) {
     // The preset goes before the heartbeat, so that the other end has it once
     // it takes this entry as heard.
-    greet(shared, &sender);
-    let _ = sender.try_send(beat_message(shared));
+    send_initial_state(shared, &sender);
+    let _ = sender.try_send(heartbeat_message(shared));
     shared.peer_links().push(PeerLink { sender: sender.clone(), addr: None });
     let mut other = None;
     while let Ok(message) = receiver.recv().await {
@@ -265,22 +271,22 @@
             continue;
         };
         if let ControlMessage::EntryAlive { in_flight } = message {
-            hear_alive(shared, &sender, other.as_ref(), in_flight);
+            handle_alive(shared, &sender, other.as_ref(), in_flight);
             continue;
         }
-        let is_beat = matches!(message, ControlMessage::EntryBeat { .. });
-        other = told_process(&message).or(other);
-        handle_peer(shared, &sender, message);
-        if let Some(addr) = dialled.filter(|_| is_beat) {
-            shared.start_hold().heard(addr);
+        let is_heartbeat = matches!(message, ControlMessage::EntryBeat { .. });
+        other = heartbeat_process(&message).or(other);
+        handle_peer_message(shared, &sender, message);
+        if let Some(addr) = dialled.filter(|_| is_heartbeat) {
+            shared.start_hold().mark_answered(addr);
         }
     }
     sender.close();
 }
 
 /// Tells an entry at the other end of a new connection what it may lack.
-fn greet(shared: &EntryShared, sender: &WireSender) {
-    if let Some(preset) = shared.force.load_full() {
+fn send_initial_state(shared: &EntryShared, sender: &WireSender) {
+    if let Some(preset) = shared.active_preset.load_full() {
         let _ = sender.try_send(ControlMessage::Force(preset));
     }
 }
@@ -292,7 +298,7 @@
 }
 
 /// The process that a whole heartbeat comes from.
-fn told_process(message: &ControlMessage) -> Option<PeerProcess> {
+fn heartbeat_process(message: &ControlMessage) -> Option<PeerProcess> {
     match message {
         ControlMessage::EntryBeat { instance, incarnation, .. } => {
             Some(PeerProcess { instance: instance.clone(), incarnation: *incarnation })
@@ -302,7 +308,7 @@
 }
 
 /// Takes a short heartbeat of `other`; asks for a whole one if it was dropped meanwhile.
-fn hear_alive(
+fn handle_alive(
     shared: &EntryShared,
     sender: &WireSender,
     other: Option<&PeerProcess>,
@@ -310,9 +316,9 @@
 ) {
     let now = Timestamp::now();
     let known = other
-        .and_then(|other| shared.peers().alive(&other.instance, other.incarnation, in_flight, now));
+        .and_then(|other| shared.peers().touch(&other.instance, other.incarnation, in_flight, now));
     match known {
-        Some(revision) => heal(shared, sender, revision),
+        Some(revision) => send_if_newer(shared, sender, revision),
         None => {
             let _ = sender.try_send(ControlMessage::ReportWanted);
         }
@@ -321,26 +327,26 @@
 
 /// Sends heartbeats to the other entries: a whole one on change and now and
 /// then, in case one was lost, and short ones between.
-pub(crate) async fn beat(shared: Arc<EntryShared>) {
+pub(crate) async fn send_heartbeats(shared: Arc<EntryShared>) {
     let mut last = None;
-    let mut whole_at = Timestamp::now();
+    let mut full_sent_at = Timestamp::now();
     loop {
         let now = Timestamp::now();
-        let message = beat_message(&shared);
-        let unchanged = last.as_ref().is_some_and(|last| equal_but_for_load(last, &message));
-        if unchanged && now.since(whole_at) < WHOLE_TIME {
+        let message = heartbeat_message(&shared);
+        let is_unchanged = last.as_ref().is_some_and(|last| equal_except_load(last, &message));
+        if is_unchanged && now.since(full_sent_at) < FULL_HEARTBEAT_INTERVAL {
             let in_flight = shared.in_flight.load(Ordering::Relaxed);
             send_to_peers(&shared, &ControlMessage::EntryAlive { in_flight });
         } else {
             send_to_peers(&shared, &message);
-            whole_at = now;
+            full_sent_at = now;
             last = Some(message);
         }
-        Timer::after(BEAT_TIME).await;
+        Timer::after(HEARTBEAT_INTERVAL).await;
     }
 }
 
-fn equal_but_for_load(last: &ControlMessage, message: &ControlMessage) -> bool {
+fn equal_except_load(last: &ControlMessage, message: &ControlMessage) -> bool {
     let mut last = last.clone();
     if let (
         ControlMessage::EntryBeat { in_flight: before, .. },
@@ -352,14 +358,14 @@
     last == *message
 }
 
-fn beat_message(shared: &EntryShared) -> ControlMessage {
+fn heartbeat_message(shared: &EntryShared) -> ControlMessage {
     let settings = &shared.settings;
     ControlMessage::EntryBeat {
         instance: settings.place.instance.clone(),
         incarnation: shared.incarnation,
         caller_addr: settings.listen.caller,
         failure_domain: settings.place.failure_domain.clone(),
-        revision: shared.force.load().as_ref().map(|p| p.revision).unwrap_or_default(),
+        revision: shared.active_preset.load().as_ref().map(|p| p.revision).unwrap_or_default(),
         in_flight: shared.in_flight.load(Ordering::Relaxed),
         leaving: shared.leaving.load(Ordering::Acquire),
         advised: shared.is_advised(),
@@ -374,6 +380,6 @@
     let incarnation = shared.incarnation;
     send_to_peers(shared, &ControlMessage::Leaving { instance, incarnation });
     if let Some(routed) = &shared.routed {
-        gossip::refresh_own(shared, routed);
+        gossip::refresh_own_record(shared, routed);
     }
 }
--- a/crates/entry/src/control/poll.rs
+++ b/crates/entry/src/control/poll.rs
@@ -2,15 +2,15 @@
 
 use std::{sync::Arc, time::Duration};
 
-use cassiawheel_decide::{ForceRow, budget::poll_wait_ms};
+use cassiawheel_decide::{ForceRow, budget::poll_backoff_ms};
 use cassiawheel_edge::{StoreError, TableRow, TableStore};
 use cassiawheel_model::PresetRevision;
 use rand::Rng;
 use smol::Timer;
 
 use super::{
-    ahead::{self, AHEAD_ROW},
-    spread,
+    peers,
+    staging::{self, STAGING_ROW},
 };
 use crate::shared::EntryShared;
 
@@ -39,7 +39,7 @@
     for row in table.scan(FORCE_ROW).await? {
         match row.key.as_str() {
             FORCE_ROW => rows.force = Some(parse_force(row)?),
-            AHEAD_ROW => rows.ahead = Some(row),
+            STAGING_ROW => rows.ahead = Some(row),
             _ => {}
         }
     }
@@ -53,27 +53,28 @@
         match read_rows(shared.table.as_ref()).await {
             Ok(found) => {
                 failures = 0;
-                ahead::take_row(&shared, found.ahead);
+                staging::apply_row(&shared, found.ahead);
                 if let Some(row) = found.force {
-                    warn_of_older(&shared, row.preset.revision);
-                    spread::adopt(&shared, &row.preset);
+                    warn_if_older(&shared, row.preset.revision);
+                    peers::adopt(&shared, &row.preset);
                 }
             }
             Err(error) => {
                 failures += 1;
-                let revision = shared.force.load().as_ref().map(|p| p.revision).unwrap_or_default();
+                let revision =
+                    shared.active_preset.load().as_ref().map(|p| p.revision).unwrap_or_default();
                 let PresetRevision(revision) = revision;
                 log::warn!(target: "preset", revision = revision, cause:% = error; "The table service cannot be read.");
             }
         }
-        shared.start_hold().heard(shared.settings.platform.table);
-        let wait_ms = poll_wait_ms(shared.settings.control.poll_ms, failures);
+        shared.start_hold().mark_answered(shared.settings.platform.table);
+        let wait_ms = poll_backoff_ms(shared.settings.control.poll_ms, failures);
         Timer::after(jittered(wait_ms)).await;
     }
 }
 
 /// Tells operators that the table service answers from an earlier state.
-fn warn_of_older(shared: &EntryShared, stored: PresetRevision) {
+fn warn_if_older(shared: &EntryShared, stored: PresetRevision) {
     let known = shared.known_revision();
     if stored < known {
         log::warn!(target: "preset", stored = stored.0, known = known.0; "The table service has an older preset than this entry.");
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -10,39 +10,39 @@
 };
 
 use arc_swap::ArcSwap;
-use cassiawheel_decide::{CrashBook, CrashVerdict, LinkNumber, rank::rendezvous_weight};
+use cassiawheel_decide::{CrashTracker, CrashVerdict, LinkId, rank::rendezvous_weight};
 use cassiawheel_model::{CrashEvent, CrashRecord, InstanceId, RequestDigest};
 use smol::channel::{Receiver, Sender, bounded};
 
 /// Verdicts on requests, and runs of suspects that this entry has under way.
-pub(crate) struct CrashWatch {
+pub(crate) struct CrashGuard {
     verdicts: ArcSwap<HashMap<RequestDigest, CrashVerdict>>,
     running: Mutex<HashSet<RequestDigest>>,
-    barred: (Sender<()>, Receiver<()>),
+    own_barred: (Sender<()>, Receiver<()>),
 }
 
 /// The only run of a suspect at this entry, until it is dropped.
 pub(crate) struct SuspectRun {
-    watch: Arc<CrashWatch>,
+    tracker: Arc<CrashGuard>,
     digest: RequestDigest,
 }
 
 impl Drop for SuspectRun {
     fn drop(&mut self) {
-        self.watch.running().remove(&self.digest);
+        self.tracker.running().remove(&self.digest);
     }
 }
 
-impl Default for CrashWatch {
+impl Default for CrashGuard {
     fn default() -> Self {
-        Self { verdicts: ArcSwap::default(), running: Mutex::default(), barred: bounded(1) }
+        Self { verdicts: ArcSwap::default(), running: Mutex::default(), own_barred: bounded(1) }
     }
 }
 
-impl CrashWatch {
+impl CrashGuard {
     /// Completes when an own run has had a request barred.
-    pub(crate) async fn barred(&self) {
-        let _ = self.barred.1.recv().await;
+    pub(crate) async fn await_own_barred(&self) {
+        let _ = self.own_barred.1.recv().await;
     }
 
     /// Whether nothing speaks against any request.
@@ -57,29 +57,34 @@
 
     /// Takes up the verdicts of `book` after it has learned `rows`, from a neighbour over
     /// the link `source` or from an own run.
-    pub(crate) fn learn(&self, book: &CrashBook, rows: &[CrashRecord], source: Option<LinkNumber>) {
+    pub(crate) fn apply_rows(
+        &self,
+        book: &CrashTracker,
+        rows: &[CrashRecord],
+        source: Option<LinkId>,
+    ) {
         if rows.is_empty() {
             return;
         }
-        self.renew(book);
+        self.refresh(book);
         for row in rows {
             let verdict = book.verdict(row.digest);
             log_row(row, verdict, source);
             if source.is_none() && matches!(verdict, CrashVerdict::Barred { .. }) {
-                let _ = self.barred.0.try_send(());
+                let _ = self.own_barred.0.try_send(());
             }
         }
     }
 
     /// Takes up the verdicts of `book`.
-    pub(crate) fn renew(&self, book: &CrashBook) {
+    pub(crate) fn refresh(&self, book: &CrashTracker) {
         self.verdicts.store(Arc::new(book.verdicts()));
     }
 
     /// Begins a run of a suspect; none while another one is under way here.
-    pub(crate) fn begin_suspect(self: &Arc<Self>, digest: RequestDigest) -> Option<SuspectRun> {
+    pub(crate) fn begin_suspect_run(self: &Arc<Self>, digest: RequestDigest) -> Option<SuspectRun> {
         let begins = self.running().insert(digest);
-        begins.then(|| SuspectRun { watch: self.clone(), digest })
+        begins.then(|| SuspectRun { tracker: self.clone(), digest })
     }
 
     fn running(&self) -> MutexGuard<'_, HashSet<RequestDigest>> {
@@ -87,7 +92,7 @@
     }
 }
 
-fn log_row(row: &CrashRecord, verdict: CrashVerdict, source: Option<LinkNumber>) {
+fn log_row(row: &CrashRecord, verdict: CrashVerdict, source: Option<LinkId>) {
     let learned = if source.is_some() { "neighbour" } else { "own run" };
     match (row.event, verdict) {
         (CrashEvent::Begun, _) => {
--- a/crates/entry/src/direct.rs
+++ b/crates/entry/src/direct.rs
@@ -10,23 +10,23 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use bytes::Bytes;
-use cassiawheel_decide::AttemptEnd;
-use cassiawheel_edge::{AnswerMarks, EndpointLeg, EndpointProtocol};
+use cassiawheel_decide::AttemptFailure;
+use cassiawheel_edge::{EndpointProtocol, ForwardMetadata, ResponseMetadata};
 use cassiawheel_model::{InstanceId, NotRunReason, Repeatability, RequestHead, Timestamp};
 use cassiawheel_runtime::{spawn, timeout};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{HeaderMap, Request, Response, StatusCode, body::Incoming, http::response::Parts};
 
 use self::pool::{ConnectionPool, EndpointConnection};
-use crate::limits::LimitWatch;
+use crate::limits::LimitTracker;
 
 /// Largest body of a refusal that is read for the sake of its connection, in bytes.
-const REFUSAL_BYTES: usize = 16 << 10;
+const MAX_REFUSAL_BYTES: usize = 16 << 10;
 
 /// The client of endpoints.
 pub(crate) struct DirectClient {
     protocol: Arc<dyn EndpointProtocol>,
-    limits: Arc<LimitWatch>,
+    limits: Arc<LimitTracker>,
     pool: ConnectionPool,
 }
 
@@ -40,11 +40,11 @@
 }
 
 /// The head of an answer and the stream of its rest.
-pub(crate) struct DirectAnswer {
+pub(crate) struct DirectResponse {
     /// Status and header fields.
     pub(crate) parts: Parts,
     /// What they tell.
-    pub(crate) marks: AnswerMarks,
+    pub(crate) marks: ResponseMetadata,
     /// The rest.
     pub(crate) stream: DirectStream,
 }
@@ -54,7 +54,7 @@
     body: Incoming,
     client: Arc<DirectClient>,
     connection: Option<EndpointConnection>,
-    marks: AnswerMarks,
+    marks: ResponseMetadata,
 }
 
 /// One step of the rest of an answer.
@@ -69,13 +69,13 @@
 
 impl DirectClient {
     /// A client without connections.
-    pub(crate) fn new(protocol: Arc<dyn EndpointProtocol>, limits: Arc<LimitWatch>) -> Self {
+    pub(crate) fn new(protocol: Arc<dyn EndpointProtocol>, limits: Arc<LimitTracker>) -> Self {
         Self { protocol, limits, pool: ConnectionPool::default() }
     }
 
     /// Drops the connections of endpoints for which `is_listed` does not hold.
-    pub(crate) fn keep_only(&self, is_listed: impl Fn(&InstanceId) -> bool) {
-        self.pool.keep_only(is_listed);
+    pub(crate) fn retain_listed(&self, is_listed: impl Fn(&InstanceId) -> bool) {
+        self.pool.retain_listed(is_listed);
     }
 
     /// Sends a request and waits for the head of its answer.
@@ -85,15 +85,15 @@
         head: &RequestHead,
         fields: &HeaderMap,
         body: &Bytes,
-        leg: &EndpointLeg<'_>,
-    ) -> Result<DirectAnswer, AttemptEnd> {
+        leg: &ForwardMetadata<'_>,
+    ) -> Result<DirectResponse, AttemptFailure> {
         let request = self.request(head, fields, body, leg)?;
         let (reply, connection) = self.exchange(target, head, request).await?;
         let (parts, body) = reply.into_parts();
-        let marks = self.protocol.read_marks(&parts);
+        let marks = self.protocol.read_metadata(&parts);
         // A refusal may come from another process, or from one that has not looked at its limit.
         if marks.limit.is_some() || !marks.not_run {
-            self.limits.hear(target.instance, marks.limit);
+            self.limits.observe(target.instance, marks.limit);
         }
         let stream = DirectStream {
             body,
@@ -102,10 +102,10 @@
             marks: marks.clone(),
         };
         match check_head(head, &parts, &marks) {
-            Ok(()) => Ok(DirectAnswer { parts, marks, stream }),
+            Ok(()) => Ok(DirectResponse { parts, marks, stream }),
             Err(end) => {
-                if matches!(end, AttemptEnd::NotRun(_)) {
-                    stream.reclaim();
+                if matches!(end, AttemptFailure::NotRun(_)) {
+                    stream.reuse_connection();
                 }
                 Err(end)
             }
@@ -117,15 +117,15 @@
         head: &RequestHead,
         fields: &HeaderMap,
         body: &Bytes,
-        leg: &EndpointLeg<'_>,
-    ) -> Result<Request<Full<Bytes>>, AttemptEnd> {
+        leg: &ForwardMetadata<'_>,
+    ) -> Result<Request<Full<Bytes>>, AttemptFailure> {
         let request = Request::builder().method(head.method.as_str()).uri(head.path.as_str());
         let mut request = request.body(Full::new(body.clone())).map_err(|error| {
             log::error!(target: "direct", request:% = head.id, cause:% = error; "A request cannot be written.");
-            AttemptEnd::NotRun(NotRunReason::ConnectFailed)
+            AttemptFailure::NotRun(NotRunReason::ConnectFailed)
         })?;
         *request.headers_mut() = fields.clone();
-        self.protocol.write_leg(request.headers_mut(), leg);
+        self.protocol.write_metadata(request.headers_mut(), leg);
         Ok(request)
     }
 
@@ -139,7 +139,7 @@
         target: DirectTarget<'_>,
         head: &RequestHead,
         mut request: Request<Full<Bytes>>,
-    ) -> Result<(Response<Incoming>, EndpointConnection), AttemptEnd> {
+    ) -> Result<(Response<Incoming>, EndpointConnection), AttemptFailure> {
         if head.repeat == Repeatability::Idempotent {
             while let Some(mut connection) = self.pool.take(target.instance, Timestamp::now()) {
                 match connection.send(request, head.deadline).await {
@@ -153,12 +153,12 @@
         }
         let mut connection = pool::connect(target, head.deadline).await.map_err(|detail| {
             log::info!(target: "direct", request:% = head.id, endpoint:% = target.instance, cause:% = detail; "Cannot connect to an endpoint.");
-            AttemptEnd::NotRun(NotRunReason::ConnectFailed)
+            AttemptFailure::NotRun(NotRunReason::ConnectFailed)
         })?;
         match connection.send(request, head.deadline).await {
             Ok(reply) => Ok((reply, connection)),
             Err(failure) if failure.unsent.is_some() => {
-                Err(AttemptEnd::NotRun(NotRunReason::ConnectFailed))
+                Err(AttemptFailure::NotRun(NotRunReason::ConnectFailed))
             }
             Err(failure) => Err(failure.into_end()),
         }
@@ -166,22 +166,26 @@
 }
 
 /// Whether the answer is one to this request, and the endpoint's own.
-fn check_head(head: &RequestHead, parts: &Parts, marks: &AnswerMarks) -> Result<(), AttemptEnd> {
+fn check_head(
+    head: &RequestHead,
+    parts: &Parts,
+    marks: &ResponseMetadata,
+) -> Result<(), AttemptFailure> {
     // Answers can arrive crossed: an endpoint may send a second answer to an
     // earlier request, and it would be taken for the next one's. The id that
     // every endpoint repeats tells them apart.
     if marks.request.as_deref() != Some(head.id.as_str()) {
-        return Err(AttemptEnd::Unknown("the answer belongs to another request".to_owned()));
+        return Err(AttemptFailure::Unknown("the answer belongs to another request".to_owned()));
     }
     if marks.not_run {
         let reason = match parts.status {
             StatusCode::MISDIRECTED_REQUEST => NotRunReason::VersionMismatch,
             _ => NotRunReason::Overloaded,
         };
-        return Err(AttemptEnd::NotRun(reason));
+        return Err(AttemptFailure::NotRun(reason));
     }
     if parts.status.is_success() && !marks.is_signed {
-        return Err(AttemptEnd::Unknown("the answer is not signed".to_owned()));
+        return Err(AttemptFailure::Unknown("the answer is not signed".to_owned()));
     }
     Ok(())
 }
@@ -198,25 +202,25 @@
                 }
                 Some(Err(error)) => return DirectPart::Cut(error.to_string()),
                 None => {
-                    self.give_back();
+                    self.return_connection();
                     return DirectPart::End;
                 }
             }
         }
     }
 
-    fn give_back(&mut self) {
-        if let Some(connection) = self.connection.take().filter(|_| !self.marks.closes) {
-            self.client.pool.put(connection, self.marks.idle_time, Timestamp::now());
+    fn return_connection(&mut self) {
+        if let Some(connection) = self.connection.take().filter(|_| !self.marks.closes_connection) {
+            self.client.pool.put(connection, self.marks.idle_timeout, Timestamp::now());
         }
     }
 
     /// Reads what is left of a refusal, so that its connection can be used again.
-    fn reclaim(mut self) {
+    fn reuse_connection(mut self) {
         spawn(async move {
-            let rest = Limited::new(&mut self.body, REFUSAL_BYTES).collect();
-            if let Some(Ok(_)) = timeout(pool::RECLAIM_TIME, rest).await {
-                self.give_back();
+            let rest = Limited::new(&mut self.body, MAX_REFUSAL_BYTES).collect();
+            if let Some(Ok(_)) = timeout(pool::REFUSAL_TIMEOUT, rest).await {
+                self.return_connection();
             }
         })
         .detach();
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -12,7 +12,7 @@
 };
 
 use cassiawheel_decide::{
-    HolderPlace, LimitBook,
+    HolderRank, RateLimits,
     rank::{rendezvous_weight, subject_of},
 };
 use cassiawheel_model::{
@@ -20,51 +20,51 @@
 };
 use smol::channel::Sender;
 
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Shortest time between two looks at the paces of all endpoints.
-const RENEW_TIME: Duration = Duration::from_millis(100);
+const PACE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Limits that endpoints name.
-pub(crate) struct LimitWatch {
-    book: Mutex<LimitBook>,
-    is_known: AtomicBool,
+pub(crate) struct LimitTracker {
+    book: Mutex<RateLimits>,
+    has_limits: AtomicBool,
     /// When paces were set last, in milliseconds.
-    renewed_at: AtomicU64,
+    paced_at: AtomicU64,
     /// Wakes the task that sends news to neighbours and sets paces.
     waker: Sender<()>,
 }
 
-impl LimitWatch {
+impl LimitTracker {
     /// No limits; `waker` wakes the task that sends news to neighbours.
     pub(crate) fn new(waker: Sender<()>) -> Self {
         Self {
             book: Mutex::default(),
-            is_known: AtomicBool::new(false),
-            renewed_at: AtomicU64::new(0),
+            has_limits: AtomicBool::new(false),
+            paced_at: AtomicU64::new(0),
             waker,
         }
     }
 
-    fn note_change(&self) {
-        self.is_known.store(true, Ordering::Relaxed);
-        self.renewed_at.store(0, Ordering::Relaxed);
+    fn notify_change(&self) {
+        self.has_limits.store(true, Ordering::Relaxed);
+        self.paced_at.store(0, Ordering::Relaxed);
         let _ = self.waker.try_send(());
     }
 
     /// The limits.
-    pub(crate) fn book(&self) -> MutexGuard<'_, LimitBook> {
+    pub(crate) fn book(&self) -> MutexGuard<'_, RateLimits> {
         self.book.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
     /// Takes in the limit of an answer of `instance`.
-    pub(crate) fn hear(&self, instance: &InstanceId, limit: Option<NamedLimit>) {
-        if limit.is_none() && !self.is_known.load(Ordering::Relaxed) {
+    pub(crate) fn observe(&self, instance: &InstanceId, limit: Option<NamedLimit>) {
+        if limit.is_none() && !self.has_limits.load(Ordering::Relaxed) {
             return;
         }
-        let is_news = self.book().hear(subject_of(instance.as_str()), limit, Timestamp::now());
-        if is_news {
-            self.note_change();
+        let is_new = self.book().observe(subject_of(instance.as_str()), limit, Timestamp::now());
+        if is_new {
+            self.notify_change();
             match limit {
                 Some(limit) => {
                     log::info!(target: "limit", endpoint:% = instance, rate = limit.rate(); "An endpoint names a limit.");
@@ -77,30 +77,31 @@
     }
 
     /// Takes in a row of a neighbour; true if it is newer than what is known.
-    pub(crate) fn note(&self, row: LimitRecord, source: u64, now: Timestamp) -> bool {
+    pub(crate) fn merge_row(&self, row: LimitRecord, source: u64, now: Timestamp) -> bool {
         let mut book = self.book();
-        let before = book.named();
-        let is_news = book.note(row, source, now);
-        let named = book.named();
+        let before = book.advertised_count();
+        let is_new = book.merge(row, source, now);
+        let named = book.advertised_count();
         drop(book);
-        if is_news {
-            self.note_change();
+        if is_new {
+            self.notify_change();
         }
         if named != before {
             log::info!(target: "limit", endpoint = row.endpoint, state:? = row.state, age_ms = row.age_ms, named = named; "Learned of a limit.");
         }
-        is_news
+        is_new
     }
 }
 
 /// Sets the pace of each endpoint that names a limit, or did so a moment ago.
-pub(crate) fn renew_paces(shared: &EntryShared, routed: &RoutedInterface, now: Timestamp) {
+pub(crate) fn update_paces(shared: &EntryShared, routed: &RoutedState, now: Timestamp) {
     let limits = &routed.limits;
-    let renew_at = Timestamp(limits.renewed_at.load(Ordering::Relaxed)).deadline_after(RENEW_TIME);
-    if !limits.is_known.load(Ordering::Relaxed) || !renew_at.is_past(now) {
+    let update_at =
+        Timestamp(limits.paced_at.load(Ordering::Relaxed)).deadline_after(PACE_INTERVAL);
+    if !limits.has_limits.load(Ordering::Relaxed) || !update_at.is_past(now) {
         return;
     }
-    limits.renewed_at.store(now.0, Ordering::Relaxed);
+    limits.paced_at.store(now.0, Ordering::Relaxed);
     let own = &shared.settings.place.instance;
     let state = routed.overlay.lock();
     let present = state.present(own);
@@ -111,19 +112,19 @@
     let mut is_change = false;
     for candidate in routes.candidates() {
         let subject = subject_of(candidate.instance.as_str());
-        if !book.knows(subject) {
-            is_change |= candidate.cell.is_paced();
-            candidate.cell.set_pace(None, now);
+        if !book.contains(subject) {
+            is_change |= candidate.tracker.is_paced();
+            candidate.tracker.set_pace(None, now);
             continue;
         }
         let listed = listing.endpoints().find(|listed| listed.instance == candidate.instance);
         let domain = listed.map(|listed| &listed.failure_domain);
-        let place = place_for(subject, domain, own, &present);
+        let place = holder_place(subject, domain, own, &present);
         let pace = book.pace(subject, place, now);
-        is_change |= pace.is_some() != candidate.cell.is_paced();
-        candidate.cell.set_pace(pace, now);
+        is_change |= pace.is_some() != candidate.tracker.is_paced();
+        candidate.tracker.set_pace(pace, now);
     }
-    shared.metrics.limited.set(book.named() as i64);
+    shared.metrics.limited.set(book.advertised_count() as i64);
     drop((book, listing, state));
     if is_change {
         shared.rebuild_routes();
@@ -131,8 +132,8 @@
 }
 
 /// Forgets limits of endpoints that are gone.
-pub(crate) fn expire(routed: &RoutedInterface, now: Timestamp) {
-    if !routed.limits.is_known.load(Ordering::Relaxed) {
+pub(crate) fn expire(routed: &RoutedState, now: Timestamp) {
+    if !routed.limits.has_limits.load(Ordering::Relaxed) {
         return;
     }
     let listing = routed.listing();
@@ -141,19 +142,19 @@
     drop(listing);
     let mut book = routed.limits.book();
     book.expire(|endpoint| listed.contains(&endpoint), now);
-    routed.limits.is_known.store(!book.is_empty(), Ordering::Relaxed);
+    routed.limits.has_limits.store(!book.is_empty(), Ordering::Relaxed);
 }
 
 /// Place of the entry `own` among those that may hold the limit of an endpoint in `domain`.
-fn place_for(
+fn holder_place(
     subject: u64,
     domain: Option<&FailureDomain>,
     own: &InstanceId,
     present: &[&EntryRecord],
-) -> HolderPlace {
-    let is_beside = |record: &&&EntryRecord| Some(&record.failure_domain) == domain;
-    let has_beside = present.iter().any(|record| is_beside(&record));
-    let candidates = present.iter().filter(|record| !has_beside || is_beside(record));
+) -> HolderRank {
+    let is_in_domain = |record: &&&EntryRecord| Some(&record.failure_domain) == domain;
+    let has_domain_entry = present.iter().any(|record| is_in_domain(&record));
+    let candidates = present.iter().filter(|record| !has_domain_entry || is_in_domain(record));
     let candidates: Vec<_> = candidates.collect();
     let weight = |name: &InstanceId| rendezvous_weight(subject, name.as_str());
     let own_weight = weight(own);
@@ -162,5 +163,5 @@
         false => usize::MAX,
     };
     let phase = own_weight as f64 / u64::MAX as f64;
-    HolderPlace { rank, candidates: candidates.len(), entries: present.len(), phase }
+    HolderRank { rank, candidates: candidates.len(), entries: present.len(), phase }
 }
--- a/crates/entry/src/overlay.rs
+++ b/crates/entry/src/overlay.rs
@@ -8,8 +8,8 @@
 };
 
 use cassiawheel_decide::{
-    CrashBook, EntryPlace, FloodFilter, GossipStore, LinkMark, LinkNumber, near_or_all,
-    reachable_entries,
+    CrashTracker, EntryLocation, FloodFilter, GossipStore, LinkCursor, LinkId, reachable_entries,
+    same_region_or_all,
 };
 use cassiawheel_model::{Deadline, EntryRecord, InstanceId, RegionName, Timestamp};
 use cassiawheel_wire::{ControlMessage, WireSender, message::FloodMessage};
@@ -30,7 +30,7 @@
     /// Records, reports and loads.
     pub(crate) store: GossipStore,
     /// Requests under which endpoints have ended.
-    pub(crate) crashes: CrashBook,
+    pub(crate) crashes: CrashTracker,
     /// Links that are up.
     pub(crate) links: Vec<OverlayLink>,
     /// Entries that may run, with their regions where these are known.
@@ -39,15 +39,15 @@
     avoided: HashMap<SocketAddr, Deadline>,
     /// When the own record was renewed last.
     pub(crate) renewed_at: Option<Timestamp>,
-    flooded: FloodFilter,
+    seen_floods: FloodFilter,
     flood_number: u64,
-    link_number: LinkNumber,
+    link_number: LinkId,
 }
 
 /// A link to another entry.
 pub(crate) struct OverlayLink {
     /// Names the link within this process.
-    pub(crate) number: LinkNumber,
+    pub(crate) number: LinkId,
     /// Messages to the other end.
     pub(crate) sender: WireSender,
     /// The entry at the other end.
@@ -55,7 +55,7 @@
     /// Where it was dialled, if this end did so.
     pub(crate) dialled: Option<SocketAddr>,
     /// What the other end has been sent.
-    pub(crate) mark: LinkMark,
+    pub(crate) mark: LinkCursor,
     /// When loads are due.
     pub(crate) loads_at: Deadline,
     /// Up to which change the other end has been sent ends of endpoints under requests.
@@ -77,16 +77,16 @@
     }
 
     /// Has what changed sent to the neighbours.
-    pub(crate) fn note_change(&self) {
+    pub(crate) fn notify_change(&self) {
         let _ = self.changed.0.try_send(());
     }
 
-    /// What a message to has the same effect as [`Self::note_change`].
+    /// What a message to has the same effect as [`Self::notify_change`].
     pub(crate) fn waker(&self) -> Sender<()> {
         self.changed.0.clone()
     }
 
-    /// Completes after the next [`Self::note_change`].
+    /// Completes after the next [`Self::notify_change`].
     pub(crate) async fn changed(&self) {
         let _ = self.changed.1.recv().await;
     }
@@ -96,9 +96,9 @@
         let mut state = self.lock();
         state.flood_number += 1;
         let number = state.flood_number;
-        state.flooded.note(origin, incarnation, number);
+        state.seen_floods.insert(origin, incarnation, number);
         let message = FloodMessage { origin: origin.clone(), incarnation, number, content };
-        state.pass_on(&message, None);
+        state.send_flood(&message, None);
     }
 
     /// Sends `message` to every neighbour.
@@ -111,18 +111,19 @@
     }
 
     /// Passes a message on; false if that was done already.
-    pub(crate) fn relay(&self, message: &FloodMessage, source: LinkNumber) -> bool {
+    pub(crate) fn forward_flood(&self, message: &FloodMessage, source: LinkId) -> bool {
         let mut state = self.lock();
-        let is_news = state.flooded.note(&message.origin, message.incarnation, message.number);
+        let is_news =
+            state.seen_floods.insert(&message.origin, message.incarnation, message.number);
         if is_news {
-            state.pass_on(message, Some(source));
+            state.send_flood(message, Some(source));
         }
         is_news
     }
 }
 
 impl OverlayState {
-    fn pass_on(&self, message: &FloodMessage, source: Option<LinkNumber>) {
+    fn send_flood(&self, message: &FloodMessage, source: Option<LinkId>) {
         for link in self.links.iter().filter(|link| Some(link.number) != source) {
             let message = ControlMessage::Flood(Box::new(message.clone()));
             if let Ok(false) = link.sender.try_send(message) {
@@ -132,9 +133,9 @@
     }
 
     /// Whether the entry at the other end of a link stands in another region than `own`.
-    pub(crate) fn is_far(&self, number: LinkNumber, own: &RegionName) -> bool {
+    pub(crate) fn is_in_other_region(&self, number: LinkId, own: &RegionName) -> bool {
         let link = self.links.iter().find(|link| link.number == number);
-        link.is_some_and(|link| is_far(&self.store, &link.instance, own))
+        link.is_some_and(|link| is_in_other_region(&self.store, &link.instance, own))
     }
 
     /// Adds a link; its number.
@@ -143,10 +144,10 @@
         sender: WireSender,
         instance: InstanceId,
         dialled: Option<SocketAddr>,
-    ) -> LinkNumber {
+    ) -> LinkId {
         self.link_number += 1;
         let number = self.link_number;
-        let (mark, loads_at) = (LinkMark::default(), Deadline(0));
+        let (mark, loads_at) = (LinkCursor::default(), Deadline(0));
         let (crash_mark, limit_mark) = (0, 0);
         let link = OverlayLink {
             number,
@@ -163,7 +164,7 @@
     }
 
     /// Removes a link that has ended.
-    pub(crate) fn remove_link(&mut self, number: LinkNumber) {
+    pub(crate) fn remove_link(&mut self, number: LinkId) {
         self.links.retain(|link| link.number != number);
     }
 
@@ -182,7 +183,7 @@
     }
 
     /// Notes the addresses of entries, and their regions where these are known.
-    pub(crate) fn note_entries(
+    pub(crate) fn add_known_entries(
         &mut self,
         places: impl Iterator<Item = (SocketAddr, Option<RegionName>)>,
     ) {
@@ -198,13 +199,13 @@
     }
 
     /// Addresses without a known region, such as those of the settings.
-    pub(crate) fn unplaced(&self) -> Vec<SocketAddr> {
-        let unplaced = self.known.iter().filter(|(_, region)| region.is_none());
-        unplaced.map(|(addr, _)| *addr).collect()
+    pub(crate) fn without_region(&self) -> Vec<SocketAddr> {
+        let without_region = self.known.iter().filter(|(_, region)| region.is_none());
+        without_region.map(|(addr, _)| *addr).collect()
     }
 
     /// Entries that links may be made to.
-    pub(crate) fn candidates(&self, own: &InstanceId, now: Timestamp) -> Vec<EntryPlace> {
+    pub(crate) fn candidates(&self, own: &InstanceId, now: Timestamp) -> Vec<EntryLocation> {
         let present = self.present(own);
         let reached: HashMap<_, _> =
             present.iter().map(|record| (record.inner_addr, record)).collect();
@@ -215,7 +216,7 @@
         let reached = present.iter().filter(|record| !record.leaving);
         let reached = reached.map(|record| (record.inner_addr, record.region.clone()));
         let places = reached.chain(placed);
-        places.map(|(inner_addr, region)| EntryPlace { inner_addr, region }).collect()
+        places.map(|(inner_addr, region)| EntryLocation { inner_addr, region }).collect()
     }
 
     /// The records of the entries that can be reached.
@@ -234,20 +235,24 @@
             .collect();
         self.store.expire(now, |instance| names.contains(instance));
         let store = &self.store;
-        self.flooded.keep_only(|origin| store.record(origin).is_some());
+        self.seen_floods.keep_only(|origin| store.record(origin).is_some());
         self.avoided.retain(|_, until| !until.is_past(now));
     }
 }
 
 /// Whether the entry at `instance` is known to stand in another region than `own`.
-pub(crate) fn is_far(store: &GossipStore, instance: &InstanceId, own: &RegionName) -> bool {
+pub(crate) fn is_in_other_region(
+    store: &GossipStore,
+    instance: &InstanceId,
+    own: &RegionName,
+) -> bool {
     store.record(instance).is_some_and(|record| record.region != *own)
 }
 
 /// The inner addresses that an agent of `region` may connect to.
 ///
 /// Those of its region; all of them where it has none.
-pub(crate) fn entries_for(present: &[&EntryRecord], region: &RegionName) -> Vec<SocketAddr> {
+pub(crate) fn entry_addrs_for(present: &[&EntryRecord], region: &RegionName) -> Vec<SocketAddr> {
     let staying = present.iter().filter(|record| !record.leaving);
-    near_or_all(region, staying.map(|record| (record.inner_addr, Some(&record.region))))
+    same_region_or_all(region, staying.map(|record| (record.inner_addr, Some(&record.region))))
 }
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -13,11 +13,11 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use cassiawheel_decide::{
-    CallerIndex, EndpointCell, EndpointListing, PresetPull, RetryBudget, RowDuty, VersionBook,
-    plan::PlanPace,
+    CallerIndex, EndpointListing, EndpointTracker, FeedRole, PresetPull, RetryBudget,
+    VersionRegistry, plan::RolloutSchedule,
 };
 use cassiawheel_edge::{
-    CallerProtocol, EndpointProtocol, ListingFeed, OperatorFeed, TableStore, WeightSource,
+    CallerProtocol, EndpointFeed, EndpointProtocol, OperatorFeed, TableStore, WeightSource,
 };
 use cassiawheel_model::{
     EndpointReport, EndpointState, ForcedPreset, ListedEndpoint, ModelVersion, ServiceName,
@@ -27,17 +27,17 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 use crate::{
-    control::manifest_cache::ManifestCache, crashes::CrashWatch, direct::DirectClient,
-    limits::LimitWatch, overlay::Overlay,
+    control::manifest_cache::ManifestCache, crashes::CrashGuard, direct::DirectClient,
+    limits::LimitTracker, overlay::Overlay,
 };
 
 /// Entries among which the retries of a service are shared at least.
 ///
 /// An entry that starts knows of no other yet, and would take all of them.
-const FEWEST_ENTRIES: usize = 9;
+const MIN_BUDGET_SHARES: usize = 9;
 
 /// The edges of such an entry.
-pub struct RoutedEdges {
+pub struct RoutedAdapters {
     /// Settings beside those of every entry.
     pub settings: RoutingSettings,
     /// The callers' protocol.
@@ -47,7 +47,7 @@
     /// The operators' rows.
     pub operators: Arc<OperatorFeed>,
     /// The list of endpoints.
-    pub list: Arc<ListingFeed>,
+    pub list: Arc<EndpointFeed>,
     /// The project's own rows.
     pub table: Arc<dyn TableStore>,
     /// The origin of weights.
@@ -55,7 +55,7 @@
 }
 
 /// State of such an entry.
-pub(crate) struct RoutedInterface {
+pub(crate) struct RoutedState {
     /// Settings.
     pub(crate) settings: RoutingSettings,
     /// The callers' protocol.
@@ -65,27 +65,27 @@
     /// The operators' rows.
     pub(crate) operators: Arc<OperatorFeed>,
     /// The list of endpoints.
-    pub(crate) list: Arc<ListingFeed>,
+    pub(crate) list: Arc<EndpointFeed>,
     /// Routes and keys of the preset in force; read without a lock.
     pub(crate) index: ArcSwapOption<CallerIndex>,
     /// The versions that operators named; read without a lock.
-    pub(crate) versions: ArcSwap<VersionBook>,
+    pub(crate) versions: ArcSwap<VersionRegistry>,
     /// Manifests of named versions.
     pub(crate) manifests: ManifestCache,
     /// Whether the last call for the operators' rows was answered.
     pub(crate) follows_rows: AtomicBool,
-    row_duty: Mutex<RowDuty>,
+    feed_role: Mutex<FeedRole>,
     versions_changed: (Sender<()>, Receiver<()>),
     listing: Mutex<EndpointListing>,
     pull: Mutex<PresetPull<WireSender>>,
     /// Links to other entries.
     pub(crate) overlay: Overlay,
     /// Limits that endpoints name.
-    pub(crate) limits: Arc<LimitWatch>,
+    pub(crate) limits: Arc<LimitTracker>,
     /// Requests under which endpoints have ended.
-    pub(crate) crashes: Arc<CrashWatch>,
+    pub(crate) crashes: Arc<CrashGuard>,
     /// Cells of endpoints by the hashes of their agents; read without a lock.
-    pub(crate) load_cells: ArcSwap<HashMap<u64, Arc<EndpointCell>>>,
+    pub(crate) counters_by_agent: ArcSwap<HashMap<u64, Arc<EndpointTracker>>>,
     budgets: ArcSwap<HashMap<ServiceName, Arc<RetryBudget>>>,
     /// Longest patience of a caller by the name of its route, in milliseconds.
     patience: ArcSwap<HashMap<String, Arc<AtomicU64>>>,
@@ -95,7 +95,7 @@
 ///
 /// Callers give a first try all of their time, and come back after some hundred
 /// milliseconds at least.
-const FIRST_TRY_PART: f64 = 0.97;
+const FIRST_TRY_FRACTION: f64 = 0.97;
 
 /// An endpoint that requests may be sent to.
 pub(crate) struct DirectCandidate<'a> {
@@ -107,32 +107,32 @@
     pub(crate) limit: u32,
 }
 
-impl RoutedInterface {
+impl RoutedState {
     /// The state of a process that has just started.
-    pub(crate) fn new(edges: RoutedEdges) -> Self {
+    pub(crate) fn new(adapters: RoutedAdapters) -> Self {
         let overlay = Overlay::default();
-        let limits = Arc::new(LimitWatch::new(overlay.waker()));
-        let mut listing = EndpointListing::new(edges.settings.list_heartbeat_ms);
+        let limits = Arc::new(LimitTracker::new(overlay.waker()));
+        let mut listing = EndpointListing::new(adapters.settings.list_heartbeat_ms);
         // The first read of the table is under way as soon as the process runs.
-        listing.begin_asking(Timestamp::now());
+        listing.begin_snapshot_request(Timestamp::now());
         Self {
             listing: Mutex::new(listing),
-            settings: edges.settings,
-            callers: edges.callers,
-            direct: Arc::new(DirectClient::new(edges.endpoints, limits.clone())),
-            operators: edges.operators,
-            list: edges.list,
+            settings: adapters.settings,
+            callers: adapters.callers,
+            direct: Arc::new(DirectClient::new(adapters.endpoints, limits.clone())),
+            operators: adapters.operators,
+            list: adapters.list,
             index: ArcSwapOption::empty(),
             versions: ArcSwap::default(),
             manifests: ManifestCache::default(),
             follows_rows: AtomicBool::new(true),
-            row_duty: Mutex::new(RowDuty::Follow),
+            feed_role: Mutex::new(FeedRole::Follow),
             pull: Mutex::default(),
             versions_changed: bounded(1),
             overlay,
             limits,
             crashes: Arc::default(),
-            load_cells: ArcSwap::default(),
+            counters_by_agent: ArcSwap::default(),
             budgets: ArcSwap::default(),
             patience: ArcSwap::default(),
         }
@@ -149,17 +149,17 @@
     }
 
     /// What this entry does about the operators' rows.
-    pub(crate) fn row_duty(&self) -> RowDuty {
-        *self.row_duty.lock().unwrap_or_else(|poison| poison.into_inner())
+    pub(crate) fn feed_role(&self) -> FeedRole {
+        *self.feed_role.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
     /// Changes what this entry does about the operators' rows.
-    pub(crate) fn set_row_duty(&self, duty: RowDuty) {
-        *self.row_duty.lock().unwrap_or_else(|poison| poison.into_inner()) = duty;
+    pub(crate) fn set_row_duty(&self, duty: FeedRole) {
+        *self.feed_role.lock().unwrap_or_else(|poison| poison.into_inner()) = duty;
     }
 
     /// Takes up the routes and keys of the preset that is in force from now on.
-    pub(crate) fn take_preset(&self, preset: &ForcedPreset) {
+    pub(crate) fn apply_preset(&self, preset: &ForcedPreset) {
         let table = preset.content.callers.clone();
         self.index.store(table.map(|table| Arc::new(CallerIndex::new(table))));
     }
@@ -169,7 +169,7 @@
         let patience = patience.as_millis() as u64;
         if let Some(longest) = self.patience.load().get(route) {
             let longest = longest.fetch_max(patience, Ordering::Relaxed).max(patience);
-            return patience as f64 >= longest as f64 * FIRST_TRY_PART;
+            return patience as f64 >= longest as f64 * FIRST_TRY_FRACTION;
         }
         self.patience.rcu(|known| {
             let mut known = HashMap::clone(known);
@@ -180,14 +180,14 @@
     }
 
     /// Takes in a named version; true if it or its manifest was not known.
-    pub(crate) fn offer_version(&self, named: &TargetVersion) -> bool {
+    pub(crate) fn add_version(&self, named: &TargetVersion) -> bool {
         let span = Duration::from_millis(self.settings.version_ms);
         let now = Timestamp::now();
         let mut is_new = false;
         self.versions.rcu(|known| {
-            let mut book = VersionBook::clone(known);
-            is_new = book.offer(named, span, now);
-            book
+            let mut versions = VersionRegistry::clone(known);
+            is_new = versions.record(named, span, now);
+            versions
         });
         if is_new {
             let _ = self.versions_changed.0.try_send(());
@@ -211,10 +211,10 @@
     }
 
     /// What the platform asks of the versions of the preset's model.
-    pub(crate) fn pace(&self, preset: &ForcedPreset, now: Timestamp) -> Option<PlanPace> {
+    pub(crate) fn pace(&self, preset: &ForcedPreset, now: Timestamp) -> Option<RolloutSchedule> {
         let mut targets = preset.content.services.values();
         let engine = targets.find_map(|target| target.engine.as_ref())?;
-        self.versions.load().pace(&engine.model, now)
+        self.versions.load().schedule(&engine.model, now)
     }
 
     /// `preset` with the versions that were named since.
@@ -224,7 +224,7 @@
         planned.content.callers = None;
         for target in planned.content.services.values_mut() {
             let model = target.engine.as_ref().map(|engine| engine.model.as_str());
-            if let Some(wanted) = model.and_then(|model| versions.wanted(model)) {
+            if let Some(wanted) = model.and_then(|model| versions.newest(model)) {
                 target.version = Some(wanted.version.clone());
                 target.manifest = wanted.manifest;
             }
@@ -234,9 +234,9 @@
 
     /// Retries of `service`; this entry's share of those that all entries may make.
     pub(crate) fn retry_budget(&self, service: &ServiceName, entries: usize) -> Arc<RetryBudget> {
-        let savings = self.settings.retry_slack / entries.max(FEWEST_ENTRIES) as f64;
+        let savings = self.settings.retry_slack / entries.max(MIN_BUDGET_SHARES) as f64;
         if let Some(budget) = self.budgets.load().get(service) {
-            budget.set_savings(savings);
+            budget.set_burst(savings);
             return budget.clone();
         }
         let fresh = Arc::new(RetryBudget::new(self.settings.retry_ratio, savings));
@@ -258,7 +258,7 @@
     preset: &ForcedPreset,
     reports: &HashMap<SocketAddr, &EndpointReport>,
 ) -> Vec<DirectCandidate<'a>> {
-    let present = listing.present(|service| preset.content.services.contains_key(service));
+    let present = listing.latest_per_addr(|service| preset.content.services.contains_key(service));
     let present = present.into_iter().filter(|listed| !listed.is_leaving);
     let candidate = |listed: &'a ListedEndpoint| {
         let target = preset.content.services.get(&listed.service)?;
