--- a/crates/agent/src/endpoint.rs
+++ b/crates/agent/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! State that the parts of an agent share.
+//! State shared by the tasks of an agent.
 
 use std::{
     net::SocketAddr,
@@ -23,45 +23,46 @@
     transfer::TransferState,
 };
 
-/// Longest wait before a waiter looks at the gate again.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// Interval at which tasks waiting for a permit check the gate again.
+const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest time for which an agent that starts waits for every entry that it dials.
-const START_TIME: Duration = Duration::from_secs(2);
+/// Limit on how long a starting agent waits for a preset from every entry that it dials.
+const START_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Everything that the parts of an agent share.
+/// State shared by all tasks of an agent.
 pub(crate) struct EndpointShared {
-    /// The settings.
+    /// Settings of this process, as read at its start.
     pub(crate) settings: AgentSettings,
-    /// Distinguishes this process from earlier ones at the instance.
+    /// Start time in Unix milliseconds; distinguishes this process from earlier ones at the
+    /// same instance.
     pub(crate) incarnation: u64,
-    /// The engine or plain service.
+    /// Client of the engine or plain service at this instance.
     pub(crate) engine: Arc<dyn ModelEngine>,
-    /// The table service.
+    /// Client of the table service, which stores claims and entry addresses.
     pub(crate) table: Arc<dyn TableStore>,
-    /// Writes the rows of keyed requests.
+    /// Batches the writes of claim rows of keyed requests.
     pub(crate) claims: ClaimWriter,
-    /// The origin of weights.
+    /// Client of the origin of weights.
     pub(crate) origin: Arc<dyn WeightSource>,
-    /// Highest fencing token that the engine has carried out, as it told last.
+    /// Highest fencing token that the engine has reported as carried out.
     pub(crate) engine_fencing: AtomicU64,
-    /// Weights held and being fetched.
+    /// Chunks held and being fetched, and the connections that transfer them.
     pub(crate) transfer: TransferState,
-    /// Metrics.
+    /// Counters and gauges exported by this process.
     pub(crate) metrics: AgentMetrics,
     gate: Mutex<GateState>,
     holder: Mutex<PresetHolder>,
     start_hold: Mutex<StartHold>,
     order: Mutex<Option<WeightOrder>>,
-    /// The connection over which the newest order came.
-    order_giver: Mutex<Option<WireSender>>,
+    /// Connection to the entry that sent the newest order.
+    order_source: Mutex<Option<WireSender>>,
     last_report: Mutex<Option<ToldReport>>,
     load: Mutex<LoadReport>,
     entries: Mutex<Vec<EntryLink>>,
-    known_entries: Mutex<EntryChoice>,
+    entry_choice: Mutex<EntryChoice>,
     entries_changed: (Sender<()>, Receiver<()>),
-    reports: AtomicU64,
-    attempts: AtomicU64,
+    report_sequence: AtomicU64,
+    attempt_ids: AtomicU64,
     open: AtomicU32,
     released: (Sender<()>, Receiver<()>),
 }
@@ -80,17 +81,17 @@
             incarnation: now.0,
             gate: Mutex::new(GateState::new(settings.engine.max_in_flight)),
             holder: Mutex::default(),
-            start_hold: Mutex::new(StartHold::new(sources, now.deadline_after(START_TIME))),
+            start_hold: Mutex::new(StartHold::new(sources, now.deadline_after(START_TIMEOUT))),
             order: Mutex::default(),
-            order_giver: Mutex::default(),
+            order_source: Mutex::default(),
             last_report: Mutex::default(),
             load: Mutex::new(LoadReport { in_flight: 0, queued: 0, measured_at: now }),
             entries: Mutex::default(),
-            known_entries: Mutex::default(),
+            entry_choice: Mutex::default(),
             entries_changed: bounded(1),
-            reports: AtomicU64::new(0),
+            report_sequence: AtomicU64::new(0),
             engine_fencing: AtomicU64::new(0),
-            attempts: AtomicU64::new(0),
+            attempt_ids: AtomicU64::new(0),
             open: AtomicU32::new(0),
             released: bounded(1),
             claims: ClaimWriter::start(table.clone()),
@@ -103,77 +104,77 @@
         }
     }
 
-    /// The gate.
+    /// Locks the gate, which admits requests to the engine.
     pub(crate) fn gate(&self) -> MutexGuard<'_, GateState> {
         self.gate.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// Whether callers' requests may share the link with the weights.
-    pub(crate) fn serves_callers(&self) -> bool {
+    /// Whether callers' requests may share the link with chunk transfers.
+    pub(crate) fn may_serve_callers(&self) -> bool {
         *self.gate().state() != EndpointState::Empty
     }
 
-    /// The preset in force.
+    /// Locks the holder of the preset in force.
     pub(crate) fn holder(&self) -> MutexGuard<'_, PresetHolder> {
         self.holder.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// What this agent waits for before it runs requests.
+    /// Locks the record of entries that have yet to send a preset before requests may run.
     pub(crate) fn start_hold(&self) -> MutexGuard<'_, StartHold> {
         self.start_hold.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// The newest order.
+    /// Locks the order with the highest fencing token received so far.
     pub(crate) fn order(&self) -> MutexGuard<'_, Option<WeightOrder>> {
         self.order.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// Notes over which connection the newest order came.
-    pub(crate) fn note_order_giver(&self, entry: WireSender) {
-        *self.order_giver.lock().unwrap_or_else(|poison| poison.into_inner()) = Some(entry);
+    /// Sets the connection to the entry that sent the newest order.
+    pub(crate) fn set_order_source(&self, entry: WireSender) {
+        *self.order_source.lock().unwrap_or_else(|poison| poison.into_inner()) = Some(entry);
     }
 
-    /// The connection over which the newest order came.
-    pub(crate) fn order_giver(&self) -> Option<WireSender> {
-        self.order_giver.lock().unwrap_or_else(|poison| poison.into_inner()).clone()
+    /// Connection to the entry that sent the newest order; none before the first order.
+    pub(crate) fn order_source(&self) -> Option<WireSender> {
+        self.order_source.lock().unwrap_or_else(|poison| poison.into_inner()).clone()
     }
 
-    /// Whether the newest order names the weights of `order`.
-    pub(crate) fn still_wants(&self, order: &WeightOrder) -> bool {
+    /// Whether the newest order names the same manifest as `order`.
+    pub(crate) fn is_still_ordered(&self, order: &WeightOrder) -> bool {
         self.order().as_ref().map(|newest| newest.manifest) == Some(order.manifest)
     }
 
-    /// The last whole report, if every connected entry has it.
+    /// Locks the last full report; none unless it was queued for every connected entry.
     pub(crate) fn last_report(&self) -> MutexGuard<'_, Option<ToldReport>> {
         self.last_report.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// The engine's last load report.
+    /// Locks the load that the engine reported last.
     pub(crate) fn load(&self) -> MutexGuard<'_, LoadReport> {
         self.load.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// Connections to entries.
+    /// Locks the list of connections to entries.
     pub(crate) fn entries(&self) -> MutexGuard<'_, Vec<EntryLink>> {
         self.entries.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// The entries that this agent may connect to.
+    /// Locks the candidates from which this agent chooses the entries to connect to.
     pub(crate) fn entry_choice(&self) -> MutexGuard<'_, EntryChoice> {
-        self.known_entries.lock().unwrap_or_else(|poison| poison.into_inner())
+        self.entry_choice.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// Has the connections to entries looked at.
-    pub(crate) fn note_entries_changed(&self) {
+    /// Signals that connections or candidates have changed.
+    pub(crate) fn notify_entries_changed(&self) {
         let _ = self.entries_changed.0.try_send(());
     }
 
-    /// Completes after the next [`Self::note_entries_changed`].
+    /// Completes after the next [`Self::notify_entries_changed`].
     pub(crate) async fn entries_changed(&self) {
         let _ = self.entries_changed.1.recv().await;
     }
 
-    /// What opens a conversation with another process.
+    /// The first message sent on a connection to another process.
     pub(crate) fn hello(&self) -> HelloMessage {
         HelloMessage {
             kind: ProcessKind::Agent,
@@ -182,55 +183,56 @@
         }
     }
 
-    /// A number that rises with each whole report.
-    pub(crate) fn next_report(&self) -> u64 {
-        self.reports.fetch_add(1, Ordering::Relaxed) + 1
+    /// Returns the sequence number of the next full report.
+    pub(crate) fn next_report_sequence(&self) -> u64 {
+        self.report_sequence.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// A number that no other attempt of this process has.
-    pub(crate) fn next_attempt(&self) -> u64 {
-        self.attempts.fetch_add(1, Ordering::Relaxed)
+    /// Returns a number that is unique among the attempts of this process.
+    pub(crate) fn next_attempt_id(&self) -> u64 {
+        self.attempt_ids.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Counts an attempt, or the record of one, as open until the guard is dropped.
+    /// Counts an attempt, or the pending write of its outcome, as open until the guard is
+    /// dropped.
     pub(crate) fn open_attempt(self: &Arc<Self>) -> OpenAttempt {
         self.open.fetch_add(1, Ordering::Relaxed);
         OpenAttempt { shared: self.clone() }
     }
 
-    /// Attempts that are neither answered nor recorded yet.
+    /// Number of attempts that are neither answered nor recorded yet.
     ///
-    /// More than the gate counts: one that waits for the outcome of another
-    /// attempt has no permit, but a shutdown must not cut it off either.
+    /// Exceeds the gate's count: an attempt that waits for the outcome of another attempt
+    /// holds no permit, but a shutdown must not cut it off either.
     pub(crate) fn open_attempts(&self) -> u32 {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Gives a permit of the gate back.
-    pub(crate) fn leave_gate(&self) {
+    /// Returns a permit to the gate and wakes one waiting task.
+    pub(crate) fn release_permit(&self) {
         self.gate().leave();
         let _ = self.released.0.try_send(());
     }
 
-    /// Completes when a permit may have been given back.
+    /// Completes when a permit may have been returned.
     ///
-    /// Looks again after a short while, since the signal wakes one waiter only.
+    /// Also completes after a short interval, since the signal wakes only one waiter.
     pub(crate) async fn permit_released(&self) {
-        timeout(LOOK_AGAIN, self.released.1.recv()).await;
+        timeout(PERMIT_POLL_INTERVAL, self.released.1.recv()).await;
     }
 }
 
-/// A connection to an entry, and when it wants to hear the load.
+/// A connection to an entry and the interval at which load is sent over it.
 pub(crate) struct EntryLink {
-    /// Where it was dialled.
+    /// Address at which the entry was dialled.
     pub(crate) addr: SocketAddr,
-    /// Messages to it.
+    /// Queue of messages to the entry.
     pub(crate) sender: WireSender,
-    /// When it wants to hear the load.
+    /// Schedule of load messages, as requested by the entry.
     pub(crate) pace: LoadPace,
 }
 
-/// An attempt that a graceful shutdown waits for.
+/// Guard of an attempt that a graceful shutdown waits for.
 pub(crate) struct OpenAttempt {
     shared: Arc<EndpointShared>,
 }
--- a/crates/agent/src/entry_choice.rs
+++ b/crates/agent/src/entry_choice.rs
@@ -1,4 +1,4 @@
-//! Choosing the entries to be connected to, where entries send the candidates.
+//! Finds candidate entries and keeps connections to the chosen ones.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,22 +10,22 @@
 use rand::{Rng, seq::SliceRandom};
 use smol::{Task, Timer};
 
-use crate::{endpoint::EndpointShared, entry_link::keep_connected};
+use crate::{endpoint::EndpointShared, entry_link::maintain_connection};
 
-/// Longest time between looks whether the choice has changed.
-const LOOK_TIME: Duration = Duration::from_millis(250);
+/// Interval at which the choice is checked even without a signal of a change.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest wait for the candidates of one entry.
-const ASK_TIME: Duration = Duration::from_millis(600);
+/// Timeout of a query for the candidates that one entry knows.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Wait before the seeds are queried again, in milliseconds; drawn anew each time.
-const AGAIN_MS: std::ops::Range<u64> = 50..150;
+/// Range of the random delay before the seeds are queried again, in milliseconds.
+const RETRY_MS: std::ops::Range<u64> = 50..150;
 
-/// Rounds without an answer after which the table service is queried.
-const ROUNDS: u32 = 3;
+/// Rounds of queries to the seeds after which the table service is read instead.
+const SEED_ROUNDS: u32 = 3;
 
-/// Keeps connections to the chosen entries for ever.
-pub(crate) async fn keep_chosen(shared: Arc<EndpointShared>) {
+/// Keeps connections to the chosen entries open; never returns.
+pub(crate) async fn maintain_connections(shared: Arc<EndpointShared>) {
     let subject = subject_of(shared.settings.place.instance.as_str());
     let mut kept: BTreeMap<SocketAddr, Task<()>> = BTreeMap::new();
     loop {
@@ -35,17 +35,17 @@
         let count = shared.settings.entry_links;
         let chosen = shared.entry_choice().chosen(subject, count, Timestamp::now());
         if chosen.is_empty() {
-            // No candidate can be reached; others may run by now.
+            // No candidate can be reached; look for new ones.
             shared.entry_choice().clear();
             continue;
         }
         for addr in &chosen {
             let is_kept = kept.get(addr).is_some_and(|task| !task.is_finished());
             if !is_kept {
-                kept.insert(*addr, spawn(keep_connected(shared.clone(), *addr)));
+                kept.insert(*addr, spawn(maintain_connection(shared.clone(), *addr)));
             }
         }
-        // A surplus connection goes once another one can take its place.
+        // Surplus connections are closed only once a chosen entry is connected.
         let connected = open_addrs(&shared);
         if chosen.iter().any(|addr| connected.contains(addr)) {
             let surplus: Vec<_> =
@@ -55,7 +55,7 @@
                 disconnect(&shared, addr);
             }
         }
-        timeout(LOOK_TIME, shared.entries_changed()).await;
+        timeout(CHECK_INTERVAL, shared.entries_changed()).await;
     }
 }
 
@@ -76,22 +76,22 @@
     shared.transfer.forget_peers_of(addr);
 }
 
-/// Queries the seeds, then the table service, for candidates.
+/// Sets the candidates from the first seed that answers, else from the table service.
 async fn find_entries(shared: &Arc<EndpointShared>) {
-    for _ in 0..ROUNDS {
+    for _ in 0..SEED_ROUNDS {
         let mut seeds = shared.settings.entries.clone();
         seeds.shuffle(&mut rand::rng());
         for seed in seeds {
-            let addrs = timeout(ASK_TIME, ask_entry(shared, seed)).await.flatten();
+            let addrs = timeout(QUERY_TIMEOUT, query_entry(shared, seed)).await.flatten();
             if let Some(addrs) = addrs.filter(|addrs| !addrs.is_empty()) {
                 shared.entry_choice().set_candidates(addrs);
                 return;
             }
         }
-        let wait = rand::rng().random_range(AGAIN_MS);
+        let wait = rand::rng().random_range(RETRY_MS);
         Timer::after(Duration::from_millis(wait)).await;
     }
-    match read_rows(shared).await {
+    match read_entry_rows(shared).await {
         Ok(addrs) => {
             log::info!(target: "link", entries = addrs.len(); "Looked entries up.");
             shared.entry_choice().set_candidates(addrs);
@@ -102,15 +102,15 @@
     }
 }
 
-/// The entries of the own region that have left their addresses; all if it has none.
-async fn read_rows(shared: &EndpointShared) -> Result<Vec<SocketAddr>, StoreError> {
+/// Addresses of the registered entries in this agent's region; of all entries if it has none.
+async fn read_entry_rows(shared: &EndpointShared) -> Result<Vec<SocketAddr>, StoreError> {
     let rows = shared.table.scan(ENTRY_KEY_PREFIX).await?;
     let rows: Vec<_> = rows.iter().filter_map(EntryRow::decode).collect();
     let places = rows.iter().map(|row| (row.inner_addr, row.region.as_ref()));
     Ok(near_or_all(&shared.settings.place.region, places))
 }
 
-async fn ask_entry(shared: &EndpointShared, addr: SocketAddr) -> Option<Vec<SocketAddr>> {
+async fn query_entry(shared: &EndpointShared, addr: SocketAddr) -> Option<Vec<SocketAddr>> {
     let local = Some(shared.settings.listen_inner.ip());
     let (sender, mut receiver) = connect(addr, &shared.settings.inner_key, local).await.ok()?;
     sender.send(shared.hello()).await.ok()?;
--- a/crates/agent/src/entry_link.rs
+++ b/crates/agent/src/entry_link.rs
@@ -1,8 +1,8 @@
 //! Connections to the entries.
 //!
-//! The agent dials; entries send presets and requests down the connection.
-//! A lost connection is dialled again with jittered backoff, so that a restart
-//! of an entry does not bring all agents back at the same moment.
+//! The agent dials; entries send presets and requests over the connection. A lost
+//! connection is dialled again with jittered exponential backoff, so that not all
+//! agents reconnect at the same moment after an entry restarts.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,33 +18,33 @@
 
 use crate::{
     endpoint::{EndpointShared, EntryLink},
-    exchange, report, run,
+    orders, report, run,
     transfer::{self, ManifestWord},
 };
 
-/// Longest wait between two attempts to connect, in milliseconds.
+/// Maximum backoff between two attempts to connect, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 1_000;
 
-/// First wait between two attempts to connect, in milliseconds.
+/// Initial backoff between two attempts to connect, in milliseconds; doubled each time.
 const MIN_BACKOFF_MS: u64 = 50;
 
-/// Keeps a connection to the entry at `addr`.
-pub(crate) async fn keep_connected(shared: Arc<EndpointShared>, addr: SocketAddr) {
+/// Keeps a connection to the entry at `addr` open; never returns.
+pub(crate) async fn maintain_connection(shared: Arc<EndpointShared>, addr: SocketAddr) {
     let mut backoff = MIN_BACKOFF_MS;
     let local = Some(shared.settings.listen_inner.ip());
     loop {
         match connect(addr, &shared.settings.inner_key, local).await {
             Ok((sender, receiver)) => {
                 backoff = MIN_BACKOFF_MS;
-                let ended = converse(&shared, addr, sender, receiver).await;
-                log::info!(target: "link", entry:% = addr, cause:% = ended; "Connection to an entry ended.");
-                shared.note_entries_changed();
+                let ended = run_connection(&shared, addr, sender, receiver).await;
+                log::info!(target: "link", entry:% = addr, cause:% = ended; "The connection to an entry ended.");
+                shared.notify_entries_changed();
             }
             Err(error) => {
                 shared.entry_choice().avoid(addr, Timestamp::now());
-                shared.note_entries_changed();
+                shared.notify_entries_changed();
                 shared.start_hold().heard(addr);
-                log::debug!(target: "link", entry:% = addr, cause:% = error; "Cannot reach an entry.");
+                log::debug!(target: "link", entry:% = addr, cause:% = error; "Cannot connect to an entry.");
             }
         }
         let wait = rand::rng().random_range(backoff / 2..=backoff);
@@ -53,20 +53,20 @@
     }
 }
 
-/// Attempts of one connection that are in progress.
+/// Attempts in progress that were dispatched over one connection.
 #[derive(Default)]
 struct LinkAttempts {
     running: HashMap<u64, RunningAttempt>,
 }
 
 struct RunningAttempt {
-    credits: Sender<u32>,
+    grants: Sender<u32>,
     repeat: Repeatability,
     latch: Arc<RunLatch>,
     task: Task<()>,
 }
 
-async fn converse(
+async fn run_connection(
     shared: &Arc<EndpointShared>,
     addr: SocketAddr,
     sender: WireSender,
@@ -77,8 +77,8 @@
     }
     let pace = LoadPace::each_heartbeat();
     shared.entries().push(EntryLink { addr, sender: sender.clone(), pace });
-    shared.note_entries_changed();
-    // An entry that restarted with the table service down may know no preset.
+    shared.notify_entries_changed();
+    // An entry that restarted while the table service was down may have no preset.
     if let Some(preset) = shared.holder().current().cloned() {
         let _ = sender.try_send(ControlMessage::Force(preset));
     }
@@ -87,9 +87,9 @@
     let ended = loop {
         match receiver.recv().await {
             Ok(WireMessage::Control(message)) => {
-                let told = matches!(message, ControlMessage::Force(_));
+                let is_preset = matches!(message, ControlMessage::Force(_));
                 handle_control(shared, addr, &sender, message);
-                if told {
+                if is_preset {
                     shared.start_hold().heard(addr);
                 }
             }
@@ -100,7 +100,7 @@
     };
     sender.close();
     shared.transfer.forget_peers_of(addr);
-    attempts.entry_is_gone();
+    attempts.cancel_all();
     ended
 }
 
@@ -113,11 +113,11 @@
     match message {
         ControlMessage::Force(preset) => {
             let revision = preset.revision;
-            exchange::offer_preset(shared, preset);
-            answer_older(shared, sender, revision);
+            orders::handle_preset(shared, preset);
+            reply_newer_preset(shared, sender, revision);
         }
         ControlMessage::Peers(peers) => transfer::offer_peers(shared, entry, peers),
-        ControlMessage::Order(order) => exchange::offer_order(shared, sender, order),
+        ControlMessage::Order(order) => orders::handle_order(shared, sender, order),
         ControlMessage::Manifest(manifest) => {
             shared.transfer.told.hear(ManifestWord::Known(manifest));
         }
@@ -125,13 +125,13 @@
             shared.transfer.told.hear(ManifestWord::Unknown(manifest));
         }
         ControlMessage::Drain { instance } if instance == shared.settings.place.instance => {
-            leave(shared);
+            start_drain(shared);
         }
         ControlMessage::ReportWanted => report::send_report_to(shared, sender),
         ControlMessage::LoadWanted { every_ms } => set_pace(shared, sender, every_ms),
         ControlMessage::Entries(addrs) => {
             shared.entry_choice().set_candidates(addrs);
-            shared.note_entries_changed();
+            shared.notify_entries_changed();
         }
         ControlMessage::Report(_)
         | ControlMessage::Beat(_)
@@ -159,25 +159,25 @@
     }
 }
 
-/// Sends the preset in force to an entry that works under `revision`, if that is older.
+/// Replies with the preset in force if it is newer than the entry's preset of `revision`.
 ///
-/// An entry that was paused, or that started while the table service and its
-/// peers did not answer, would go on being refused here until a peer tells it.
-fn answer_older(shared: &EndpointShared, sender: &WireSender, revision: PresetRevision) {
+/// An entry that was paused, or that started while neither the table service nor its
+/// peers answered, would otherwise be refused here until a peer sends it the preset.
+fn reply_newer_preset(shared: &EndpointShared, sender: &WireSender, revision: PresetRevision) {
     let newer = shared.holder().current().filter(|known| known.revision > revision).cloned();
     if let Some(newer) = newer {
         let _ = sender.try_send(ControlMessage::Force(newer));
     }
 }
 
-/// Admits nothing from now on and tells every entry so.
-pub(crate) fn leave(shared: &EndpointShared) {
+/// Closes the gate for new requests and announces the drain to every entry.
+pub(crate) fn start_drain(shared: &EndpointShared) {
     let mut gate = shared.gate();
     if *gate.state() == EndpointState::Draining {
         return;
     }
     gate.drain();
-    log::info!(target: "drain", in_progress = gate.in_progress(); "The agent leaves.");
+    log::info!(target: "drain", in_progress = gate.in_progress(); "The agent starts to drain.");
     drop(gate);
     let instance = shared.settings.place.instance.clone();
     let message = ControlMessage::Leaving { instance, incarnation: shared.incarnation };
@@ -199,7 +199,7 @@
             RequestMessage::Cancel { attempt } => self.cancel(attempt),
             RequestMessage::Credit { attempt, bytes } => {
                 if let Some(running) = self.running.get(&attempt) {
-                    let _ = running.credits.try_send(bytes);
+                    let _ = running.grants.try_send(bytes);
                 }
             }
             RequestMessage::Refused { .. }
@@ -219,20 +219,20 @@
         body: Bytes,
     ) {
         self.running.retain(|_, running| !running.task.is_finished());
-        let (credits, granted) = smol::channel::unbounded();
+        let (grants, credits) = smol::channel::unbounded();
         let repeat = head.repeat;
         let latch = Arc::new(RunLatch::default());
         let link =
-            run::AttemptLink { sender: sender.clone(), attempt, granted, latch: latch.clone() };
+            run::AttemptLink { sender: sender.clone(), attempt, credits, latch: latch.clone() };
         let task = spawn(run::run_attempt(shared.clone(), link, head, body));
-        self.running.insert(attempt, RunningAttempt { credits, repeat, latch, task });
+        self.running.insert(attempt, RunningAttempt { grants, repeat, latch, task });
     }
 
-    /// Ends an attempt whose answer nobody waits for.
+    /// Cancels an attempt whose answer is no longer needed.
     ///
-    /// A request that runs at most once and has begun goes on: its effect may be
-    /// under way, and its outcome must be recorded for whoever asks again with
-    /// its key. One that has not begun never does, and releases its claim.
+    /// A request that runs at most once and has begun continues: its effect may be
+    /// in progress, and its outcome must be recorded for retries with its key. One
+    /// that has not begun never does, and releases its claim.
     fn cancel(&mut self, attempt: u64) {
         let Some(running) = self.running.remove(&attempt) else {
             return;
@@ -246,7 +246,7 @@
         }
     }
 
-    fn entry_is_gone(&mut self) {
+    fn cancel_all(&mut self) {
         let attempts: Vec<_> = self.running.keys().copied().collect();
         for attempt in attempts {
             self.cancel(attempt);
--- a/crates/agent/src/keyed.rs
+++ b/crates/agent/src/keyed.rs
@@ -1,4 +1,5 @@
-//! Keyed requests that run at most once: claim, run, record.
+//! Runs requests with an idempotency key at most once: claims the key, runs the request
+//! and records its outcome.
 
 mod row;
 mod writer;
@@ -20,42 +21,42 @@
 use crate::{
     endpoint::EndpointShared,
     run::{
-        AttemptLink, GatePermit, RunFailure, call_engine, ensure_unmixed, longest_run, send_whole,
-        within,
+        AttemptLink, GatePermit, RunFailure, call_engine, ensure_same_version, run_limit,
+        send_buffered, within,
     },
 };
 
-/// First and longest wait before the row is looked at again, in milliseconds.
+/// First wait before a row is read or written again, in milliseconds; doubled each time.
 ///
-/// Each look is a read of the table service, and those who wait for one key can
-/// be many.
-const MIN_LOOK_MS: u64 = 25;
-const MAX_LOOK_MS: u64 = 400;
+/// Every poll is a read of the table service, and many attempts can wait for one key.
+const MIN_POLL_MS: u64 = 25;
+
+/// Longest wait before a row is read or written again, in milliseconds.
+const MAX_POLL_MS: u64 = 400;
 
 /// Longest wait for a claim, or for the outcome of the attempt that holds it.
 ///
-/// A caller that is given up on gets its answer now, with when to come back,
-/// and not just before its deadline.
-const CLAIM_TIME: Duration = Duration::from_secs(2);
+/// When it elapses, the caller is refused at once with a time to retry, instead of
+/// just before its deadline.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time before a request's deadline at which a claim is given up.
+/// Time before a request's deadline at which a claim is abandoned.
 ///
-/// The entry answers "unknown" at the deadline. A refusal that leaves the agent
-/// at the same moment comes too late, and a caller whose request never ran
-/// would be left in doubt, as a clerk who does not know whether a card was
-/// charged. The refusal has to be there before.
-const REFUSAL_LEAD: Duration = Duration::from_millis(100);
+/// The entry answers "unknown" at the deadline. A refusal sent at the same moment
+/// arrives too late, and the caller of a request that never ran could not tell whether
+/// it did, for example whether a card was charged. The refusal must arrive before.
+const REFUSAL_MARGIN: Duration = Duration::from_millis(100);
 
-/// Part of the time left that the lead may take, of a request in a hurry.
-const LEAD_PART: u32 = 4;
+/// Limits the margin to this fraction (one in four) of the time left, for short deadlines.
+const MARGIN_DIVISOR: u32 = 4;
 
-/// Longest wait of an answer for the record of its outcome.
-const RECORD_WAIT: Duration = Duration::from_millis(250);
+/// Longest time for which an answer is held back until its outcome is recorded.
+const RECORD_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Longest answer that is recorded, in bytes.
+/// Largest body of an answer that is recorded, in bytes.
 const MAX_RECORDED_BYTES: usize = 64 << 10;
 
-/// Claims, runs and records a keyed request, or gives its recorded answer.
+/// Claims, runs and records a keyed request, or sends the answer recorded for its key.
 pub(crate) async fn run_claimed(
     shared: &Arc<EndpointShared>,
     link: &AttemptLink,
@@ -66,14 +67,14 @@
     let mut attempt = KeyedAttempt::new(shared, link, head, &body, permit)?;
     let step = attempt.claim().await;
     if attempt.tracker.is_uncertain() {
-        row::release_late(shared, &attempt.row, &attempt.tracker);
+        row::release_uncertain(shared, &attempt.row, &attempt.tracker);
     }
     match step? {
         ClaimStep::Run(revision) => attempt.run(body, revision).await,
         ClaimStep::Replay(answer) => {
             let body = hex::decode(&answer.body)
                 .map_err(|_| RunFailure::Unknown("the recorded answer is damaged".to_owned()))?;
-            send_whole(link, head, &answer, &body, true).await
+            send_buffered(link, head, &answer, &body, true).await
         }
         ClaimStep::Conflict => Err(RunFailure::NotRun(NotRunReason::KeyConflict)),
         ClaimStep::Unknown(detail) => Err(RunFailure::Unknown(detail)),
@@ -83,7 +84,7 @@
     }
 }
 
-/// One attempt at a keyed request.
+/// State of one attempt to run a keyed request.
 struct KeyedAttempt<'a> {
     shared: &'a Arc<EndpointShared>,
     link: &'a AttemptLink,
@@ -106,9 +107,9 @@
             return Err(RunFailure::NotRun(NotRunReason::KeyConflict));
         };
         let now = Timestamp::now();
-        let left = head.deadline.remaining(now);
-        let lead = REFUSAL_LEAD.min(left / LEAD_PART);
-        let give_up_at = now.deadline_after(CLAIM_TIME.min(left - lead));
+        let time_left = head.deadline.remaining(now);
+        let margin = REFUSAL_MARGIN.min(time_left / MARGIN_DIVISOR);
+        let give_up_at = now.deadline_after(CLAIM_TIMEOUT.min(time_left - margin));
         let nonce = new_nonce(shared, head)?;
         Ok(Self {
             shared,
@@ -121,39 +122,39 @@
         })
     }
 
-    /// Writes and looks until the request may run, is answered, or is given up.
+    /// Writes and reads the row until the request may run, has an answer, or is abandoned.
     async fn claim(&mut self) -> Result<ClaimStep, RunFailure> {
         let mut step = ClaimStep::Write(ClaimGuard::Absent);
         let mut wait_ms = 0;
         loop {
-            let goes_on = matches!(step, ClaimStep::Write(_) | ClaimStep::Look);
-            // A claim that is certain goes on to the run, which begins only if it was
-            // not cancelled, and releases the row if it was: given up here, the row
-            // would stay held by an attempt that never runs, and whoever asks again
-            // with the key would be told "unknown" for ever.
-            if goes_on && self.link.latch.is_cancelled() {
+            let is_pending = matches!(step, ClaimStep::Write(_) | ClaimStep::Look);
+            // A cancelled attempt whose claim is certain still proceeds to the run, which
+            // does not begin but releases the row. If it were abandoned here, the row
+            // would stay held by an attempt that never runs, and every retry with the
+            // key would get "unknown" for ever.
+            if is_pending && self.link.latch.is_cancelled() {
                 return Err(RunFailure::NotRun(NotRunReason::Cancelled));
             }
             let view = match step {
                 ClaimStep::Write(guard) => {
-                    pause(wait_ms).await;
+                    jittered_wait(wait_ms).await;
                     self.take_permit()?;
                     self.tracker.begin_write();
                     let record = self.tracker.record();
                     row::write_claim(self.shared, &self.row, record, guard, self.give_up_at).await
                 }
                 ClaimStep::Look => {
-                    // Waiters would fill the gate, and the run that they wait
-                    // for might be the one that is refused.
+                    // Waiting attempts would use up the gate's permits, so that the run
+                    // they wait for might be refused.
                     if self.tracker.waits_for_other() {
                         self.permit = None;
                     }
-                    pause(wait_ms).await;
-                    row::look_until(self.shared, &self.row, self.give_up_at).await
+                    jittered_wait(wait_ms).await;
+                    row::read_claim(self.shared, &self.row, self.give_up_at).await
                 }
-                settled => return Ok(settled),
+                final_step => return Ok(final_step),
             };
-            wait_ms = (wait_ms * 2).clamp(MIN_LOOK_MS, MAX_LOOK_MS);
+            wait_ms = (wait_ms * 2).clamp(MIN_POLL_MS, MAX_POLL_MS);
             step = self.tracker.next(view, Timestamp::now());
         }
     }
@@ -168,35 +169,35 @@
     /// Runs the claimed request, whose row has `revision`, and records its outcome.
     async fn run(mut self, body: Bytes, revision: u64) -> Result<(), RunFailure> {
         if let Err(reason) = self.begin_run() {
-            self.settle(ClaimState::Released, revision).await;
+            self.record_outcome(ClaimState::Released, revision).await;
             return Err(RunFailure::NotRun(reason));
         }
-        let run = run_whole(self.shared, self.head, body);
-        let ran = within(longest_run(self.head), run).await;
+        let run = run_and_collect(self.shared, self.head, body);
+        let ran = within(run_limit(self.head), run).await;
         self.permit = None;
         match ran {
             Ok((answer, body)) => {
-                self.settle(recorded(&answer, &body), revision).await;
-                send_whole(self.link, self.head, &answer, &body, false).await
+                self.record_outcome(final_state(&answer, &body), revision).await;
+                send_buffered(self.link, self.head, &answer, &body, false).await
             }
             Err(RunFailure::NotRun(reason)) => {
-                // Without the release the key would stay bound to an attempt
-                // that never ran, and its caller could never buy with it.
-                self.settle(ClaimState::Released, revision).await;
+                // Without the release the key would stay bound to an attempt that never
+                // ran, and no request with that key could ever run.
+                self.record_outcome(ClaimState::Released, revision).await;
                 Err(RunFailure::NotRun(reason))
             }
             Err(RunFailure::Unknown(detail)) => {
-                self.settle(ClaimState::Unanswered { detail: detail.clone() }, revision).await;
+                self.record_outcome(ClaimState::Unanswered { detail: detail.clone() }, revision)
+                    .await;
                 Err(RunFailure::Unknown(detail))
             }
         }
     }
 
-    /// Checks for the last time before the run.
+    /// Checks deadline and cancellation once more, immediately before the run.
     ///
-    /// This process may have been paused while the claim was under way. Its
-    /// caller has been told "unknown" at the deadline and must not see a sale
-    /// appear minutes later.
+    /// This process may have been paused while the claim was being written. The caller
+    /// got "unknown" at the deadline, and a sale must not appear minutes later.
     fn begin_run(&self) -> Result<(), NotRunReason> {
         if self.head.deadline.is_past(Timestamp::now()) {
             return Err(NotRunReason::DeadlineTooClose);
@@ -207,26 +208,26 @@
         Ok(())
     }
 
-    /// Writes the claim's final state; goes on in the background while the store is slow.
-    async fn settle(&self, state: ClaimState, revision: u64) {
+    /// Writes the claim's final state; continues in the background if the store is slow.
+    async fn record_outcome(&self, state: ClaimState, revision: u64) {
         let record = self.tracker.record_as(state);
-        let mut task = row::settle(self.shared, &self.row, record, revision);
-        if timeout(RECORD_WAIT, &mut task).await.is_none() {
-            log::info!(target: "claim", request:% = self.head.id; "An outcome is recorded later.");
+        let mut task = row::write_final_state(self.shared, &self.row, record, revision);
+        if timeout(RECORD_TIMEOUT, &mut task).await.is_none() {
+            log::info!(target: "claim", request:% = self.head.id; "Recording an outcome takes long; continuing in the background.");
             task.detach();
         }
     }
 }
 
-/// Waits for about `wait_ms`, so that those who wait for one key do not look together.
-async fn pause(wait_ms: u64) {
+/// Waits for `wait_ms` with jitter, so that attempts waiting for one key do not poll together.
+async fn jittered_wait(wait_ms: u64) {
     if wait_ms > 0 {
         let wait_ms = rand::rng().random_range(wait_ms / 2..=wait_ms);
         Timer::after(Duration::from_millis(wait_ms)).await;
     }
 }
 
-async fn run_whole(
+async fn run_and_collect(
     shared: &EndpointShared,
     head: &RequestHead,
     body: Bytes,
@@ -235,7 +236,7 @@
     let whole = answer.body.collect().await;
     let whole = whole.map_err(|error| RunFailure::Unknown(format!("answer cut: {error}")))?;
     let body = whole.to_bytes();
-    ensure_unmixed(shared, head).await?;
+    ensure_same_version(shared, head).await?;
     let answer = RecordedAnswer {
         status: answer.status,
         content_type: answer.content_type,
@@ -247,7 +248,7 @@
     Ok((answer, body))
 }
 
-fn recorded(answer: &RecordedAnswer, body: &[u8]) -> ClaimState {
+fn final_state(answer: &RecordedAnswer, body: &[u8]) -> ClaimState {
     if body.len() > MAX_RECORDED_BYTES {
         let detail = format!("it ran, but its answer of {} bytes was not kept", body.len());
         return ClaimState::Unanswered { detail };
@@ -257,9 +258,9 @@
 
 fn new_nonce(shared: &EndpointShared, head: &RequestHead) -> Result<AttemptNonce, RunFailure> {
     let instance = &shared.settings.place.instance;
-    let text = format!("{instance}-{}-{}", shared.incarnation, shared.next_attempt());
+    let text = format!("{instance}-{}-{}", shared.incarnation, shared.next_attempt_id());
     AttemptNonce::new(&text).map_err(|error| {
-        log::error!(target: "claim", request:% = head.id, cause:% = error; "No nonce can be made.");
+        log::error!(target: "claim", request:% = head.id, cause:% = error; "Cannot create a nonce for an attempt.");
         RunFailure::NotRun(NotRunReason::StoreUnavailable)
     })
 }
--- a/crates/agent/src/keyed/row.rs
+++ b/crates/agent/src/keyed/row.rs
@@ -1,4 +1,4 @@
-//! The row of one keyed request in the table service.
+//! Reads and writes the claim row of one keyed request in the table service.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,13 +13,13 @@
 
 use crate::endpoint::EndpointShared;
 
-/// How long an outcome is written again while the table service is away.
-const SETTLE_TIME: Duration = Duration::from_secs(15 * 60);
+/// Time for which writing an outcome is retried while the table service fails.
+const MAX_RETRY_TIME: Duration = Duration::from_secs(15 * 60);
 
-/// First wait before a row is written again, in milliseconds; doubled each time.
+/// First backoff before a row is accessed again, in milliseconds; doubled each time.
 const MIN_BACKOFF_MS: u64 = 50;
 
-/// Longest wait before a row is written again, in milliseconds.
+/// Longest backoff before a row is accessed again, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 5_000;
 
 /// Writes the claim; a write without an answer by `give_up_at` counts as lost.
@@ -30,26 +30,26 @@
     guard: ClaimGuard,
     give_up_at: Deadline,
 ) -> ClaimView {
-    let span = give_up_at.remaining(Timestamp::now());
-    timeout(span, write(shared, row, record, guard)).await.unwrap_or(ClaimView::Lost)
+    let time_left = give_up_at.remaining(Timestamp::now());
+    timeout(time_left, write(shared, row, record, guard)).await.unwrap_or(ClaimView::Lost)
 }
 
-/// Reads the row; a read without an answer by `give_up_at` tells nothing.
+/// Reads the row; a read without an answer by `give_up_at` counts as lost.
 ///
-/// A slow store would otherwise hold the refusal back beyond the caller's
-/// deadline, and the caller would hear "unknown" of a request that never ran.
-pub(crate) async fn look_until(
+/// A slow store would otherwise delay the refusal beyond the caller's deadline, and the
+/// caller would get "unknown" for a request that never ran.
+pub(crate) async fn read_claim(
     shared: &EndpointShared,
     row: &str,
     give_up_at: Deadline,
 ) -> ClaimView {
-    let span = give_up_at.remaining(Timestamp::now());
-    timeout(span, look(shared, row)).await.unwrap_or(ClaimView::Lost)
+    let time_left = give_up_at.remaining(Timestamp::now());
+    timeout(time_left, read_row(shared, row)).await.unwrap_or(ClaimView::Lost)
 }
 
-async fn look(shared: &EndpointShared, row: &str) -> ClaimView {
+async fn read_row(shared: &EndpointShared, row: &str) -> ClaimView {
     match shared.table.read(row).await {
-        Ok(Some(found)) => view_of(found),
+        Ok(Some(found)) => view_of_row(found),
         Ok(None) => ClaimView::Absent,
         Err(error) => view_of_error(&error),
     }
@@ -75,18 +75,18 @@
     let write = TableWrite { key: row.to_owned(), guard, value };
     match shared.claims.write(write, bytes).await {
         Ok(WriteOutcome::Written(revision)) => ClaimView::Written(revision),
-        Ok(WriteOutcome::Conflict(Some(found))) => view_of(found),
+        Ok(WriteOutcome::Conflict(Some(found))) => view_of_row(found),
         Ok(WriteOutcome::Conflict(None)) => ClaimView::Absent,
         Ok(WriteOutcome::Aborted) => ClaimView::NoEffect,
         Err(error) => view_of_error(&error),
     }
 }
 
-fn view_of(row: TableRow) -> ClaimView {
+fn view_of_row(row: TableRow) -> ClaimView {
     match serde_json::from_value(row.value) {
         Ok(record) => ClaimView::Found { record, revision: row.revision },
         Err(error) => {
-            log::error!(target: "claim", row = row.key, cause:% = error; "A row is not a claim.");
+            log::error!(target: "claim", row = row.key, cause:% = error; "Cannot parse the row of a claim.");
             ClaimView::Lost
         }
     }
@@ -99,11 +99,11 @@
     }
 }
 
-/// Writes the final state of a claim that we hold, until it is written.
+/// Writes the final state of a claim held by this process, with retries.
 ///
-/// Lost answers are harmless: the row's revision lets only one of the repeated
-/// writes take effect, and a conflict then shows our own record.
-pub(crate) fn settle(
+/// A lost answer is harmless: the guard on the row's revision lets only one of the
+/// repeated writes take effect, and a conflict then returns the record of this process.
+pub(crate) fn write_final_state(
     shared: &Arc<EndpointShared>,
     row: &str,
     record: ClaimRecord,
@@ -118,34 +118,34 @@
                 ClaimView::Written(_) => return,
                 ClaimView::Found { record: found, .. } if found == record => return,
                 ClaimView::Found { .. } | ClaimView::Absent => {
-                    log::error!(target: "claim", row = row; "A held claim was changed by another.");
+                    log::error!(target: "claim", row = row; "Another process changed a claim that this one holds.");
                     return;
                 }
                 ClaimView::NoEffect | ClaimView::Lost => {}
             }
             if !backoff.wait().await {
-                log::warn!(target: "claim", row = row; "An outcome was not recorded.");
+                log::warn!(target: "claim", row = row; "Gave up recording an outcome.");
                 return;
             }
         }
     })
 }
 
-/// Makes sure that a claim which may yet take effect stands in nobody's way.
-pub(crate) fn release_late(shared: &Arc<EndpointShared>, row: &str, tracker: &ClaimTracker) {
+/// Releases a claim whose write may still take effect, so that it does not block its key.
+pub(crate) fn release_uncertain(shared: &Arc<EndpointShared>, row: &str, tracker: &ClaimTracker) {
     let (shared, row) = (shared.clone(), row.to_owned());
     let released = tracker.record_as(ClaimState::Released);
     spawn(async move {
         let _open = shared.open_attempt();
         let mut backoff = RowBackoff::begin();
-        let mut view = look(&shared, &row).await;
+        let mut view = read_row(&shared, &row).await;
         loop {
             view = match release_step(&released.nonce, &view) {
                 ReleaseStep::Done => return,
                 ReleaseStep::Write(guard) => write(&shared, &row, &released, guard).await,
-                ReleaseStep::Look if backoff.wait().await => look(&shared, &row).await,
+                ReleaseStep::Look if backoff.wait().await => read_row(&shared, &row).await,
                 ReleaseStep::Look => {
-                    log::warn!(target: "claim", row = row; "A claim was not released.");
+                    log::warn!(target: "claim", row = row; "Gave up releasing a claim.");
                     return;
                 }
             };
@@ -154,7 +154,7 @@
     .detach();
 }
 
-/// Waits between tries, until they are given up.
+/// Jittered exponential backoff with a deadline for the last try.
 struct RowBackoff {
     next_ms: u64,
     give_up_at: Deadline,
@@ -162,10 +162,13 @@
 
 impl RowBackoff {
     fn begin() -> Self {
-        Self { next_ms: MIN_BACKOFF_MS, give_up_at: Timestamp::now().deadline_after(SETTLE_TIME) }
+        Self {
+            next_ms: MIN_BACKOFF_MS,
+            give_up_at: Timestamp::now().deadline_after(MAX_RETRY_TIME),
+        }
     }
 
-    /// Waits; false once it is time to give up.
+    /// Waits for the next backoff; false once the deadline is past.
     async fn wait(&mut self) -> bool {
         let wait = rand::rng().random_range(self.next_ms / 2..=self.next_ms);
         Timer::after(Duration::from_millis(wait)).await;
--- a/crates/agent/src/keyed/writer.rs
+++ b/crates/agent/src/keyed/writer.rs
@@ -1,7 +1,7 @@
-//! Group commit: rows of many requests in one write of the table service.
+//! Group commit: writes the rows of many requests with one call of the table service.
 //!
-//! The service takes several hundred writes a second, and each keyed request
-//! needs two. While one write is under way, the next rows gather, so the rows
+//! The service accepts several hundred writes a second, and each keyed request needs
+//! two. Rows that arrive during a write are queued for the next one, so that the rows
 //! per write grow with the load and the writes per second do not.
 
 use std::{collections::HashSet, sync::Arc, time::Duration};
@@ -13,21 +13,21 @@
     channel::{Receiver, Sender, bounded},
 };
 
-/// Rows that may wait before their writers wait.
+/// Capacity of the queue, in rows; writers wait while it is full.
 const QUEUE_LENGTH: usize = 1_024;
 
-/// Most rows in one write.
+/// Maximum number of rows in one write.
 const MAX_ROWS: usize = 64;
 
-/// Most bytes of answers in one write.
+/// Maximum size of the recorded answers in one write, in bytes.
 const MAX_BYTES: usize = 2 << 20;
 
-/// Longest pause that the service's wish to come back later is honoured for.
-const MAX_PAUSE: Duration = Duration::from_secs(1);
+/// Upper bound of the delay that the service may impose with `retry_after`.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-type Verdict = Result<WriteOutcome, StoreError>;
+type WriteReply = Result<WriteOutcome, StoreError>;
 
-/// Writes single rows, many at a time.
+/// Handle that queues single rows to be written in batches.
 #[derive(Debug, Clone)]
 pub(crate) struct ClaimWriter {
     queue: Sender<QueuedRow>,
@@ -37,11 +37,11 @@
 struct QueuedRow {
     write: TableWrite,
     bytes: usize,
-    verdict: Sender<Verdict>,
+    reply: Sender<WriteReply>,
 }
 
 impl ClaimWriter {
-    /// Starts the task that writes to `table`.
+    /// Starts the task that writes the queued rows to `table`.
     pub(crate) fn start(table: Arc<dyn TableStore>) -> Self {
         let (queue, rows) = bounded(QUEUE_LENGTH);
         spawn(write_rows(table, rows)).detach();
@@ -51,35 +51,38 @@
     /// Writes one row whose value has about `bytes` bytes.
     ///
     /// If the returned future is dropped, the row may still be written.
-    pub(crate) async fn write(&self, write: TableWrite, bytes: usize) -> Verdict {
-        let (verdict, answer) = bounded(1);
-        let row = QueuedRow { write, bytes, verdict };
-        let ended = |_| StoreError::Unknown("the writer has ended".to_owned());
-        self.queue.send(row).await.map_err(|_| StoreError::NoEffect("closed".to_owned()))?;
-        answer.recv().await.map_err(ended)?
+    pub(crate) async fn write(&self, write: TableWrite, bytes: usize) -> WriteReply {
+        let (reply, replies) = bounded(1);
+        let row = QueuedRow { write, bytes, reply };
+        let ended = |_| StoreError::Unknown("the claim writer has ended".to_owned());
+        self.queue
+            .send(row)
+            .await
+            .map_err(|_| StoreError::NoEffect("the claim writer has ended".to_owned()))?;
+        replies.recv().await.map_err(ended)?
     }
 }
 
 async fn write_rows(table: Arc<dyn TableStore>, rows: Receiver<QueuedRow>) {
-    let mut held = None;
+    let mut deferred = None;
     loop {
-        let first = match held.take() {
+        let first = match deferred.take() {
             Some(row) => row,
             None => match rows.recv().await {
                 Ok(row) => row,
                 Err(_) => return,
             },
         };
-        let batch = gather(first, &rows, &mut held);
+        let batch = collect_batch(first, &rows, &mut deferred);
         write_batch(table.as_ref(), batch).await;
     }
 }
 
-/// Takes what waits, up to the limits; a row that must go later is `held`.
-fn gather(
+/// Takes queued rows up to the limits; a row left for the next batch goes to `deferred`.
+fn collect_batch(
     first: QueuedRow,
     rows: &Receiver<QueuedRow>,
-    held: &mut Option<QueuedRow>,
+    deferred: &mut Option<QueuedRow>,
 ) -> Vec<QueuedRow> {
     let mut keys = HashSet::from([first.write.key.clone()]);
     let mut bytes = first.bytes;
@@ -89,16 +92,16 @@
             break;
         };
         bytes += row.bytes;
-        // Two writes of one row in one call would depend on the order in which
-        // the service applies them.
+        // The result of two writes of one row in one call would depend on the order in
+        // which the service applies them.
         if bytes > MAX_BYTES || !keys.insert(row.write.key.clone()) {
-            *held = Some(row);
+            *deferred = Some(row);
             break;
         }
         batch.push(row);
     }
-    // Nobody waits for these any more, so nobody would run what they claim.
-    batch.retain(|row| !row.verdict.is_closed());
+    // The attempts behind these rows have ended, so nothing would run under their claims.
+    batch.retain(|row| !row.reply.is_closed());
     batch
 }
 
@@ -108,25 +111,28 @@
     }
     let writes: Vec<_> = batch.iter().map(|row| row.write.clone()).collect();
     match table.write(&writes, false).await {
-        Ok(verdicts) if verdicts.len() == batch.len() => {
-            for (row, verdict) in batch.into_iter().zip(verdicts) {
-                let _ = row.verdict.try_send(Ok(verdict));
+        Ok(outcomes) if outcomes.len() == batch.len() => {
+            for (row, outcome) in batch.into_iter().zip(outcomes) {
+                let _ = row.reply.try_send(Ok(outcome));
             }
         }
-        Ok(_) => refuse(batch, &StoreError::Unknown("an answer for other rows".to_owned())),
+        Ok(_) => fail_batch(
+            batch,
+            &StoreError::Unknown("the answer has another number of rows than the write".to_owned()),
+        ),
         Err(error) => {
-            let pause = match error {
-                StoreError::RateLimited { retry_after } => retry_after.min(MAX_PAUSE),
+            let delay = match error {
+                StoreError::RateLimited { retry_after } => retry_after.min(MAX_RETRY_AFTER),
                 StoreError::NoEffect(_) | StoreError::Unknown(_) => Duration::ZERO,
             };
-            refuse(batch, &error);
-            Timer::after(pause).await;
+            fail_batch(batch, &error);
+            Timer::after(delay).await;
         }
     }
 }
 
-fn refuse(batch: Vec<QueuedRow>, error: &StoreError) {
+fn fail_batch(batch: Vec<QueuedRow>, error: &StoreError) {
     for row in batch {
-        let _ = row.verdict.try_send(Err(error.clone()));
+        let _ = row.reply.try_send(Err(error.clone()));
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,15 +1,15 @@
-//! The agent: the one process of cassiawheel at an endpoint instance.
+//! The agent: cassiawheel's process at an endpoint instance.
 //!
-//! It fetches and verifies weights, swaps chunks with other agents, stages
-//! them into its engine, and is the gate through which every request of the
-//! system reaches that engine.
+//! It fetches and verifies weights, exchanges chunks with other agents and stages them
+//! in its engine. Requests that entries dispatch to it reach the engine through its gate,
+//! which limits concurrency and drains the engine for a switch of weights.
 
 mod endpoint;
 mod entry_choice;
 mod entry_link;
-mod exchange;
 mod keyed;
 mod metrics;
+mod orders;
 mod report;
 mod run;
 mod serve;
@@ -19,16 +19,16 @@
 
 pub use serve::AgentClients;
 
-/// Executor threads of an agent; small, since one instance has one agent.
+/// Executor threads of an agent, which shares its instance with the engine.
 const THREADS: usize = 2;
 
-/// Runs an agent until it is asked to stop.
+/// Runs an agent until a termination signal arrives.
 pub fn run(settings: AgentSettings) -> anyhow::Result<()> {
     let clients = AgentClients::from_settings(&settings);
     run_with(settings, clients, THREADS)
 }
 
-/// Runs an agent between `clients` on `threads` threads until it is asked to stop.
+/// Runs an agent with the given clients on `threads` threads until a termination signal arrives.
 pub fn run_with(
     settings: AgentSettings,
     clients: AgentClients,
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The process at an endpoint instance.
+//! Command line of the agent, the process at an endpoint instance.
 
 use std::{
     path::{Path, PathBuf},
@@ -49,7 +49,7 @@
     file: PathBuf,
 }
 
-/// The exit codes, for `--help`.
+/// Description of the exit codes, appended to the help text.
 const EXIT_CODES: &str = "\
 Exit codes: 0 done, every request was finished; 1 failed, or a stop cut requests
 off; 2 wrong usage, or findings in the settings.";
@@ -78,7 +78,7 @@
     }
 }
 
-/// The arguments, or the exit code after help or a wrong usage was printed.
+/// Parses the command line; on `--help` or wrong usage prints and returns the exit code.
 fn parse_args() -> Result<AgentArgs, ExitCode> {
     let given: Vec<String> = std::env::args().collect();
     let given: Vec<&str> = given.iter().skip(1).map(String::as_str).collect();
@@ -95,7 +95,7 @@
 }
 
 fn serve(settings: AgentSettings) -> ExitCode {
-    end_of(cassiawheel_agent::run(settings))
+    exit_code(cassiawheel_agent::run(settings))
 }
 
 fn serve_on_platform(path: &Path) -> ExitCode {
@@ -114,11 +114,11 @@
         table: Arc::new(PlatformTable::new(rows)),
         origin: Arc::new(PlatformOrigin::default()),
     };
-    end_of(cassiawheel_agent::run_with(settings, clients, boot.threads()))
+    exit_code(cassiawheel_agent::run_with(settings, clients, boot.threads()))
 }
 
-fn end_of(run: anyhow::Result<()>) -> ExitCode {
-    match run {
+fn exit_code(result: anyhow::Result<()>) -> ExitCode {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error:#}");
@@ -127,14 +127,14 @@
     }
 }
 
-/// Goes on with the settings in `file`, unless they have findings.
-fn with_settings(file: &Path, go_on: impl FnOnce(AgentSettings) -> ExitCode) -> ExitCode {
+/// Reads the settings in `file` and passes them to `run`, or prints their findings.
+fn with_settings(file: &Path, run: impl FnOnce(AgentSettings) -> ExitCode) -> ExitCode {
     let source = file.display().to_string();
     let read = std::fs::read_to_string(file)
         .map_err(|error| format!("{source}: cannot be read: {error}"))
         .and_then(|text| parse_settings(&source, &text).map_err(|found| found.to_string()));
     match read {
-        Ok(settings) => go_on(settings),
+        Ok(settings) => run(settings),
         Err(findings) => {
             eprintln!("{findings}");
             ExitCode::from(FINDINGS_CODE)
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -16,14 +16,14 @@
     pub(crate) sent_bytes: IntCounter,
     /// Chunks that arrived corrupt.
     pub(crate) corrupt_chunks: IntCounter,
-    /// Chunks taken over from another version that is held.
+    /// Chunks copied from another version that the agent holds.
     pub(crate) reused_chunks: IntCounter,
     /// Chunks still missing of the weights being fetched.
     pub(crate) missing_chunks: IntGauge,
 }
 
 impl AgentMetrics {
-    /// Metrics registered in `registry`.
+    /// Creates the metrics and registers them in `registry`.
     pub(crate) fn register(registry: &Registry) -> prometheus::Result<Self> {
         let counter = |name: &str, help: &str| -> prometheus::Result<IntCounter> {
             let counter = IntCounter::new(format!("cassiawheel_agent_{name}"), help)?;
--- a/crates/agent/src/report.rs
+++ b/crates/agent/src/report.rs
@@ -10,16 +10,16 @@
 use cassiawheel_wire::{ControlMessage, WireSender};
 use smol::Timer;
 
-use crate::{endpoint::EndpointShared, exchange};
+use crate::{endpoint::EndpointShared, orders};
 
-/// The endpoint's present report.
+/// Builds a report of the endpoint's current state, without a sequence number.
 pub(crate) fn build_report(shared: &EndpointShared) -> EndpointReport {
     let settings = &shared.settings;
     let gate = shared.gate().clone();
     let order = shared.order().clone();
     let mut load = *shared.load();
-    // The gate counts exactly what passes it; the engine's own number lags and
-    // may hold work of an earlier process.
+    // The gate's count is exact for this process; the engine's count lags and may
+    // include requests from an earlier process.
     load.in_flight = load.in_flight.max(gate.in_progress());
     EndpointReport {
         instance: settings.place.instance.clone(),
@@ -42,25 +42,25 @@
     }
 }
 
-/// Sends the whole present report to every connected entry.
+/// Sends a full report of the current state to every connected entry.
 pub(crate) fn send_report(shared: &EndpointShared) {
     let mut last = shared.last_report();
     let report = build_report(shared);
-    send_whole(shared, &mut last, report);
+    send_full_report(shared, &mut last, report);
 }
 
-/// Sends the whole present report to the entry at the other end of `sender`.
+/// Sends a full report of the current state to the entry at the other end of `sender`.
 ///
-/// Only to this one: if each entry that connects or asks made the agent tell all
-/// of them, their number would enter as its square.
+/// Only to this entry: if every connection or request by an entry triggered a broadcast,
+/// the number of messages would grow with the square of the number of entries.
 pub(crate) fn send_report_to(shared: &EndpointShared, sender: &WireSender) {
-    // Locked so that a report of an earlier state cannot be queued after it.
+    // Holding the lock prevents a report of an earlier state from being queued after this one.
     let _last = shared.last_report();
-    let report = numbered(shared, build_report(shared));
+    let report = with_sequence(shared, build_report(shared));
     let _ = sender.try_send(ControlMessage::Report(Box::new(report)));
 }
 
-/// Sends the load if the last whole report still holds, else a new one.
+/// Sends only the load if the last full report is still accurate, else a new full report.
 fn send_heartbeat(shared: &EndpointShared) {
     let now = Timestamp::now();
     let mut last = shared.last_report();
@@ -68,30 +68,34 @@
     if last.as_ref().is_some_and(|last| last.covers(&report, now)) {
         send_load(shared, report.load, now);
     } else {
-        send_whole(shared, &mut last, report);
+        send_full_report(shared, &mut last, report);
     }
 }
 
-/// Sends `report` and notes it as the last one.
+/// Sends `report` to every connected entry and stores it as the last one.
 ///
-/// `last` stays locked from the building of the report to its queueing: two
-/// reports that overtook each other would leave the entries with the older
-/// state, and the beats that follow would confirm it for ever.
-fn send_whole(shared: &EndpointShared, last: &mut Option<ToldReport>, report: EndpointReport) {
-    let message = ControlMessage::Report(Box::new(numbered(shared, report.clone())));
-    let reached_all = send_to_entries(shared, &message);
-    // An entry whose queue was full would take the next beats for the state
-    // before this one, and might route to an endpoint that switches.
+/// `last` stays locked from building the report to queueing it. If two reports were
+/// queued in the wrong order, the entries would keep the older state, and the load
+/// messages that follow would confirm it for ever.
+fn send_full_report(
+    shared: &EndpointShared,
+    last: &mut Option<ToldReport>,
+    report: EndpointReport,
+) {
+    let message = ControlMessage::Report(Box::new(with_sequence(shared, report.clone())));
+    let reached_all = broadcast(shared, &message);
+    // An entry whose queue was full would apply the next load messages to the previous
+    // state and might route to an endpoint that is switching.
     *last = reached_all.then(|| ToldReport::new(report, Timestamp::now()));
 }
 
-/// `report` with the next sequence number.
-fn numbered(shared: &EndpointShared, report: EndpointReport) -> EndpointReport {
-    EndpointReport { sequence: shared.next_report(), ..report }
+/// Sets the next sequence number in `report`.
+fn with_sequence(shared: &EndpointShared, report: EndpointReport) -> EndpointReport {
+    EndpointReport { sequence: shared.next_report_sequence(), ..report }
 }
 
 /// Queues `message` for every connected entry; false if a queue was full.
-fn send_to_entries(shared: &EndpointShared, message: &ControlMessage) -> bool {
+fn broadcast(shared: &EndpointShared, message: &ControlMessage) -> bool {
     let mut reached_all = true;
     shared.entries().retain(|entry| match entry.sender.try_send(message.clone()) {
         Ok(queued) => {
@@ -103,7 +107,7 @@
     reached_all
 }
 
-/// Queues the load for the entries that want to hear it now.
+/// Queues the load for the entries whose load interval has elapsed.
 fn send_load(shared: &EndpointShared, load: LoadReport, now: Timestamp) {
     let message = ControlMessage::Beat(load);
     shared.entries().retain_mut(|entry| {
@@ -111,29 +115,29 @@
     });
 }
 
-/// Reports at every heartbeat, after asking the engine for its load.
-pub(crate) async fn report_regularly(shared: Arc<EndpointShared>) {
+/// Sends a heartbeat at every interval, after reading the engine's status; never returns.
+pub(crate) async fn send_heartbeats(shared: Arc<EndpointShared>) {
     let mut is_reached = true;
     loop {
         let before = shared.gate().state().clone();
         let status = shared.engine.status().await;
         if status.is_ok() && !is_reached {
-            // An engine that starts again waits for weights; the next try to
-            // bring them may be seconds away.
-            log::info!(target: "switch", "The engine answers again.");
+            // A restarted engine has no weights; the backoff before the next try to
+            // stage them may be seconds.
+            log::info!(target: "switch", "The engine is reachable again.");
             shared.transfer.wake();
         }
         is_reached = status.is_ok();
         if let Ok(status) = status {
-            exchange::check_engine(&shared, &before, &status);
+            orders::check_engine(&shared, &before, &status);
             if shared.order().is_none() {
-                exchange::take_up(&shared, &status);
+                orders::adopt_engine_version(&shared, &status);
             }
             shared.engine_fencing.fetch_max(status.fencing, Ordering::Relaxed);
             *shared.load() = status.load;
         }
         send_heartbeat(&shared);
-        shared.transfer.repeat_held();
+        shared.transfer.resend_holdings();
         Timer::after(Duration::from_millis(shared.settings.heartbeat_ms)).await;
     }
 }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Running one attempt: gate, engine, relay.
+//! Runs one attempt: admission by the gate, the engine call, the relay of its answer.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,37 +13,37 @@
 
 use crate::{endpoint::EndpointShared, keyed};
 
-/// Answer bytes that may be under way without a credit from the entry.
+/// Answer bytes that may be in flight before the entry grants further credit.
 pub const INITIAL_CREDIT: i64 = 256 << 10;
 
-/// The way back to the entry for one attempt.
+/// Connection over which the answer of one attempt is sent to the entry.
 pub(crate) struct AttemptLink {
-    /// The connection.
+    /// Queue of messages to the entry.
     pub(crate) sender: WireSender,
-    /// The attempt's number on it.
+    /// Number of the attempt, unique on its connection.
     pub(crate) attempt: u64,
-    /// Further bytes that may be sent.
-    pub(crate) granted: Receiver<u32>,
-    /// Whether the run has begun or was cancelled before.
+    /// Flow control: grants of further bytes that may be sent.
+    pub(crate) credits: Receiver<u32>,
+    /// Decides the race between the start of the run and its cancellation.
     pub(crate) latch: Arc<RunLatch>,
 }
 
 /// How an attempt failed.
 #[derive(Debug)]
 pub(crate) enum RunFailure {
-    /// It did not run and never will.
+    /// The request did not run and never will.
     NotRun(NotRunReason),
-    /// It may have run.
+    /// The request may have run.
     Unknown(String),
 }
 
-/// A permit of the gate; given back when dropped, however the attempt ends.
+/// A permit of the gate; returned when dropped, however the attempt ends.
 pub(crate) struct GatePermit {
     shared: Arc<EndpointShared>,
 }
 
 impl GatePermit {
-    /// Takes a permit for the request.
+    /// Acquires a permit for the request with this head.
     pub(crate) fn enter(
         shared: &Arc<EndpointShared>,
         head: &RequestHead,
@@ -56,7 +56,7 @@
 
 impl Drop for GatePermit {
     fn drop(&mut self) {
-        self.shared.leave_gate();
+        self.shared.release_permit();
     }
 }
 
@@ -68,7 +68,7 @@
     body: Bytes,
 ) {
     let _open = shared.open_attempt();
-    let Err(failure) = gated_run(&shared, &link, &head, body).await else {
+    let Err(failure) = admit_and_run(&shared, &link, &head, body).await else {
         return;
     };
     let attempt = link.attempt;
@@ -77,7 +77,7 @@
             shared.metrics.refused.inc();
             log::info!(target: "gate", request:% = head.id, reason:% = reason; "Refused a request.");
             if reason == NotRunReason::StaleRevision {
-                send_newer(&shared, &link.sender, head.revision).await;
+                send_newer_preset(&shared, &link.sender, head.revision).await;
             }
             RequestMessage::Refused { attempt, reason }
         }
@@ -89,11 +89,11 @@
     let _ = link.sender.send(message).await;
 }
 
-/// Tells an entry of the newer preset before the refusal that names it.
+/// Sends the entry the preset in force if it is newer than `revision`.
 ///
-/// The entry would otherwise route by the old one again until its next poll,
-/// and its caller would be refused by every endpoint in turn.
-async fn send_newer(shared: &EndpointShared, sender: &WireSender, revision: PresetRevision) {
+/// Sent before the refusal: the entry would otherwise route by the old preset until
+/// its next poll, and its caller would be refused by every endpoint in turn.
+async fn send_newer_preset(shared: &EndpointShared, sender: &WireSender, revision: PresetRevision) {
     let newer = shared.holder().current().filter(|known| known.revision > revision).cloned();
     if let Some(newer) = newer {
         let _ = sender.send(ControlMessage::Force(newer)).await;
@@ -102,9 +102,9 @@
 
 /// Whether a request was routed by a preset that may no longer be in force.
 ///
-/// An agent that has just started knows no preset yet. An entry that was paused
-/// may reach it first and route under a preset that others have replaced; its
-/// caller would be answered by rules that are no longer in force.
+/// An agent that has just started has no preset yet. An entry that was paused may
+/// connect first and route by a preset that has been replaced; its caller would be
+/// answered by rules that are no longer in force.
 fn is_stale(shared: &EndpointShared, head: &RequestHead) -> bool {
     let known = shared.holder().revision();
     known == PresetRevision::default()
@@ -112,7 +112,7 @@
         || !shared.start_hold().is_over(Timestamp::now())
 }
 
-async fn gated_run(
+async fn admit_and_run(
     shared: &Arc<EndpointShared>,
     link: &AttemptLink,
     head: &RequestHead,
@@ -121,8 +121,8 @@
     if is_stale(shared, head) {
         return Err(RunFailure::NotRun(NotRunReason::StaleRevision));
     }
-    // A request may have waited in a socket while this process was paused; its
-    // caller has been answered long since and must not see it run now.
+    // A request may have been buffered in a socket while this process was paused. Its
+    // caller already got an answer at the deadline, so the request must not run now.
     if head.deadline.is_past(Timestamp::now()) {
         return Err(RunFailure::NotRun(NotRunReason::DeadlineTooClose));
     }
@@ -137,31 +137,31 @@
             };
             within(head.deadline.remaining(Timestamp::now()), run).await
         }
-        RepeatGuard::Nothing => within(longest_run(head), run_once(shared, link, head, body)).await,
+        RepeatGuard::Nothing => within(run_limit(head), run_once(shared, link, head, body)).await,
     }
 }
 
-/// Time for which a run that must not be cut off may outlast its deadline.
+/// Time that a run which must not be cut off may take beyond its deadline.
 const RUN_GRACE: Duration = Duration::from_secs(60);
 
-/// The longest run of a request that must not be cut off.
-pub(crate) fn longest_run(head: &RequestHead) -> Duration {
+/// Time limit for the run of a request that must not be cut off at its deadline.
+pub(crate) fn run_limit(head: &RequestHead) -> Duration {
     head.deadline.remaining(Timestamp::now()) + RUN_GRACE
 }
 
-/// Ends a run that takes longer than `span`.
+/// Fails a run that takes longer than `limit`.
 ///
-/// An engine that never answers would keep its permit for ever: the endpoint
-/// could neither exchange its weights nor end, and nobody would see why.
+/// A run on an engine that never answers would hold its permit for ever. The endpoint
+/// could then neither switch weights nor shut down, without any visible cause.
 pub(crate) async fn within<T>(
-    span: Duration,
+    limit: Duration,
     run: impl Future<Output = Result<T, RunFailure>>,
 ) -> Result<T, RunFailure> {
     let late = || Err(RunFailure::Unknown("the endpoint did not answer in time".to_owned()));
-    timeout(span, run).await.unwrap_or_else(late)
+    timeout(limit, run).await.unwrap_or_else(late)
 }
 
-/// Runs a request that nothing but its single dispatch protects from a second run.
+/// Runs a request that must not run twice and has no idempotency key to prevent it.
 async fn run_once(
     shared: &EndpointShared,
     link: &AttemptLink,
@@ -174,15 +174,15 @@
     let mut answer = call_engine(shared, head, body).await?;
     let relayed = relay(shared, link, head, &mut answer).await;
     if relayed.is_err() {
-        // Dropping the answer would cancel the run at the endpoint in the middle
-        // of its effect: a charge without its receipt. Nobody reads the rest,
-        // but the permit is held until the run is over.
+        // Dropping the response would cancel the run at the endpoint in the middle of
+        // its side effect, such as a charge without its receipt. The rest is read and
+        // discarded, and the permit is held until the run is over.
         while let Some(Ok(_)) = answer.body.frame().await {}
     }
     relayed
 }
 
-/// Calls the engine and checks the version that it answers from.
+/// Calls the engine and checks that the ordered version gave the response.
 pub(crate) async fn call_engine(
     shared: &EndpointShared,
     head: &RequestHead,
@@ -192,21 +192,21 @@
         EngineError::NotSent(_) => RunFailure::NotRun(NotRunReason::ConnectFailed),
         EngineError::Refused(detail) | EngineError::NoAnswer(detail) => RunFailure::Unknown(detail),
     })?;
-    // Another process may have changed the engine's weights behind the gate.
-    // The caller would see an answer of a version that it was not routed to.
+    // Another process may have changed the engine's weights without passing the gate.
+    // The caller would get an answer of a version that it was not routed to.
     if answer.version != head.version {
         return Err(RunFailure::Unknown("the engine answered from another version".to_owned()));
     }
     Ok(answer)
 }
 
-/// Fails if the engine's weights were exchanged behind the gate during the run.
+/// Fails if the engine's weights were switched during the run without passing the gate.
 ///
-/// An engine that ignores fencing tokens also obeys a late order of a process
-/// that was paused, in the middle of an answer: its beginning and its end would
-/// come from two versions, under a head that names one. Such an engine is asked
-/// again for its version before the answer is called whole.
-pub(crate) async fn ensure_unmixed(
+/// An engine that ignores fencing tokens also carries out a late order of a process
+/// that was paused, even in the middle of an answer: start and end of the answer would
+/// come from two versions under a head that names one. The version of such an engine
+/// is checked again before the answer is declared complete.
+pub(crate) async fn ensure_same_version(
     shared: &EndpointShared,
     head: &RequestHead,
 ) -> Result<(), RunFailure> {
@@ -227,7 +227,7 @@
     head: &RequestHead,
     answer: &mut EngineResponse,
 ) -> Result<(), RunFailure> {
-    let AttemptLink { sender, attempt, granted, .. } = link;
+    let AttemptLink { sender, attempt, credits, .. } = link;
     let attempt = *attempt;
     let first = RequestMessage::Head {
         attempt,
@@ -239,32 +239,33 @@
         revision: head.revision,
         replayed: false,
     };
-    sender.send(first).await.map_err(gone)?;
+    sender.send(first).await.map_err(connection_lost)?;
     let mut credit = INITIAL_CREDIT;
     let mut sent = 0_u64;
     while let Some(frame) = answer.body.frame().await {
-        // A body that ends early is an error and never a short answer.
+        // A body that ends early is an error, not a short answer.
         let frame = frame.map_err(|error| RunFailure::Unknown(format!("answer cut: {error}")))?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
         while credit <= 0 {
-            credit += i64::from(granted.recv().await.map_err(|_| gone(WireError::Closed))?);
+            credit +=
+                i64::from(credits.recv().await.map_err(|_| connection_lost(WireError::Closed))?);
         }
         credit -= data.len() as i64;
         sent += data.len() as u64;
         let message = RequestMessage::Data { attempt, bytes: data.to_vec() };
-        sender.send(message).await.map_err(gone)?;
+        sender.send(message).await.map_err(connection_lost)?;
     }
-    ensure_unmixed(shared, head).await?;
-    sender.send(RequestMessage::End { attempt, bytes: sent }).await.map_err(gone)
+    ensure_same_version(shared, head).await?;
+    sender.send(RequestMessage::End { attempt, bytes: sent }).await.map_err(connection_lost)
 }
 
-/// Largest part of an answer that is known as a whole.
+/// Size of the messages in which a buffered answer is sent, in bytes.
 const PART_BYTES: usize = 64 << 10;
 
-/// Sends an answer that is known as a whole.
-pub(crate) async fn send_whole(
+/// Sends an answer whose whole body is in memory.
+pub(crate) async fn send_buffered(
     link: &AttemptLink,
     head: &RequestHead,
     answer: &RecordedAnswer,
@@ -283,15 +284,15 @@
         revision: answer.revision,
         replayed,
     };
-    sender.send(first).await.map_err(gone)?;
+    sender.send(first).await.map_err(connection_lost)?;
     for part in body.chunks(PART_BYTES) {
         let message = RequestMessage::Data { attempt, bytes: part.to_vec() };
-        sender.send(message).await.map_err(gone)?;
+        sender.send(message).await.map_err(connection_lost)?;
     }
     let bytes = body.len() as u64;
-    sender.send(RequestMessage::End { attempt, bytes }).await.map_err(gone)
+    sender.send(RequestMessage::End { attempt, bytes }).await.map_err(connection_lost)
 }
 
-fn gone(error: WireError) -> RunFailure {
+fn connection_lost(error: WireError) -> RunFailure {
     RunFailure::Unknown(error.to_string())
 }
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -15,46 +15,46 @@
 use smol::net::TcpListener;
 
 use crate::{
-    endpoint::EndpointShared, entry_choice, entry_link, exchange, metrics::AgentMetrics, report,
+    endpoint::EndpointShared, entry_choice, entry_link, metrics::AgentMetrics, orders, report,
     transfer,
 };
 
-/// Time for the last answers to leave the sockets.
-const LINGER: Duration = Duration::from_millis(200);
+/// Time for the last answers to start_drain the sockets.
+const CLOSE_GRACE: Duration = Duration::from_millis(200);
 
-/// Longest wait for an answer of the origin.
-const ORIGIN_TIME: Duration = Duration::from_secs(60);
+/// Timeout of a call to the origin.
+const ORIGIN_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What an agent stands between.
+/// Clients of the external services that an agent uses.
 pub struct AgentClients {
-    /// The engine or plain service.
+    /// Client of the engine or plain service at this instance.
     pub engine: Arc<dyn ModelEngine>,
-    /// The table service.
+    /// Client of the table service.
     pub table: Arc<dyn TableStore>,
-    /// The origin of weights.
+    /// Client of the origin of weights.
     pub origin: Arc<dyn WeightSource>,
 }
 
 impl AgentClients {
-    /// The clients that the settings name.
+    /// Creates HTTP clients for the addresses in `settings`.
     pub fn from_settings(settings: &AgentSettings) -> Self {
         let client = HttpClient::default();
         let platform = &settings.platform;
-        let span = Duration::from_millis(platform.timeout_ms);
+        let timeout = Duration::from_millis(platform.timeout_ms);
         Self {
             engine: Arc::new(HttpEngine::new(client.clone(), settings.engine.addr)),
-            table: Arc::new(HttpTable::new(client, platform.table, span)),
-            // Every fetch has a deadline of its own, which grows with the origin's queue.
-            origin: Arc::new(HttpWeights::new(platform.origin, ORIGIN_TIME)),
+            table: Arc::new(HttpTable::new(client, platform.table, timeout)),
+            // Every fetch also has its own deadline, which grows with the origin's queue.
+            origin: Arc::new(HttpWeights::new(platform.origin, ORIGIN_TIMEOUT)),
         }
     }
 }
 
-/// Runs until the process is asked to stop; then drains.
+/// Runs the agent until a termination signal arrives, then drains.
 pub(crate) async fn serve(settings: AgentSettings, clients: AgentClients) -> anyhow::Result<()> {
     let mut signals = TerminationSignals::listen()?;
-    // Both addresses are taken before anything else begins: an agent that
-    // finds one in use ends without having spoken to an entry or its engine.
+    // Both listeners are bound before anything else starts: if an address is in use,
+    // the agent exits before it contacts an entry or its engine.
     let inner = bind(settings.listen_inner, "listen_inner").await?;
     let metrics_listener = bind(settings.listen_metrics, "listen_metrics").await?;
     let registry = Registry::new();
@@ -69,34 +69,34 @@
     spawn(serve_probes(metrics_listener, registry, is_ready, shutdown.clone())).detach();
     spawn(transfer::serve_peers(shared.clone(), inner, shutdown.clone())).detach();
     if shared.settings.engine.role == EndpointRole::Model {
-        exchange::resume_engine(&shared).await;
+        orders::resume_engine(&shared).await;
     }
     connect_to_entries(&shared);
-    spawn(exchange::follow_orders(shared.clone())).detach();
-    spawn(report::report_regularly(shared.clone())).detach();
-    log::info!(target: "process", instance:% = shared.settings.place.instance, inner:% = shared.settings.listen_inner; "The agent runs.");
+    spawn(orders::follow_orders(shared.clone())).detach();
+    spawn(report::send_heartbeats(shared.clone())).detach();
+    log::info!(target: "process", instance:% = shared.settings.place.instance, inner:% = shared.settings.listen_inner; "The agent started.");
 
     signals
         .asked_or(|| {
-            log::info!(target: "process", "The settings file has changed; it is read at the next start.");
+            log::info!(target: "process", "The settings file has changed; the change takes effect at the next start.");
         })
         .await;
     let deadline = Timestamp::now().deadline_after(Duration::from_millis(shared.settings.drain_ms));
     let end = signals.finish(deadline, drain(&shared)).await;
     trigger.fire();
-    let left = shared.open_attempts();
-    log::info!(target: "drain", in_progress = left; "The agent ends.");
-    end.into_result(left)
+    let unfinished = shared.open_attempts();
+    log::info!(target: "drain", in_progress = unfinished; "The agent exits.");
+    end.into_result(unfinished)
 }
 
-/// Connects to the entries of the settings, or uses them as seeds where requests bypass the agent.
+/// Connects to the entries in the settings, or uses them as seeds where requests bypass the agent.
 fn connect_to_entries(shared: &Arc<EndpointShared>) {
     if shared.settings.engine.is_direct() {
-        spawn(entry_choice::keep_chosen(shared.clone())).detach();
+        spawn(entry_choice::maintain_connections(shared.clone())).detach();
         return;
     }
     for addr in chosen_entries(&shared.settings) {
-        spawn(entry_link::keep_connected(shared.clone(), addr)).detach();
+        spawn(entry_link::maintain_connection(shared.clone(), addr)).detach();
     }
 }
 
@@ -104,7 +104,8 @@
     TcpListener::bind(addr).await.with_context(|| format!("{path}: cannot listen at {addr}"))
 }
 
-/// The entries to dial: the same choice after every restart, spread over the agents.
+/// Entries to dial, chosen by rendezvous hashing: the choice is stable across restarts, and
+/// the agents spread over the entries.
 pub(crate) fn chosen_entries(settings: &AgentSettings) -> Vec<std::net::SocketAddr> {
     let names: Vec<_> = settings.entries.iter().map(ToString::to_string).collect();
     let subject = subject_of(settings.place.instance.as_str());
@@ -114,11 +115,11 @@
         .collect()
 }
 
-/// Admits nothing more, tells the entries, and finishes the requests in progress.
+/// Stops admission, announces the drain and waits for the requests in progress.
 async fn drain(shared: &EndpointShared) {
-    entry_link::leave(shared);
+    entry_link::start_drain(shared);
     while shared.open_attempts() > 0 {
         shared.permit_released().await;
     }
-    smol::Timer::after(LINGER).await;
+    smol::Timer::after(CLOSE_GRACE).await;
 }
--- a/crates/agent/src/transfer.rs
+++ b/crates/agent/src/transfer.rs
@@ -10,7 +10,7 @@
 mod watchers;
 
 pub(crate) use serve::serve_peers;
-pub(crate) use stage::{release_others, resume, stage};
+pub(crate) use stage::{discard_other_staging, offer_served_weights, stage};
 pub(crate) use state::TransferState;
 pub(crate) use told::ManifestWord;
 
--- a/crates/agent/src/transfer/fetch.rs
+++ b/crates/agent/src/transfer/fetch.rs
@@ -61,7 +61,7 @@
     // the transfer never takes what is kept free for live requests. Paying
     // before the ask would leave the link idle while sources answer. An engine
     // without weights has no live requests to keep it free for.
-    if shared.serves_callers() {
+    if shared.may_serve_callers() {
         shared.transfer.download.pass(bytes.len()).await;
     }
     verify_and_stage(shared, manifest, order, bytes).await
--- a/crates/agent/src/transfer/manifest.rs
+++ b/crates/agent/src/transfer/manifest.rs
@@ -40,7 +40,7 @@
     await_peers(shared).await;
     let own = shared.settings.place.instance.clone();
     let mut search = ManifestSearch::new(own, &order.manifest.to_string(), Timestamp::now());
-    while shared.still_wants(order) {
+    while shared.is_still_ordered(order) {
         let peers = shared.transfer.peers();
         let names: Vec<_> = peers.iter().map(|peer| peer.instance.clone()).collect();
         let step = search.next(&names, Timestamp::now(), &mut rand::rng());
--- a/crates/agent/src/transfer/serve.rs
+++ b/crates/agent/src/transfer/serve.rs
@@ -165,7 +165,7 @@
         let part_bytes = length.ok_or(ChunkRefusal::NotHeld)?.div_ceil(MOST_PARTS).max(PART_BYTES);
         // The bytes are read only once the link is free, so that waiting requests
         // hold no memory.
-        let is_paced = shared.serves_callers();
+        let is_paced = shared.may_serve_callers();
         if is_paced {
             transfer.upload.pass(part_bytes).await;
         }
--- a/crates/agent/src/transfer/stage.rs
+++ b/crates/agent/src/transfer/stage.rs
@@ -89,7 +89,7 @@
     copy_shared_chunks(shared, &manifest, &mut held).await;
     let serving = shared.engine.status().await.ok().and_then(|status| status.manifest);
     let keep: Vec<_> = serving.into_iter().chain([order.manifest]).collect();
-    release_others(shared, &keep).await;
+    discard_other_staging(shared, &keep).await;
     await_peers(shared).await;
     let mut task = StagingTask::new(shared.clone(), manifest, &held, order.origin.clone());
     let whole = task.run(order).await;
@@ -134,7 +134,7 @@
 ///
 /// Staging lies in the engine's memory; versions that nobody wants any more
 /// would fill it until a load fails.
-pub(crate) async fn release_others(shared: &EndpointShared, keep: &[ManifestDigest]) {
+pub(crate) async fn discard_other_staging(shared: &EndpointShared, keep: &[ManifestDigest]) {
     shared.transfer.keep_only(keep);
     let Ok(status) = shared.engine.status().await else {
         return;
@@ -150,7 +150,7 @@
 ///
 /// An agent that restarts beside an engine that serves already would else not
 /// tell the others what it holds, and they would turn to the origin.
-pub(crate) async fn resume(
+pub(crate) async fn offer_served_weights(
     shared: &Arc<EndpointShared>,
     order: &WeightOrder,
 ) -> anyhow::Result<()> {
@@ -219,7 +219,7 @@
     async fn run(&mut self, order: &WeightOrder) -> bool {
         self.follow_peers();
         while self.picker.missing() > 0 {
-            if !self.shared.still_wants(order) {
+            if !self.shared.is_still_ordered(order) {
                 return false;
             }
             self.start_fetches();
--- a/crates/agent/src/transfer/state.rs
+++ b/crates/agent/src/transfer/state.rs
@@ -238,7 +238,7 @@
     }
 
     /// Repeats what is held to the watchers that may lack it.
-    pub(crate) fn repeat_held(&self) {
+    pub(crate) fn resend_holdings(&self) {
         let mut inner = self.lock();
         let messages: Vec<_> = inner.images.values().flat_map(HeldImage::messages).collect();
         inner.watchers.repeat(&messages, Timestamp::now());
--- a/crates/agent/src/transfer/told.rs
+++ b/crates/agent/src/transfer/told.rs
@@ -70,7 +70,7 @@
     shared: &EndpointShared,
     digest: ManifestDigest,
 ) -> Option<WeightManifest> {
-    let mut asked = shared.order_giver();
+    let mut asked = shared.order_source();
     for _ in 0..ASKED {
         let entry = asked.take().or_else(|| any_entry(shared))?;
         if entry.try_send(ControlMessage::ManifestWanted { manifest: digest }).is_err() {
