--- a/crates/agent/src/entry_choice.rs
+++ b/crates/agent/src/entry_choice.rs
@@ -73,7 +73,7 @@
         }
         stays
     });
-    shared.transfer.forget_peers_of(addr);
+    shared.transfer.remove_peers_from(addr);
 }
 
 /// Sets the candidates from the first seed that answers, else from the table service.
--- a/crates/agent/src/entry_link.rs
+++ b/crates/agent/src/entry_link.rs
@@ -19,7 +19,7 @@
 use crate::{
     endpoint::{EndpointShared, EntryLink},
     orders, report, run,
-    transfer::{self, ManifestWord},
+    transfer::{self, ManifestReply},
 };
 
 /// Maximum backoff between two attempts to connect, in milliseconds.
@@ -99,7 +99,7 @@
         }
     };
     sender.close();
-    shared.transfer.forget_peers_of(addr);
+    shared.transfer.remove_peers_from(addr);
     attempts.cancel_all();
     ended
 }
@@ -119,10 +119,10 @@
         ControlMessage::Peers(peers) => transfer::offer_peers(shared, entry, peers),
         ControlMessage::Order(order) => orders::handle_order(shared, sender, order),
         ControlMessage::Manifest(manifest) => {
-            shared.transfer.told.hear(ManifestWord::Known(manifest));
+            shared.transfer.manifest_replies.push(ManifestReply::Known(manifest));
         }
         ControlMessage::ManifestUnknown { manifest } => {
-            shared.transfer.told.hear(ManifestWord::Unknown(manifest));
+            shared.transfer.manifest_replies.push(ManifestReply::Unknown(manifest));
         }
         ControlMessage::Drain { instance } if instance == shared.settings.place.instance => {
             start_drain(shared);
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -19,7 +19,7 @@
     transfer,
 };
 
-/// Time for the last answers to start_drain the sockets.
+/// Delay before the process exits, so that the last answers leave the sockets.
 const CLOSE_GRACE: Duration = Duration::from_millis(200);
 
 /// Timeout of a call to the origin.
--- a/crates/agent/src/transfer.rs
+++ b/crates/agent/src/transfer.rs
@@ -1,18 +1,19 @@
-//! Transfer of weights: from origin and peers, verified, into staging.
+//! Transfer of weights: fetches chunks from the origin and from other agents (peers),
+//! verifies them and stages them in the engine.
 
 mod fetch;
 mod manifest;
+mod manifest_replies;
 mod peer;
 mod serve;
 mod stage;
 mod state;
-mod told;
 mod watchers;
 
+pub(crate) use manifest_replies::ManifestReply;
 pub(crate) use serve::serve_peers;
 pub(crate) use stage::{discard_other_staging, offer_served_weights, stage};
 pub(crate) use state::TransferState;
-pub(crate) use told::ManifestWord;
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -20,7 +21,7 @@
 
 use crate::endpoint::EndpointShared;
 
-/// Takes the list of agents to swap chunks with from the entry at `entry`.
+/// Stores the list of agents to exchange chunks with that the entry at `entry` sent.
 pub(crate) fn offer_peers(
     shared: &Arc<EndpointShared>,
     entry: SocketAddr,
--- a/crates/agent/src/transfer/fetch.rs
+++ b/crates/agent/src/transfer/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching and verifying one chunk.
+//! Fetches, verifies and stages one chunk.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,20 +12,20 @@
 use super::peer::PeerClient;
 use crate::endpoint::EndpointShared;
 
-/// How a fetch ended.
-pub(super) enum FetchEnd {
+/// Outcome of a fetch.
+pub(super) enum FetchOutcome {
     /// The chunk is verified and staged.
     Staged(Bytes),
-    /// The source is busy; nothing is held against it.
+    /// The source is busy or staging failed; not counted as a failure of the source.
     Deferred,
-    /// The origin asks to come back later.
+    /// The origin limits the rate; retry after this delay.
     RateLimited(Duration),
     /// The source failed or sent corrupt bytes.
     Failed(FetchFailure),
 }
 
-impl FetchEnd {
-    /// The word in the decision log.
+impl FetchOutcome {
+    /// Value logged for the outcome.
     pub(super) fn as_str(&self) -> &'static str {
         match self {
             Self::Staged(_) => "staged",
@@ -37,30 +37,30 @@
     }
 }
 
-/// Carries `order` out.
+/// Fetches the chunk of `order` from its source by the deadline, verifies and stages it.
 pub(super) async fn fetch(
     shared: &EndpointShared,
     manifest: &WeightManifest,
     order: &FetchOrder,
     client: Option<Arc<PeerClient>>,
-) -> FetchEnd {
-    let span = order.deadline.remaining(Timestamp::now());
+) -> FetchOutcome {
+    let time_left = order.deadline.remaining(Timestamp::now());
     let received = match (&order.source, client) {
-        (ChunkSource::Origin, _) => timeout(span, from_origin(shared, manifest, order)).await,
+        (ChunkSource::Origin, _) => timeout(time_left, from_origin(shared, manifest, order)).await,
         (ChunkSource::Peer(_), Some(client)) => {
-            timeout(span, from_peer(&client, manifest, order)).await
+            timeout(time_left, from_peer(&client, manifest, order)).await
         }
         (ChunkSource::Peer(_), None) => None,
     };
     let bytes = match received {
         Some(Ok(bytes)) => bytes,
-        Some(Err(end)) => return end,
-        None => return FetchEnd::Failed(FetchFailure::Late),
+        Some(Err(outcome)) => return outcome,
+        None => return FetchOutcome::Failed(FetchFailure::Late),
     };
-    // The slot stays taken until the link's share has been paid for, so that
-    // the transfer never takes what is kept free for live requests. Paying
-    // before the ask would leave the link idle while sources answer. An engine
-    // without weights has no live requests to keep it free for.
+    // The slot stays occupied until the rate limit admits the received bytes, so that
+    // transfers never use the share of the link that is reserved for live requests.
+    // Applying the limit before the request would leave the link idle while the source
+    // answers. An engine without weights has no live requests and needs no limit.
     if shared.may_serve_callers() {
         shared.transfer.download.pass(bytes.len()).await;
     }
@@ -71,14 +71,16 @@
     shared: &EndpointShared,
     manifest: &WeightManifest,
     order: &FetchOrder,
-) -> Result<Bytes, FetchEnd> {
+) -> Result<Bytes, FetchOutcome> {
     match shared.origin.chunk(manifest, order.index).await {
         Ok(bytes) => {
             shared.metrics.origin_bytes.inc_by(bytes.len() as u64);
             Ok(bytes)
         }
-        Err(WeightError::RateLimited { retry_after }) => Err(FetchEnd::RateLimited(retry_after)),
-        Err(_) => Err(FetchEnd::Failed(FetchFailure::Damaged)),
+        Err(WeightError::RateLimited { retry_after }) => {
+            Err(FetchOutcome::RateLimited(retry_after))
+        }
+        Err(_) => Err(FetchOutcome::Failed(FetchFailure::Damaged)),
     }
 }
 
@@ -86,15 +88,15 @@
     client: &PeerClient,
     manifest: &WeightManifest,
     order: &FetchOrder,
-) -> Result<Bytes, FetchEnd> {
+) -> Result<Bytes, FetchOutcome> {
     let waiting = client
-        .ask(manifest.digest, order.index, order.is_import)
+        .request_chunk(manifest.digest, order.index, order.is_import)
         .await
-        .ok_or(FetchEnd::Failed(FetchFailure::Damaged))?;
+        .ok_or(FetchOutcome::Failed(FetchFailure::Damaged))?;
     match waiting.recv().await {
         Ok(Ok(bytes)) => Ok(Bytes::from(bytes)),
-        Ok(Err(ChunkRefusal::Busy)) => Err(FetchEnd::Deferred),
-        Ok(Err(ChunkRefusal::NotHeld)) | Err(_) => Err(FetchEnd::Failed(FetchFailure::Damaged)),
+        Ok(Err(ChunkRefusal::Busy)) => Err(FetchOutcome::Deferred),
+        Ok(Err(ChunkRefusal::NotHeld)) | Err(_) => Err(FetchOutcome::Failed(FetchFailure::Damaged)),
     }
 }
 
@@ -103,22 +105,22 @@
     manifest: &WeightManifest,
     order: &FetchOrder,
     bytes: Bytes,
-) -> FetchEnd {
-    // A corrupt chunk in staging would make every answer wrong without any
-    // error; only bytes that match the pinned manifest get that far.
+) -> FetchOutcome {
+    // A corrupt chunk in staging would make answers wrong without any error, so only
+    // bytes that match the pinned manifest are staged.
     if let Err(error) = manifest.verify_chunk(order.index, &bytes) {
         shared.metrics.corrupt_chunks.inc();
         log::warn!(target: "transfer", chunk = order.index, source:? = order.source, cause:% = error; "Dropped a chunk.");
-        return FetchEnd::Failed(FetchFailure::Damaged);
+        return FetchOutcome::Failed(FetchFailure::Damaged);
     }
     if matches!(order.source, ChunkSource::Peer(_)) {
         shared.metrics.peer_bytes.inc_by(bytes.len() as u64);
     }
     match shared.engine.stage_chunk(manifest.digest, order.index, bytes.clone()).await {
-        Ok(()) => FetchEnd::Staged(bytes),
+        Ok(()) => FetchOutcome::Staged(bytes),
         Err(error) => {
-            log::warn!(target: "transfer", chunk = order.index, cause:% = error; "Staging failed.");
-            FetchEnd::Deferred
+            log::warn!(target: "transfer", chunk = order.index, cause:% = error; "A chunk cannot be staged.");
+            FetchOutcome::Deferred
         }
     }
 }
--- a/crates/agent/src/transfer/manifest.rs
+++ b/crates/agent/src/transfer/manifest.rs
@@ -1,4 +1,4 @@
-//! Finding the manifest that an order pins.
+//! Finds the manifest that an order pins by its digest.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,24 +9,25 @@
 use cassiawheel_wire::message::{EndpointAddress, WeightOrder};
 use smol::{Timer, channel::bounded};
 
-use super::{peer::ask_manifest, stage::await_peers, told::from_entries};
+use super::{manifest_replies::from_entries, peer::fetch_manifest, stage::await_peers};
 use crate::endpoint::EndpointShared;
 
-/// Longest wait for a manifest of a few kilobytes from the origin.
+/// Timeout for a manifest of a few kilobytes from the origin.
 ///
-/// It is there within some 20 ms, or some hundred while chunks leave the origin;
-/// a longer wait holds a connection at an origin that is silent.
-const READ_TIME: Duration = Duration::from_secs(1);
+/// It takes about 20 ms, or a few hundred while the origin sends chunks. A longer wait
+/// would occupy one of the few connections of an origin that does not respond.
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest time in which the origin may ask to be left alone.
-const LONGEST_LEFT_ALONE: Duration = Duration::from_secs(10);
+/// Upper bound of the delay that the origin may impose with `retry_after`.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// Longest wait before the order is looked at again.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval at which the search checks whether the order is still the newest.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The manifest that `order` pins: known here, from an entry, another agent, or the origin.
+/// Returns the manifest that `order` pins, from this process, an entry, another agent or the
+/// origin.
 ///
-/// None if another version became wanted meanwhile.
+/// None if another version was ordered meanwhile.
 pub(super) async fn pinned_manifest(
     shared: &Arc<EndpointShared>,
     order: &WeightOrder,
@@ -50,9 +51,9 @@
                 match from_origin(shared, order).await {
                     Ok(manifest) => return Some(manifest),
                     Err(error) => {
-                        log::info!(target: "transfer", version:% = order.version, cause:% = error; "The origin gave no manifest.");
-                        let left_until = left_alone_until(&error);
-                        search.origin_failed(asked_at, left_until, names.len(), Timestamp::now());
+                        log::info!(target: "transfer", version:% = order.version, cause:% = error; "Failed to read a manifest from the origin.");
+                        let not_before = retry_deadline(&error);
+                        search.origin_failed(asked_at, not_before, names.len(), Timestamp::now());
                     }
                 }
             }
@@ -62,7 +63,7 @@
                 }
             }
             SearchStep::Wait(until) => {
-                Timer::after(until.remaining(Timestamp::now()).min(TICK)).await;
+                Timer::after(until.remaining(Timestamp::now()).min(POLL_INTERVAL)).await;
             }
         }
     }
@@ -73,26 +74,26 @@
     shared: &EndpointShared,
     order: &WeightOrder,
 ) -> Result<WeightManifest, WeightError> {
-    match timeout(READ_TIME, shared.origin.manifest(&order.version)).await {
+    match timeout(READ_TIMEOUT, shared.origin.manifest(&order.version)).await {
         Some(Ok(manifest)) if manifest.digest == order.manifest => Ok(manifest),
-        // The origin may have replaced the version since it was pinned; chunks
-        // of both would then be staged together.
+        // The origin may have replaced the weights of this version since it was pinned;
+        // chunks of both would then be staged together.
         Some(Ok(_)) => Err(WeightError::from(ManifestError::NotPinned)),
         Some(Err(error)) => Err(error),
         None => Err(WeightError::Failed("timed out".to_owned())),
     }
 }
 
-fn left_alone_until(error: &WeightError) -> Option<Deadline> {
+fn retry_deadline(error: &WeightError) -> Option<Deadline> {
     match error {
         WeightError::RateLimited { retry_after } => {
-            Some(Timestamp::now().deadline_after((*retry_after).min(LONGEST_LEFT_ALONE)))
+            Some(Timestamp::now().deadline_after((*retry_after).min(MAX_RETRY_AFTER)))
         }
         _ => None,
     }
 }
 
-/// Asks the agents named `asked` at the same time and takes the first manifest.
+/// Queries the agents named in `asked` concurrently and returns the first manifest received.
 async fn from_agents(
     shared: &Arc<EndpointShared>,
     order: &WeightOrder,
@@ -105,8 +106,8 @@
         let (shared, sender) = (shared.clone(), sender.clone());
         let (peer, digest) = (peer.clone(), order.manifest);
         spawn(async move {
-            let answer = ask_manifest(&shared, &peer, digest).await;
-            // Nobody listens any more once another agent has answered.
+            let answer = fetch_manifest(&shared, &peer, digest).await;
+            // Fails once another agent has answered and the receiver is dropped.
             let _ = sender.send(answer).await;
         })
         .detach();
--- a/crates/agent/src/transfer/peer.rs
+++ b/crates/agent/src/transfer/peer.rs
@@ -1,4 +1,4 @@
-//! Fetching from another agent.
+//! Client side of transfers from another agent.
 
 use std::{
     collections::HashMap,
@@ -23,35 +23,35 @@
 use super::stage::TransferEvent;
 use crate::endpoint::EndpointShared;
 
-/// Wait before a peer is dialled again.
-const DIAL_AGAIN: Duration = Duration::from_millis(300);
+/// Delay before a peer is dialled again.
+const REDIAL_DELAY: Duration = Duration::from_millis(300);
 
-/// Longest wait for a manifest from a peer.
-const MANIFEST_TIME: Duration = Duration::from_millis(500);
+/// Timeout for a manifest from a peer.
+const MANIFEST_TIMEOUT: Duration = Duration::from_millis(500);
 
 type ChunkReply = Result<Vec<u8>, ChunkRefusal>;
 
-/// A connection to another agent from which chunks are fetched.
+/// Client of one connection to another agent; requests chunks and matches the replies.
 pub(super) struct PeerClient {
     sender: WireSender,
     calls: AtomicU64,
-    waiting: Mutex<HashMap<u64, WaitingCall>>,
+    pending: Mutex<HashMap<u64, PendingCall>>,
 }
 
-/// A call whose chunk is on its way.
-struct WaitingCall {
+/// A request whose chunk has not arrived completely.
+struct PendingCall {
     reply: Sender<ChunkReply>,
-    /// The parts that have arrived.
+    /// The parts received so far, concatenated.
     bytes: Vec<u8>,
 }
 
-/// Largest chunk that another agent may send, in bytes; the manifest is
-/// checked once it is whole.
+/// Largest chunk accepted from another agent, in bytes; the length in the manifest is
+/// checked once the chunk is complete.
 const MAX_CHUNK_BYTES: usize = 16 << 20;
 
 impl PeerClient {
-    /// Asks for a chunk; the reply arrives on the channel, which closes with the connection.
-    pub(super) async fn ask(
+    /// Requests a chunk; the reply arrives on the channel, which closes with the connection.
+    pub(super) async fn request_chunk(
         &self,
         manifest: ManifestDigest,
         index: usize,
@@ -59,50 +59,50 @@
     ) -> Option<Receiver<ChunkReply>> {
         let (reply, waiting) = bounded(1);
         let call = self.calls.fetch_add(1, Ordering::Relaxed);
-        self.waiting().insert(call, WaitingCall { reply, bytes: Vec::new() });
+        self.pending().insert(call, PendingCall { reply, bytes: Vec::new() });
         let message = ChunkMessage::Wanted { call, manifest, index: index as u32, is_import };
         self.sender.send(message).await.ok()?;
         Some(waiting)
     }
 
-    fn waiting(&self) -> MutexGuard<'_, HashMap<u64, WaitingCall>> {
-        self.waiting.lock().unwrap_or_else(|poison| poison.into_inner())
+    fn pending(&self) -> MutexGuard<'_, HashMap<u64, PendingCall>> {
+        self.pending.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
     fn refuse(&self, call: u64, reason: ChunkRefusal) {
-        // A reply that nobody waits for any more came after its deadline.
-        if let Some(waiting) = self.waiting().remove(&call) {
-            let _ = waiting.reply.try_send(Err(reason));
+        // If the receiver is closed, the reply came after the deadline of the fetch.
+        if let Some(call) = self.pending().remove(&call) {
+            let _ = call.reply.try_send(Err(reason));
         }
     }
 
-    /// Takes a part of a chunk; what the other end has to know, if anything.
+    /// Stores a part of a chunk; returns the message to send back, if any.
     ///
-    /// Over a link that has narrowed a chunk comes too late. If its rest was
-    /// still asked for, it would share the link with those that are asked for
-    /// instead, and none of them would come in time either.
-    fn take_part(&self, call: u64, part: &[u8], last: bool) -> Option<ChunkMessage> {
-        let mut waiting = self.waiting();
-        let Some(open) = waiting.get_mut(&call) else {
+    /// On a link that has slowed down, a chunk may miss its deadline. If the rest of it
+    /// were still requested, it would share the link with the chunks requested instead,
+    /// and those would miss their deadlines too.
+    fn receive_part(&self, call: u64, part: &[u8], last: bool) -> Option<ChunkMessage> {
+        let mut pending = self.pending();
+        let Some(open) = pending.get_mut(&call) else {
             return (!last).then_some(ChunkMessage::Abandoned { call });
         };
         open.bytes.extend_from_slice(part);
         if !last && open.bytes.len() <= MAX_CHUNK_BYTES {
             let is_awaited = !open.reply.is_closed();
             if !is_awaited {
-                waiting.remove(&call);
+                pending.remove(&call);
                 return Some(ChunkMessage::Abandoned { call });
             }
             return Some(ChunkMessage::More { call });
         }
-        if let Some(whole) = waiting.remove(&call) {
+        if let Some(whole) = pending.remove(&call) {
             let _ = whole.reply.try_send(Ok(whole.bytes));
         }
         None
     }
 }
 
-/// Keeps a connection to `peer` and passes on what it says it holds.
+/// Keeps a connection to `peer` open and forwards the chunks that it reports as events.
 pub(super) async fn follow_peer(
     shared: Arc<EndpointShared>,
     peer: EndpointAddress,
@@ -118,27 +118,27 @@
             let client = Arc::new(PeerClient {
                 sender,
                 calls: AtomicU64::new(0),
-                waiting: Mutex::default(),
+                pending: Mutex::default(),
             });
             let up = TransferEvent::PeerUp(peer.instance.clone(), client.clone());
             if events.send(up).await.is_err() {
                 return;
             }
             if client.sender.send(shared.hello()).await.is_ok() {
-                listen(&client, receiver, &peer.instance, manifest, chunks, &events).await;
+                read_messages(&client, receiver, &peer.instance, manifest, chunks, &events).await;
             }
             client.sender.close();
-            client.waiting().clear();
+            client.pending().clear();
         }
-        // Also after a failed dial, so that nobody waits for its list.
+        // Also sent after a failed dial, so that the picker does not wait for this peer's list.
         if events.send(TransferEvent::PeerDown(peer.instance.clone())).await.is_err() {
             return;
         }
-        Timer::after(DIAL_AGAIN).await;
+        Timer::after(REDIAL_DELAY).await;
     }
 }
 
-async fn listen(
+async fn read_messages(
     client: &PeerClient,
     mut receiver: WireReceiver,
     peer: &InstanceId,
@@ -152,19 +152,19 @@
         };
         let peer = peer.clone();
         let event = match message {
-            ChunkMessage::Held { manifest: told, bits } if told == manifest => {
+            ChunkMessage::Held { manifest: digest, bits } if digest == manifest => {
                 TransferEvent::PeerHolds(peer, set_positions(&bits, chunks).collect())
             }
-            ChunkMessage::Gained { manifest: told, index } if told == manifest => {
+            ChunkMessage::Gained { manifest: digest, index } if digest == manifest => {
                 TransferEvent::PeerHolds(peer, vec![index as usize])
             }
-            ChunkMessage::Drawing { manifest: told, indices } if told == manifest => {
+            ChunkMessage::Drawing { manifest: digest, indices } if digest == manifest => {
                 let indices = indices.into_iter().map(|index| index as usize).collect();
-                TransferEvent::PeerDraws(peer, indices)
+                TransferEvent::PeerDownloads(peer, indices)
             }
-            ChunkMessage::ToldAll => TransferEvent::PeerToldAll(peer),
+            ChunkMessage::ToldAll => TransferEvent::PeerSynced(peer),
             ChunkMessage::Bytes { call, bytes, last } => {
-                if let Some(answer) = client.take_part(call, &bytes, last) {
+                if let Some(answer) = client.receive_part(call, &bytes, last) {
                     let _ = client.sender.try_send(answer);
                 }
                 continue;
@@ -181,19 +181,20 @@
     }
 }
 
-/// Asks `peer` for the manifest with `digest`.
-pub(super) async fn ask_manifest(
+/// Fetches the manifest with `digest` from `peer`.
+pub(super) async fn fetch_manifest(
     shared: &EndpointShared,
     peer: &EndpointAddress,
     digest: ManifestDigest,
 ) -> Option<WeightManifest> {
-    // An instance without power does not even refuse the connection.
-    let manifest = timeout(MANIFEST_TIME, told_manifest(shared, peer, digest)).await.flatten();
-    // A peer may lie; only the list that the plan pins is taken.
+    // The timeout also covers the dial: an instance without power does not refuse it.
+    let manifest =
+        timeout(MANIFEST_TIMEOUT, request_manifest(shared, peer, digest)).await.flatten();
+    // A peer may send anything; only the manifest with the pinned digest is accepted.
     manifest.filter(|manifest| manifest.digest == digest && manifest.verify().is_ok())
 }
 
-async fn told_manifest(
+async fn request_manifest(
     shared: &EndpointShared,
     peer: &EndpointAddress,
     digest: ManifestDigest,
@@ -202,11 +203,11 @@
     let key = &shared.settings.inner_key;
     let (sender, mut receiver) = connect(peer.inner_addr, key, local).await.ok()?;
     sender.send(ChunkMessage::ManifestWanted { manifest: digest }).await.ok()?;
-    let mut told = None;
+    let mut received = None;
     while let Ok(message) = receiver.recv().await {
         match message {
             WireMessage::Chunk(ChunkMessage::Manifest(manifest)) => {
-                told = Some(*manifest);
+                received = Some(*manifest);
                 break;
             }
             WireMessage::Chunk(ChunkMessage::Refused { .. }) => break,
@@ -214,5 +215,5 @@
         }
     }
     sender.close();
-    told
+    received
 }
--- a/crates/agent/src/transfer/serve.rs
+++ b/crates/agent/src/transfer/serve.rs
@@ -1,4 +1,4 @@
-//! Serving chunks to other agents.
+//! Serves chunks and manifests to other agents.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -13,7 +13,7 @@
 
 use crate::endpoint::EndpointShared;
 
-/// Accepts other agents until `shutdown`.
+/// Accepts connections of other agents until `shutdown`.
 pub(crate) async fn serve_peers(
     shared: Arc<EndpointShared>,
     listener: TcpListener,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Chunks that are being sent over one connection, and how they learn of room.
+/// Uploads in progress on one connection, with the senders of their flow-control credits.
 #[derive(Default)]
 struct OpenUploads {
     calls: HashMap<u64, Sender<()>>,
@@ -59,24 +59,24 @@
 
 impl OpenUploads {
     fn open(&mut self, call: u64) -> Receiver<()> {
-        self.calls.retain(|_, room| !room.is_closed());
-        let (sender, room) = unbounded();
-        for _ in 0..PARTS_AHEAD {
+        self.calls.retain(|_, credits| !credits.is_closed());
+        let (sender, credits) = unbounded();
+        for _ in 0..INITIAL_CREDITS {
             let _ = sender.try_send(());
         }
         self.calls.insert(call, sender);
-        room
+        credits
     }
 
-    /// Ends an upload; without room for its next part it gives its slot back.
-    fn end(&mut self, call: u64) {
+    /// Cancels an upload: without credit for its next part it ends and frees its slot.
+    fn cancel(&mut self, call: u64) {
         self.calls.remove(&call);
     }
 
-    fn more(&self, call: u64) {
-        if let Some(room) = self.calls.get(&call) {
-            // A chunk that was sent as a whole needs no more room.
-            let _ = room.try_send(());
+    fn add_credit(&self, call: u64) {
+        if let Some(credits) = self.calls.get(&call) {
+            // Ignored if the channel is closed: a completely sent chunk needs no credit.
+            let _ = credits.try_send(());
         }
     }
 }
@@ -88,20 +88,20 @@
     message: ChunkMessage,
 ) {
     match message {
-        ChunkMessage::More { call } => uploads.more(call),
-        ChunkMessage::Abandoned { call } => uploads.end(call),
+        ChunkMessage::More { call } => uploads.add_credit(call),
+        ChunkMessage::Abandoned { call } => uploads.cancel(call),
         ChunkMessage::ManifestWanted { manifest } => {
             let reply = match shared.transfer.manifest(manifest) {
                 Some(found) => ChunkMessage::Manifest(Box::new(found.as_ref().clone())),
-                // No call was numbered; the connection asks nothing else.
+                // A manifest request has no call number, and its connection carries no other.
                 None => ChunkMessage::Refused { call: 0, reason: ChunkRefusal::NotHeld },
             };
             let _ = sender.send(reply).await;
         }
         ChunkMessage::Wanted { call, manifest, index, is_import } => {
             let (shared, sender) = (shared.clone(), sender.clone());
-            let room = uploads.open(call);
-            let upload = Upload { call, manifest, index: index as usize, is_import, room };
+            let credits = uploads.open(call);
+            let upload = Upload { call, manifest, index: index as usize, is_import, credits };
             spawn(async move {
                 if let Err(reason) = upload.send(&shared, &sender).await {
                     let _ = sender.send(ChunkMessage::Refused { call, reason }).await;
@@ -121,37 +121,36 @@
 
 /// Smallest part in which a chunk is sent, in bytes.
 ///
-/// The engine's answers share the link. A chunk of 48 KB sent as a whole holds
-/// them up for 42 ms at 9.4 Mbit/s, and several of them for so long that
-/// callers count the answers as late; 8 KB take 7 ms.
+/// The engine's answers share the link. A chunk of 48 KB sent in one piece delays them
+/// by 42 ms at 9.4 Mbit/s, and several such chunks delay them beyond the callers' latency
+/// limits; a part of 8 KB takes 7 ms.
 const PART_BYTES: usize = 8 << 10;
 
-/// Parts of a chunk beyond which larger parts are sent, so that large chunks
-/// do not cost a message for every few kilobytes.
-const MOST_PARTS: usize = 6;
+/// Maximum number of parts of a chunk; large chunks are sent in larger parts, so that they
+/// do not need a message for every few kilobytes.
+const MAX_PARTS: usize = 6;
 
-/// Parts that are sent before the other end tells that one has arrived.
+/// Parts that may be in flight before the receiver acknowledges one.
 ///
-/// What is on its way to a link that has narrowed waits there, and requests for
-/// the engine behind it. Two parts of each chunk keep a link of 9.4 Mbit/s busy
-/// and leave one of 1.2 Mbit/s with less than half a second of waiting bytes.
-const PARTS_AHEAD: usize = 2;
+/// Bytes sent to a link that has slowed down are queued there, and requests for the engine
+/// queue behind them. Two parts of each chunk keep a link of 9.4 Mbit/s busy and queue
+/// less than half a second of bytes on one of 1.2 Mbit/s.
+const INITIAL_CREDITS: usize = 2;
 
-/// Longest wait for the word that a part has arrived.
-const ROOM_TIME: Duration = Duration::from_secs(5);
+/// Timeout for the acknowledgement of a part.
+const CREDIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One chunk that is being sent.
+/// Upload of one chunk.
 struct Upload {
     call: u64,
     manifest: ManifestDigest,
     index: usize,
     is_import: bool,
-    room: Receiver<()>,
+    credits: Receiver<()>,
 }
 
 impl Upload {
-    /// Sends the chunk in parts, each as the link has room; chunks that are sent
-    /// at the same time take turns.
+    /// Sends the chunk in parts, each after a credit; concurrent uploads are interleaved.
     async fn send(&self, shared: &EndpointShared, sender: &WireSender) -> Result<(), ChunkRefusal> {
         let transfer = &shared.transfer;
         let import_slot = || match self.is_import {
@@ -161,10 +160,10 @@
         let Some(_slot) = transfer.upload_slots.try_acquire().or_else(import_slot) else {
             return Err(ChunkRefusal::Busy);
         };
-        let length = shared.transfer.held_bytes(self.manifest, self.index);
-        let part_bytes = length.ok_or(ChunkRefusal::NotHeld)?.div_ceil(MOST_PARTS).max(PART_BYTES);
-        // The bytes are read only once the link is free, so that waiting requests
-        // hold no memory.
+        let length = shared.transfer.held_chunk_len(self.manifest, self.index);
+        let part_bytes = length.ok_or(ChunkRefusal::NotHeld)?.div_ceil(MAX_PARTS).max(PART_BYTES);
+        // The bytes are read only after the rate limit has admitted the first part, so that
+        // queued uploads hold no memory.
         let is_paced = shared.may_serve_callers();
         if is_paced {
             transfer.upload.pass(part_bytes).await;
@@ -173,8 +172,8 @@
         let bytes = bytes.ok_or(ChunkRefusal::NotHeld)?;
         let count = bytes.len().div_ceil(part_bytes);
         for (number, part) in bytes.chunks(part_bytes).enumerate() {
-            // An asker that is gone or stuck gives no room any more.
-            if !matches!(timeout(ROOM_TIME, self.room.recv()).await, Some(Ok(()))) {
+            // A receiver that is disconnected or stuck grants no more credits.
+            if !matches!(timeout(CREDIT_TIMEOUT, self.credits.recv()).await, Some(Ok(()))) {
                 break;
             }
             if number > 0 && is_paced {
@@ -191,13 +190,13 @@
     }
 }
 
-/// The bytes of a held chunk, from memory or read back from the engine's staging.
+/// Returns the bytes of a held chunk from the cache, else from the engine's staging.
 pub(super) async fn read_held(
     shared: &EndpointShared,
     manifest: ManifestDigest,
     index: usize,
 ) -> Option<Bytes> {
-    match shared.transfer.find(manifest, index)? {
+    match shared.transfer.find_chunk(manifest, index)? {
         Some(bytes) => Some(bytes),
         None => shared.engine.read_chunk(manifest, index).await.ok(),
     }
--- a/crates/agent/src/transfer/stage.rs
+++ b/crates/agent/src/transfer/stage.rs
@@ -1,8 +1,7 @@
-//! Staging a whole version.
+//! Stages all chunks of a version.
 //!
-//! One task owns the picker and learns of everything through events; fetches
-//! run beside it. It ends when all chunks are staged or another version is
-//! wanted.
+//! One task owns the chunk picker and receives events; fetches run in tasks of their
+//! own. It ends when all chunks are staged or another version is ordered.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -21,43 +20,43 @@
 };
 
 use super::{
-    fetch::{FetchEnd, fetch},
+    fetch::{FetchOutcome, fetch},
     manifest::pinned_manifest,
     peer::{PeerClient, follow_peer},
     serve::read_held,
 };
 use crate::endpoint::EndpointShared;
 
-/// Wait for events before the picker is asked again.
-const TICK: Duration = Duration::from_millis(20);
+/// Longest wait for an event before the picker is run again.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest wait for the first list of peers.
-const FIRST_LIST_TIME: Duration = Duration::from_millis(700);
+/// Timeout for the first list of peers.
+const PEER_LIST_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The part of the origin's connections that draws may take is one in this many.
+/// Fetches from the origin may use one in this many of its connections.
 ///
-/// Whatever an instance has open when it loses power stays taken there for longer
-/// than it takes to come back. With a quarter, three losses of power in a row leave
-/// room; usually five to eight draws are under way.
-const DRAWN_PART: usize = 4;
+/// Connections that an instance has open when it loses power stay occupied at the origin
+/// for longer than the instance takes to restart. With a quarter, connections are left
+/// after three power losses in a row; usually five to eight fetches are in progress.
+const ORIGIN_CONNECTION_DIVISOR: usize = 4;
 
-/// Fetches at one peer at a time.
-const PER_PEER: usize = 2;
+/// Maximum number of concurrent fetches from one peer.
+const FETCHES_PER_PEER: usize = 2;
 
-/// What the staging task learns.
+/// Events that the staging task handles.
 pub(super) enum TransferEvent {
-    /// A connection to a peer is up.
+    /// A connection to a peer was established.
     PeerUp(InstanceId, Arc<PeerClient>),
-    /// A connection to a peer is gone.
+    /// A connection to a peer ended or could not be established.
     PeerDown(InstanceId),
-    /// A peer says that it holds these chunks.
+    /// A peer reported that it holds these chunks.
     PeerHolds(InstanceId, Vec<usize>),
-    /// A peer says that it draws these chunks from the origin.
-    PeerDraws(InstanceId, Vec<usize>),
-    /// A peer has told all that it holds.
-    PeerToldAll(InstanceId),
-    /// A fetch ended.
-    Fetched(FetchOrder, FetchEnd),
+    /// A peer reported that it is fetching these chunks from the origin.
+    PeerDownloads(InstanceId, Vec<usize>),
+    /// A peer has sent its complete list of held chunks.
+    PeerSynced(InstanceId),
+    /// A fetch succeeded, was deferred or failed.
+    Fetched(FetchOrder, FetchOutcome),
 }
 
 struct StagingTask {
@@ -71,7 +70,7 @@
     events: Receiver<TransferEvent>,
 }
 
-/// Stages what `order` names; false if another version became wanted meanwhile.
+/// Stages the weights that `order` names; false if others were ordered meanwhile.
 pub(crate) async fn stage(
     shared: &Arc<EndpointShared>,
     order: &WeightOrder,
@@ -92,32 +91,32 @@
     discard_other_staging(shared, &keep).await;
     await_peers(shared).await;
     let mut task = StagingTask::new(shared.clone(), manifest, &held, order.origin.clone());
-    let whole = task.run(order).await;
-    log::info!(target: "transfer", version:% = order.version, whole = whole; "A transfer ended.");
-    Ok(whole)
+    let is_complete = task.run(order).await;
+    log::info!(target: "transfer", version:% = order.version, whole = is_complete; "A transfer ended.");
+    Ok(is_complete)
 }
 
-/// Waits a moment for the first list of peers.
+/// Waits for the first list of peers, until a timeout.
 ///
-/// An order may come before it. An agent that knows of nobody owns all chunks,
-/// and every agent of a new deployment would draw some of the same.
+/// An order may arrive before it. Without a list, an agent assigns all chunks to itself,
+/// and the agents of a new deployment would fetch some of the same chunks from the origin.
 pub(super) async fn await_peers(shared: &EndpointShared) {
-    let deadline = Timestamp::now().deadline_after(FIRST_LIST_TIME);
-    while !shared.transfer.knows_peers() && !deadline.is_past(Timestamp::now()) {
-        timeout(TICK, shared.transfer.peers_changed()).await;
+    let deadline = Timestamp::now().deadline_after(PEER_LIST_TIMEOUT);
+    while !shared.transfer.has_peers() && !deadline.is_past(Timestamp::now()) {
+        timeout(POLL_INTERVAL, shared.transfer.peers_changed()).await;
     }
 }
 
-/// Stages the chunks that are held under another manifest already.
+/// Stages the chunks that are already held under another manifest.
 async fn copy_shared_chunks(shared: &EndpointShared, manifest: &WeightManifest, held: &mut [bool]) {
-    for chunk in shared.transfer.held_elsewhere(manifest) {
+    for chunk in shared.transfer.shared_chunks(manifest) {
         if held[chunk.index] {
             continue;
         }
         let Some(bytes) = read_held(shared, chunk.manifest, chunk.held_index).await else {
             continue;
         };
-        // The engine's memory is not ours; what it reads back is verified again.
+        // Bytes read back from the engine's memory may be corrupt and are verified again.
         if manifest.verify_chunk(chunk.index, &bytes).is_err() {
             continue;
         }
@@ -125,15 +124,15 @@
         if staged.is_ok() {
             held[chunk.index] = true;
             shared.metrics.reused_chunks.inc();
-            shared.transfer.gain(manifest.digest, chunk.index, bytes);
+            shared.transfer.add_chunk(manifest.digest, chunk.index, bytes);
         }
     }
 }
 
-/// Gives up what the engine and this process hold of manifests not in `keep`.
+/// Discards the chunks that the engine and this process hold of manifests not in `keep`.
 ///
-/// Staging lies in the engine's memory; versions that nobody wants any more
-/// would fill it until a load fails.
+/// Staged chunks occupy the engine's memory; versions that are no longer ordered would
+/// fill it until a load fails.
 pub(crate) async fn discard_other_staging(shared: &EndpointShared, keep: &[ManifestDigest]) {
     shared.transfer.keep_only(keep);
     let Ok(status) = shared.engine.status().await else {
@@ -141,15 +140,15 @@
     };
     for manifest in status.staged.into_iter().filter(|manifest| !keep.contains(manifest)) {
         if let Err(error) = shared.engine.discard_staging(manifest).await {
-            log::warn!(target: "transfer", manifest:% = manifest, cause:% = error; "Staging was not released.");
+            log::warn!(target: "transfer", manifest:% = manifest, cause:% = error; "Staged chunks were not discarded.");
         }
     }
 }
 
-/// Opens what `order` names for other agents, if all of it is staged.
+/// Offers the weights that `order` names to other agents, if all chunks are staged.
 ///
-/// An agent that restarts beside an engine that serves already would else not
-/// tell the others what it holds, and they would turn to the origin.
+/// Without this, an agent that restarts beside a serving engine would not announce its
+/// chunks, and other agents would fetch them from the origin.
 pub(crate) async fn offer_served_weights(
     shared: &Arc<EndpointShared>,
     order: &WeightOrder,
@@ -162,8 +161,8 @@
     };
     let staged = shared.engine.open_staging(&manifest).await.context("staging cannot be opened")?;
     let bits = hex::decode(&staged.bits).context("the engine's list of chunks is damaged")?;
-    let whole = set_positions(&bits, manifest.chunks.len()).count() == manifest.chunks.len();
-    if whole {
+    let is_complete = set_positions(&bits, manifest.chunks.len()).count() == manifest.chunks.len();
+    if is_complete {
         let held = vec![true; manifest.chunks.len()];
         shared.transfer.open(manifest, held);
     }
@@ -181,16 +180,16 @@
             .as_ref()
             .filter(|origin| origin.bytes_per_s > 0)
             .map(|origin| f64::from(manifest.chunk_bytes) * 1_000.0 / origin.bytes_per_s as f64);
-        let places = origin.as_ref().map_or(0, |origin| origin.max_connections as usize);
+        let connections = origin.as_ref().map_or(0, |origin| origin.max_connections as usize);
         let origin_region = origin.and_then(|origin| origin.region);
         let settings = PickerSettings {
             origin_chunk_ms: chunk_ms.unwrap_or(0.0),
             is_near_origin: origin_region.as_ref() == Some(&shared.settings.place.region),
-            most_draws: places.div_ceil(DRAWN_PART),
+            most_draws: connections.div_ceil(ORIGIN_CONNECTION_DIVISOR),
             instance: shared.settings.place.instance.clone(),
             stall_ms: shared.settings.transfer.stall_ms,
             origin_step_ms: shared.settings.transfer.origin_step_ms,
-            per_peer: PER_PEER,
+            per_peer: FETCHES_PER_PEER,
             peer_slots: shared.settings.transfer.download_slots,
             queue_ms: shared.settings.transfer.queue_ms,
             rescue_ms: shared.settings.transfer.rescue_ms,
@@ -236,7 +235,7 @@
             self.shared.transfer.peers_changed().await;
             None
         };
-        let happened = timeout(TICK, event.or(peers)).await;
+        let happened = timeout(POLL_INTERVAL, event.or(peers)).await;
         self.follow_peers();
         if let Some(Some(event)) = happened {
             self.handle(event);
@@ -248,7 +247,7 @@
 
     fn follow_peers(&mut self) {
         let peers = self.shared.transfer.peers();
-        // A peer that answers is kept even if no entry lists it any more.
+        // A connected peer is kept even if no entry lists it any more.
         let kept = |instance: &InstanceId| {
             self.clients.contains_key(instance)
                 || peers.iter().any(|peer| peer.instance == *instance)
@@ -291,36 +290,36 @@
             TransferEvent::PeerHolds(instance, indices) => {
                 self.picker.peer_holds(&instance, indices, now);
             }
-            TransferEvent::PeerDraws(instance, indices) => {
+            TransferEvent::PeerDownloads(instance, indices) => {
                 self.picker.peer_draws(&instance, indices, now);
             }
-            TransferEvent::PeerToldAll(instance) => self.picker.peer_told_all(&instance),
-            TransferEvent::Fetched(order, end) => {
-                self.fetch_ended(&order, end, now);
+            TransferEvent::PeerSynced(instance) => self.picker.peer_told_all(&instance),
+            TransferEvent::Fetched(order, outcome) => {
+                self.fetch_ended(&order, outcome, now);
             }
         }
     }
 
-    fn fetch_ended(&mut self, order: &FetchOrder, end: FetchEnd, now: Timestamp) {
+    fn fetch_ended(&mut self, order: &FetchOrder, outcome: FetchOutcome, now: Timestamp) {
         let took_ms = now.since(order.started_at).as_millis() as u64;
-        log::info!(target: "transfer", chunk = order.index, source:? = order.source, end = end.as_str(), took_ms = took_ms; "A fetch ended.");
-        match end {
-            FetchEnd::Staged(bytes) => {
+        log::info!(target: "transfer", chunk = order.index, source:? = order.source, end = outcome.as_str(), took_ms = took_ms; "A fetch ended.");
+        match outcome {
+            FetchOutcome::Staged(bytes) => {
                 self.picker.fetch_succeeded(order, now);
-                self.shared.transfer.gain(self.manifest.digest, order.index, bytes);
+                self.shared.transfer.add_chunk(self.manifest.digest, order.index, bytes);
             }
-            FetchEnd::Deferred => self.picker.fetch_deferred(order, now),
-            FetchEnd::RateLimited(wait) => {
+            FetchOutcome::Deferred => self.picker.fetch_deferred(order, now),
+            FetchOutcome::RateLimited(wait) => {
                 self.picker.fetch_deferred(order, now);
                 self.picker.avoid_origin(now.deadline_after(wait));
             }
-            FetchEnd::Failed(cause) => self.picker.fetch_failed(order, cause, now),
+            FetchOutcome::Failed(cause) => self.picker.fetch_failed(order, cause, now),
         }
     }
 
     fn start_fetches(&mut self) {
         while let Some(order) = self.picker.next(Timestamp::now(), &mut rand::rng()) {
-            log::info!(target: "transfer", chunk = order.index, source:? = order.source, missing = self.picker.missing(); "Fetches a chunk.");
+            log::info!(target: "transfer", chunk = order.index, source:? = order.source, missing = self.picker.missing(); "Started to fetch a chunk.");
             let client = match &order.source {
                 ChunkSource::Peer(peer) => self.clients.get(peer).cloned(),
                 ChunkSource::Origin => None,
@@ -328,11 +327,11 @@
             let (shared, manifest) = (self.shared.clone(), self.manifest.clone());
             let sender = self.sender.clone();
             spawn(async move {
-                let end = fetch(&shared, &manifest, &order, client).await;
-                let _ = sender.send(TransferEvent::Fetched(order, end)).await;
+                let outcome = fetch(&shared, &manifest, &order, client).await;
+                let _ = sender.send(TransferEvent::Fetched(order, outcome)).await;
             })
             .detach();
         }
-        self.shared.transfer.draw(self.manifest.digest, self.picker.drawing());
+        self.shared.transfer.set_origin_fetches(self.manifest.digest, self.picker.drawing());
     }
 }
--- a/crates/agent/src/transfer/state.rs
+++ b/crates/agent/src/transfer/state.rs
@@ -1,4 +1,4 @@
-//! What an agent holds and whom it tells.
+//! Chunks that an agent holds, and the connections that are notified of them.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -18,58 +18,58 @@
     lock::Semaphore,
 };
 
-use super::{told::ToldManifest, watchers::WatcherLinks};
+use super::{manifest_replies::ManifestReplies, watchers::WatcherLinks};
 
-/// Chunks that an agent sends to importers beside all others.
+/// Upload slots reserved for agents that import chunks for another region.
 ///
-/// The first holder of a chunk is asked by its whole region; behind that crowd
-/// an importer got its chunk after a second, and its region stood idle meanwhile.
+/// All agents of a region request a chunk from its first holder. Queued behind them, an
+/// importer got its chunk after a second, and its region was idle meanwhile.
 const IMPORT_SLOTS: usize = 2;
 
-/// Transfer state that the parts of an agent share.
+/// Transfer state shared by the tasks of an agent.
 pub(crate) struct TransferState {
-    /// Paces what is sent to other agents.
+    /// Rate limit of uploads to other agents.
     pub(crate) upload: RatePacer,
-    /// Paces what is fetched.
+    /// Rate limit of downloads.
     pub(crate) download: RatePacer,
-    /// Chunks sent at a time.
+    /// Limits the chunks sent at a time.
     pub(crate) upload_slots: Arc<Semaphore>,
-    /// Chunks sent at a time beyond those, to agents that import them for their region.
+    /// Limits the chunks sent beyond those to agents that import them for their region.
     pub(crate) import_slots: Arc<Semaphore>,
-    /// What entries say of manifests.
-    pub(crate) told: ToldManifest,
+    /// Replies of entries to requests for a manifest.
+    pub(crate) manifest_replies: ManifestReplies,
     inner: Mutex<TransferInner>,
     wake: (Sender<()>, Receiver<()>),
     peers_changed: (Sender<()>, Receiver<()>),
 }
 
 struct TransferInner {
-    images: HashMap<ManifestDigest, HeldImage>,
+    weights: HashMap<ManifestDigest, HeldWeights>,
     current: Option<ManifestDigest>,
     cache: ChunkCache,
     watchers: WatcherLinks,
-    /// Lists of peers by the entry that sent them.
+    /// Lists of peers, by the address of the entry that sent them.
     peers: HashMap<SocketAddr, Vec<EndpointAddress>>,
 }
 
-struct HeldImage {
+struct HeldWeights {
     manifest: Arc<WeightManifest>,
     held: Vec<bool>,
-    drawing: Vec<u32>,
+    origin_fetches: Vec<u32>,
 }
 
-impl HeldImage {
-    /// All that another agent has to know of this image.
+impl HeldWeights {
+    /// Messages that describe these weights completely to another agent.
     fn messages(&self) -> [ChunkMessage; 2] {
         let manifest = self.manifest.digest;
         [
             ChunkMessage::Held { manifest, bits: pack_flags(&self.held) },
-            ChunkMessage::Drawing { manifest, indices: self.drawing.clone() },
+            ChunkMessage::Drawing { manifest, indices: self.origin_fetches.clone() },
         ]
     }
 }
 
-/// Verified chunks kept in memory, the oldest dropped first.
+/// Cache of verified chunks in memory; evicts the oldest first.
 struct ChunkCache {
     capacity: u64,
     used: u64,
@@ -78,7 +78,7 @@
 }
 
 impl TransferState {
-    /// The state of a process that holds nothing.
+    /// Creates the state of a process that holds no chunks.
     pub(crate) fn new(settings: &TransferSettings) -> Self {
         let share = 1.0 - settings.live_share;
         let rate = (settings.link_bytes_per_s as f64 * share) as u64;
@@ -87,9 +87,9 @@
             download: RatePacer::new(rate),
             upload_slots: Arc::new(Semaphore::new(settings.upload_slots)),
             import_slots: Arc::new(Semaphore::new(IMPORT_SLOTS)),
-            told: ToldManifest::default(),
+            manifest_replies: ManifestReplies::default(),
             inner: Mutex::new(TransferInner {
-                images: HashMap::new(),
+                weights: HashMap::new(),
                 current: None,
                 cache: ChunkCache::new(settings.cache_bytes),
                 watchers: WatcherLinks::default(),
@@ -104,7 +104,7 @@
         self.inner.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// Tells the task that follows the preset to look again.
+    /// Wakes the task that carries out orders.
     pub(crate) fn wake(&self) {
         let _ = self.wake.0.try_send(());
     }
@@ -120,15 +120,15 @@
         let _ = self.peers_changed.0.try_send(());
     }
 
-    /// Forgets the list of an entry that is gone, unless it is the only one.
-    pub(crate) fn forget_peers_of(&self, entry: SocketAddr) {
+    /// Removes the list of a disconnected entry, unless it is the only list.
+    pub(crate) fn remove_peers_from(&self, entry: SocketAddr) {
         let mut inner = self.lock();
         if inner.peers.len() > 1 {
             inner.peers.remove(&entry);
         }
     }
 
-    /// All peers that entries list; each entry knows a part of them.
+    /// Returns the union of the peers listed by the entries, each of which lists a part.
     pub(crate) fn peers(&self) -> Vec<EndpointAddress> {
         let inner = self.lock();
         let listed = inner.peers.values().flatten();
@@ -137,7 +137,7 @@
     }
 
     /// Whether an entry has sent a list of peers.
-    pub(crate) fn knows_peers(&self) -> bool {
+    pub(crate) fn has_peers(&self) -> bool {
         !self.lock().peers.is_empty()
     }
 
@@ -146,67 +146,74 @@
         let _ = self.peers_changed.1.recv().await;
     }
 
-    /// Opens an image whose chunks in `held` are staged already.
+    /// Adds a manifest whose chunks flagged in `held` are staged, and notifies the watchers.
     pub(crate) fn open(&self, manifest: Arc<WeightManifest>, held: Vec<bool>) {
         let mut inner = self.lock();
         inner.current = Some(manifest.digest);
-        inner.images.insert(manifest.digest, HeldImage { manifest, held, drawing: Vec::new() });
-        let messages: Vec<_> = inner.images.values().flat_map(HeldImage::messages).collect();
+        inner
+            .weights
+            .insert(manifest.digest, HeldWeights { manifest, held, origin_fetches: Vec::new() });
+        let messages: Vec<_> = inner.weights.values().flat_map(HeldWeights::messages).collect();
         for message in &messages {
-            inner.watchers.tell(message);
+            inner.watchers.send(message);
         }
     }
 
-    /// Notes a verified and staged chunk and tells the watchers.
-    pub(crate) fn gain(&self, manifest: ManifestDigest, index: usize, bytes: Bytes) {
+    /// Marks a verified chunk as staged and notifies the watchers.
+    pub(crate) fn add_chunk(&self, manifest: ManifestDigest, index: usize, bytes: Bytes) {
         let mut inner = self.lock();
-        if let Some(slot) = inner.images.get_mut(&manifest).and_then(|i| i.held.get_mut(index)) {
+        if let Some(slot) = inner.weights.get_mut(&manifest).and_then(|i| i.held.get_mut(index)) {
             *slot = true;
         }
         inner.cache.insert((manifest, index), bytes);
         let gained = ChunkMessage::Gained { manifest, index: index as u32 };
-        inner.watchers.tell(&gained);
+        inner.watchers.send(&gained);
     }
 
-    /// Tells the watchers which chunks are drawn from the origin, if that changed.
-    pub(crate) fn draw(&self, manifest: ManifestDigest, drawing: Vec<usize>) {
-        let indices: Vec<_> = drawing.into_iter().map(|index| index as u32).collect();
+    /// Sets which chunks are being fetched from the origin; notifies the watchers of a change.
+    pub(crate) fn set_origin_fetches(&self, manifest: ManifestDigest, origin_fetches: Vec<usize>) {
+        let indices: Vec<_> = origin_fetches.into_iter().map(|index| index as u32).collect();
         let mut inner = self.lock();
-        let Some(image) = inner.images.get_mut(&manifest) else {
+        let Some(weights) = inner.weights.get_mut(&manifest) else {
             return;
         };
-        if image.drawing == indices {
+        if weights.origin_fetches == indices {
             return;
         }
-        image.drawing.clone_from(&indices);
+        weights.origin_fetches.clone_from(&indices);
         let message = ChunkMessage::Drawing { manifest, indices };
-        inner.watchers.tell(&message);
+        inner.watchers.send(&message);
     }
 
-    /// Whether a chunk is held, and its bytes if they are in memory.
-    pub(crate) fn find(&self, manifest: ManifestDigest, index: usize) -> Option<Option<Bytes>> {
+    /// Looks up a chunk: none if it is not held, `Some(None)` if it is held but not cached.
+    pub(crate) fn find_chunk(
+        &self,
+        manifest: ManifestDigest,
+        index: usize,
+    ) -> Option<Option<Bytes>> {
         let inner = self.lock();
-        let held = inner.images.get(&manifest)?.held.get(index).copied()?;
+        let held = inner.weights.get(&manifest)?.held.get(index).copied()?;
         held.then(|| inner.cache.chunks.get(&(manifest, index)).cloned())
     }
 
-    /// Length of a chunk that is held.
-    pub(crate) fn held_bytes(&self, manifest: ManifestDigest, index: usize) -> Option<usize> {
+    /// Length of a held chunk in bytes; none if it is not held.
+    pub(crate) fn held_chunk_len(&self, manifest: ManifestDigest, index: usize) -> Option<usize> {
         let inner = self.lock();
-        let image = inner.images.get(&manifest)?;
-        let held = image.held.get(index).copied()?;
-        held.then(|| image.manifest.chunks[index].bytes as usize)
+        let weights = inner.weights.get(&manifest)?;
+        let held = weights.held.get(index).copied()?;
+        held.then(|| weights.manifest.chunks[index].bytes as usize)
     }
 
-    /// Where chunks with the digests of `wanted` are held under other manifests.
-    pub(crate) fn held_elsewhere(&self, wanted: &WeightManifest) -> Vec<SharedChunk> {
+    /// Finds chunks of `wanted` that are held under other manifests, by their digests.
+    pub(crate) fn shared_chunks(&self, wanted: &WeightManifest) -> Vec<SharedChunk> {
         let inner = self.lock();
-        let others = inner.images.values().filter(|image| image.manifest.digest != wanted.digest);
+        let others =
+            inner.weights.values().filter(|weights| weights.manifest.digest != wanted.digest);
         let places: HashMap<_, _> = others
-            .flat_map(|image| {
-                let held = image.manifest.chunks.iter().enumerate();
-                let held = held.filter(|(index, _)| image.held[*index]);
-                held.map(|(index, chunk)| (chunk.digest, (image.manifest.digest, index)))
+            .flat_map(|weights| {
+                let held = weights.manifest.chunks.iter().enumerate();
+                let held = held.filter(|(index, _)| weights.held[*index]);
+                held.map(|(index, chunk)| (chunk.digest, (weights.manifest.digest, index)))
             })
             .collect();
         let chunks = wanted.chunks.iter().enumerate();
@@ -217,53 +224,53 @@
         shared.collect()
     }
 
-    /// Forgets the images that `keep` does not name, with their chunks in memory.
+    /// Removes manifests that are not in `keep`, with their cached chunks.
     pub(crate) fn keep_only(&self, keep: &[ManifestDigest]) {
         let mut inner = self.lock();
-        inner.images.retain(|digest, _| keep.contains(digest));
+        inner.weights.retain(|digest, _| keep.contains(digest));
         inner.cache.keep_only(keep);
     }
 
-    /// A manifest that is known here.
+    /// Returns the manifest with this digest if its weights are held or being fetched.
     pub(crate) fn manifest(&self, digest: ManifestDigest) -> Option<Arc<WeightManifest>> {
-        self.lock().images.get(&digest).map(|image| image.manifest.clone())
+        self.lock().weights.get(&digest).map(|weights| weights.manifest.clone())
     }
 
-    /// Adds a connection that is told what is held here.
+    /// Adds a connection that is notified of held chunks, and sends it the current state.
     pub(crate) fn add_watcher(&self, watcher: WireSender) {
         let mut inner = self.lock();
-        let told = inner.images.values().flat_map(HeldImage::messages);
-        let told: Vec<_> = told.chain([ChunkMessage::ToldAll]).collect();
-        inner.watchers.add(watcher, &told, Timestamp::now());
+        let messages = inner.weights.values().flat_map(HeldWeights::messages);
+        let messages: Vec<_> = messages.chain([ChunkMessage::ToldAll]).collect();
+        inner.watchers.add(watcher, &messages, Timestamp::now());
     }
 
-    /// Repeats what is held to the watchers that may lack it.
+    /// Resends the held chunks to the watchers that are due for it.
     pub(crate) fn resend_holdings(&self) {
         let mut inner = self.lock();
-        let messages: Vec<_> = inner.images.values().flat_map(HeldImage::messages).collect();
-        inner.watchers.repeat(&messages, Timestamp::now());
+        let messages: Vec<_> = inner.weights.values().flat_map(HeldWeights::messages).collect();
+        inner.watchers.resend(&messages, Timestamp::now());
     }
 
-    /// Progress of the newest image, for reports.
+    /// Progress of the weights opened last, for reports.
     pub(crate) fn staged(&self) -> Option<StagedWeights> {
         let inner = self.lock();
-        let image = inner.images.get(&inner.current?)?;
+        let weights = inner.weights.get(&inner.current?)?;
         Some(StagedWeights {
-            version: image.manifest.version.clone(),
-            manifest: image.manifest.digest,
-            chunks_ready: image.held.iter().filter(|held| **held).count() as u32,
-            chunks_total: image.held.len() as u32,
+            version: weights.manifest.version.clone(),
+            manifest: weights.manifest.digest,
+            chunks_ready: weights.held.iter().filter(|held| **held).count() as u32,
+            chunks_total: weights.held.len() as u32,
         })
     }
 }
 
 /// A wanted chunk that is held under another manifest.
 pub(crate) struct SharedChunk {
-    /// Its position in the wanted manifest.
+    /// Index of the chunk in the wanted manifest.
     pub(crate) index: usize,
-    /// The manifest under which it is held.
+    /// Digest of the manifest under which the chunk is held.
     pub(crate) manifest: ManifestDigest,
-    /// Its position there.
+    /// Index of the chunk in that manifest.
     pub(crate) held_index: usize,
 }
 
--- a/crates/agent/src/transfer/watchers.rs
+++ b/crates/agent/src/transfer/watchers.rs
@@ -1,10 +1,10 @@
-//! Connections over which other agents are told what is held here.
+//! Connections over which other agents are notified of the chunks held here.
 
 use cassiawheel_decide::RepeatSchedule;
 use cassiawheel_model::Timestamp;
 use cassiawheel_wire::{ChunkMessage, WireSender};
 
-/// All such connections; those that have ended are dropped at the next word.
+/// The connections; one that has ended is dropped when the next message is sent.
 #[derive(Default)]
 pub(super) struct WatcherLinks {
     links: Vec<WatcherLink>,
@@ -16,30 +16,30 @@
 }
 
 impl WatcherLinks {
-    /// Adds a connection and tells it `messages`.
+    /// Adds a connection and sends `messages` over it.
     pub(super) fn add(&mut self, sender: WireSender, messages: &[ChunkMessage], now: Timestamp) {
         let mut link = WatcherLink { sender, schedule: RepeatSchedule::new(now) };
-        if messages.iter().all(|message| link.tell(message)) {
+        if messages.iter().all(|message| link.send(message)) {
             self.links.push(link);
         }
     }
 
-    /// Tells every connection.
-    pub(super) fn tell(&mut self, message: &ChunkMessage) {
-        self.links.retain_mut(|link| link.tell(message));
+    /// Sends `message` over every connection.
+    pub(super) fn send(&mut self, message: &ChunkMessage) {
+        self.links.retain_mut(|link| link.send(message));
     }
 
-    /// Tells `messages` to the connections that are due for a repeat.
-    pub(super) fn repeat(&mut self, messages: &[ChunkMessage], now: Timestamp) {
+    /// Sends `messages` over the connections that are due for a resend.
+    pub(super) fn resend(&mut self, messages: &[ChunkMessage], now: Timestamp) {
         self.links.retain_mut(|link| {
-            !link.schedule.take_due(now) || messages.iter().all(|message| link.tell(message))
+            !link.schedule.take_due(now) || messages.iter().all(|message| link.send(message))
         });
     }
 }
 
 impl WatcherLink {
-    /// Queues a word; false if the connection has ended.
-    fn tell(&mut self, message: &ChunkMessage) -> bool {
+    /// Queues a message; false if the connection has ended.
+    fn send(&mut self, message: &ChunkMessage) -> bool {
         let Ok(queued) = self.sender.try_send(message.clone()) else {
             return false;
         };
