--- a/crates/edge/src/client.rs
+++ b/crates/edge/src/client.rs
@@ -36,7 +36,7 @@
 /// Why a call failed.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum ClientError {
-    /// The connection failed before the request was sent.
+    /// The request was not sent, for example because the connection failed.
     #[error("not sent: {0}")]
     NotSent(String),
     /// The request may have reached the server.
--- a/crates/edge/src/engine.rs
+++ b/crates/edge/src/engine.rs
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum EngineError {
     /// The call never reached the engine.
-    #[error("cannot connect to the engine: {0}")]
+    #[error("the request was not sent to the engine: {0}")]
     NotSent(String),
     /// The engine refused; nothing happened.
     #[error("the engine refused: {0}")]
