--- a/crates/decide/src/admit.rs
+++ b/crates/decide/src/admit.rs
@@ -66,11 +66,11 @@
 struct AdmitQueue<T> {
     workspaces: BTreeMap<QueueKey, WorkspaceQueue<T>>,
     length: usize,
-    most: usize,
+    max_length: usize,
     /// Requests that each workspace got since the queue was last empty.
-    shares: HashMap<WorkspaceId, u64>,
+    served: HashMap<WorkspaceId, u64>,
     /// The share of the workspace that was served last.
-    floor: u64,
+    virtual_time: u64,
     departures: DepartureRate,
 }
 
@@ -80,14 +80,14 @@
 /// 100 more answers in time and a fifth fewer late ones, and as many are answered.
 /// A quarter brings more in time there, but refuses those that return together
 /// after some seconds in which nobody was served.
-const FRESH_PART: u32 = 8;
+const FRESH_RESERVE_DIVISOR: u32 = 8;
 
 impl AdmitTier {
     /// Places of which a caller of this turn may take one.
-    fn room(self, capacity: u32) -> u32 {
+    fn limit(self, capacity: u32) -> u32 {
         match self {
             Self::Fresh => capacity,
-            Self::Returned => capacity - capacity / FRESH_PART,
+            Self::Returned => capacity - capacity / FRESH_RESERVE_DIVISOR,
         }
     }
 }
@@ -95,13 +95,13 @@
 /// Whose requests wait in a part of the queue.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
-    turn: AdmitTier,
+    tier: AdmitTier,
     workspace: WorkspaceId,
 }
 
 impl QueueKey {
     fn of(ticket: &AdmitTicket) -> Self {
-        Self { turn: ticket.tier, workspace: ticket.workspace.clone() }
+        Self { tier: ticket.tier, workspace: ticket.workspace.clone() }
     }
 }
 
@@ -121,18 +121,18 @@
 /// How many requests leave the queue in a millisecond.
 #[derive(Debug)]
 struct DepartureRate {
-    begun_at: Timestamp,
+    window_start: Timestamp,
     count: u32,
     per_ms: Option<f64>,
 }
 
 impl<T> ServiceAdmission<T> {
     /// An admission in which at most `most` requests wait.
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_length: usize) -> Self {
         Self {
             active: AtomicU32::new(0),
             waiting: AtomicU32::new(0),
-            queue: Mutex::new(AdmitQueue::new(most)),
+            queue: Mutex::new(AdmitQueue::new(max_length)),
         }
     }
 
@@ -147,8 +147,8 @@
     }
 
     /// Admits a request if there is room and nobody waits.
-    pub fn try_admit(&self, turn: AdmitTier, capacity: u32) -> bool {
-        self.waiting.load(Ordering::SeqCst) == 0 && self.take_place(turn.room(capacity))
+    pub fn try_admit(&self, tier: AdmitTier, capacity: u32) -> bool {
+        self.waiting.load(Ordering::SeqCst) == 0 && self.take_slot(tier.limit(capacity))
     }
 
     /// Lets a request wait; `notify` tells verdicts and whether they were heard.
@@ -189,7 +189,7 @@
         now: Timestamp,
         notify: &mut impl FnMut(T, AdmitVerdict) -> bool,
     ) {
-        while queue.next_turn().is_some_and(|turn| self.take_place(turn.room(capacity))) {
+        while queue.next_tier().is_some_and(|tier| self.take_slot(tier.limit(capacity))) {
             if !queue.admit_next(now, notify) {
                 self.active.fetch_sub(1, Ordering::SeqCst);
             }
@@ -197,7 +197,7 @@
         self.waiting.store(queue.length as u32, Ordering::SeqCst);
     }
 
-    fn take_place(&self, capacity: u32) -> bool {
+    fn take_slot(&self, capacity: u32) -> bool {
         let next = |active: u32| (active < capacity).then_some(active + 1);
         self.active.fetch_update(Ordering::SeqCst, Ordering::SeqCst, next).is_ok()
     }
@@ -208,14 +208,14 @@
 }
 
 impl<T> AdmitQueue<T> {
-    fn new(most: usize) -> Self {
+    fn new(max_length: usize) -> Self {
         Self {
             workspaces: BTreeMap::new(),
             length: 0,
-            most,
-            shares: HashMap::new(),
-            floor: 0,
-            departures: DepartureRate { begun_at: Timestamp(0), count: 0, per_ms: None },
+            max_length,
+            served: HashMap::new(),
+            virtual_time: 0,
+            departures: DepartureRate { window_start: Timestamp(0), count: 0, per_ms: None },
         }
     }
 
@@ -228,22 +228,22 @@
     ) -> Option<(T, NotRunReason)> {
         // A request that is given up on gets its answer early, when its caller
         // can still go elsewhere: it waits for at most half of its time.
-        let half = ticket.deadline.remaining(now) / 2;
-        let give_up_at = now.deadline_after(half);
-        let wait_ms = self.departures.time_for(self.ahead_of(ticket));
-        if wait_ms >= half.as_millis() as f64 {
+        let max_wait = ticket.deadline.remaining(now) / 2;
+        let give_up_at = now.deadline_after(max_wait);
+        let wait_ms = self.departures.expected_wait_ms(self.ahead_of(ticket));
+        if wait_ms >= max_wait.as_millis() as f64 {
             return Some((handle, NotRunReason::DeadlineTooClose));
         }
         self.push(ticket, WaitingRequest { handle, give_up_at });
-        if self.length > self.most {
+        if self.length > self.max_length {
             return self.shed().map(|handle| (handle, NotRunReason::Overloaded));
         }
         None
     }
 
     /// The turn of the request that is admitted next.
-    fn next_turn(&self) -> Option<AdmitTier> {
-        self.workspaces.first_key_value().map(|(key, _)| key.turn)
+    fn next_tier(&self) -> Option<AdmitTier> {
+        self.workspaces.first_key_value().map(|(key, _)| key.tier)
     }
 
     /// Requests that go before this one: all of an earlier turn, its workspace's of
@@ -252,16 +252,16 @@
         let own = self.workspaces.get(&QueueKey::of(ticket));
         let own = own.map_or(0, |queue| queue.ahead_of(ticket.priority));
         let others = self.workspaces.iter().filter(|(key, _)| key.workspace != ticket.workspace);
-        let earlier = self.workspaces.iter().filter(|(key, _)| key.turn < ticket.tier);
-        let others = others.filter(|(key, _)| key.turn == ticket.tier);
+        let earlier = self.workspaces.iter().filter(|(key, _)| key.tier < ticket.tier);
+        let others = others.filter(|(key, _)| key.tier == ticket.tier);
         own + earlier.map(|(_, queue)| queue.length).sum::<usize>()
             + others.map(|(_, queue)| queue.length.min(own + 1)).sum::<usize>()
     }
 
     fn push(&mut self, ticket: &AdmitTicket, request: WaitingRequest<T>) {
         // A workspace that was idle does not save its share up for a burst.
-        let share = self.shares.entry(ticket.workspace.clone()).or_insert(self.floor);
-        *share = (*share).max(self.floor);
+        let count = self.served.entry(ticket.workspace.clone()).or_insert(self.virtual_time);
+        *count = (*count).max(self.virtual_time);
         let queue = self.workspaces.entry(QueueKey::of(ticket)).or_default();
         queue.classes.entry(ticket.priority).or_default().push_back(request);
         queue.length += 1;
@@ -272,15 +272,15 @@
     /// has the most waiting, of those that have returned if there are any.
     fn shed(&mut self) -> Option<T> {
         let longest =
-            self.workspaces.iter_mut().max_by_key(|(key, queue)| (key.turn, queue.length));
+            self.workspaces.iter_mut().max_by_key(|(key, queue)| (key.tier, queue.length));
         let (key, queue) = longest?;
         let shed = queue.take_last()?;
         let key = key.clone();
-        self.taken_from(&key);
+        self.after_removal(&key);
         Some(shed.handle)
     }
 
-    fn taken_from(&mut self, key: &QueueKey) {
+    fn after_removal(&mut self, key: &QueueKey) {
         self.length -= 1;
         if self.workspaces.get(key).is_some_and(|queue| queue.length == 0) {
             self.workspaces.remove(key);
@@ -305,20 +305,20 @@
     }
 
     fn pop(&mut self) -> Option<WaitingRequest<T>> {
-        let shares = &self.shares;
-        let share_of = |name: &WorkspaceId| shares.get(name).copied().unwrap_or_default();
+        let served = &self.served;
+        let served_by = |name: &WorkspaceId| served.get(name).copied().unwrap_or_default();
         let waiting = self.workspaces.iter_mut();
-        let least = waiting.min_by_key(|(key, _)| (key.turn, share_of(&key.workspace)));
+        let least = waiting.min_by_key(|(key, _)| (key.tier, served_by(&key.workspace)));
         let (key, queue) = least?;
         let next = queue.take_first()?;
         let key = key.clone();
-        self.taken_from(&key);
-        let share = self.shares.entry(key.workspace).or_default();
-        self.floor = self.floor.max(*share);
-        *share += 1;
+        self.after_removal(&key);
+        let count = self.served.entry(key.workspace).or_default();
+        self.virtual_time = self.virtual_time.max(*count);
+        *count += 1;
         if self.length == 0 {
-            self.shares.clear();
-            self.floor = 0;
+            self.served.clear();
+            self.virtual_time = 0;
         }
         Some(next)
     }
@@ -353,7 +353,7 @@
 impl DepartureRate {
     fn count(&mut self, now: Timestamp) {
         self.count += 1;
-        let span = now.since(self.begun_at).as_millis() as u64;
+        let span = now.since(self.window_start).as_millis() as u64;
         if span < WINDOW_MS {
             return;
         }
@@ -361,12 +361,12 @@
         if span < 2 * WINDOW_MS {
             self.per_ms = Some(f64::from(self.count) / span as f64);
         }
-        self.begun_at = now;
+        self.window_start = now;
         self.count = 0;
     }
 
     /// Milliseconds until `ahead` requests have left; nothing is known at first.
-    fn time_for(&self, ahead: usize) -> f64 {
+    fn expected_wait_ms(&self, ahead: usize) -> f64 {
         self.per_ms.map_or(0.0, |per_ms| ahead as f64 / per_ms)
     }
 }
--- a/crates/decide/src/advice.rs
+++ b/crates/decide/src/advice.rs
@@ -44,8 +44,8 @@
         .iter()
         .filter(|entry| !entry.leaving)
         .map(|entry| {
-            let abroad = entry.failure_domain != *own_domain;
-            (abroad, entry.in_flight / LOAD_STEP, rng.random::<u32>(), entry.caller_addr)
+            let is_remote = entry.failure_domain != *own_domain;
+            (is_remote, entry.in_flight / LOAD_STEP, rng.random::<u32>(), entry.caller_addr)
         })
         .collect();
     ranked.sort_unstable();
--- a/crates/decide/src/affinity.rs
+++ b/crates/decide/src/affinity.rs
@@ -25,18 +25,18 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RingPoint {
-    place: u64,
+    hash: u64,
     position: u32,
 }
 
 impl PrefixRing {
     /// A ring of the endpoints with these names, in the order of their positions.
     pub fn new<'a>(names: impl ExactSizeIterator<Item = &'a str>) -> Self {
-        let each = (TOTAL_POINTS / names.len().max(1)).clamp(MIN_POINTS, MAX_POINTS);
-        let mut points = Vec::with_capacity(names.len() * each);
+        let per_endpoint = (TOTAL_POINTS / names.len().max(1)).clamp(MIN_POINTS, MAX_POINTS);
+        let mut points = Vec::with_capacity(names.len() * per_endpoint);
         for (position, name) in names.enumerate() {
-            points.extend((0..each).map(|number| RingPoint {
-                place: rendezvous_weight(number as u64 + 1, name),
+            points.extend((0..per_endpoint).map(|number| RingPoint {
+                hash: rendezvous_weight(number as u64 + 1, name),
                 position: position as u32,
             }));
         }
@@ -46,7 +46,7 @@
 
     /// Positions of the endpoints for `prefix`, the best first; some come twice.
     pub fn positions(&self, prefix: u64) -> impl Iterator<Item = usize> {
-        let start = self.points.partition_point(|point| point.place < prefix);
+        let start = self.points.partition_point(|point| point.hash < prefix);
         let (before, after) = self.points.split_at(start);
         after.iter().chain(before).take(MAX_STEPS).map(|point| point.position as usize)
     }
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -15,27 +15,27 @@
 pub struct CallBudget {
     per_s: u64,
     /// Thousandths of a call.
-    filled: u64,
-    filled_at: Timestamp,
+    tokens: u64,
+    refilled_at: Timestamp,
 }
 
 impl CallBudget {
     /// A full budget of `per_s` calls a second, and as many at once.
     pub fn new(per_s: u32, now: Timestamp) -> Self {
         let per_s = u64::from(per_s);
-        Self { per_s, filled: per_s * 1_000, filled_at: now }
+        Self { per_s, tokens: per_s * 1_000, refilled_at: now }
     }
 
     /// Takes one call; the wait until there is one if there is none.
     pub fn take(&mut self, now: Timestamp) -> Result<(), Duration> {
-        let elapsed_ms = now.0.saturating_sub(self.filled_at.0);
-        self.filled_at = now.max(self.filled_at);
-        self.filled = (self.filled + elapsed_ms * self.per_s).min(self.per_s * 1_000);
-        if self.filled >= 1_000 {
-            self.filled -= 1_000;
+        let elapsed_ms = now.0.saturating_sub(self.refilled_at.0);
+        self.refilled_at = now.max(self.refilled_at);
+        self.tokens = (self.tokens + elapsed_ms * self.per_s).min(self.per_s * 1_000);
+        if self.tokens >= 1_000 {
+            self.tokens -= 1_000;
             return Ok(());
         }
-        let missing = 1_000 - self.filled;
+        let missing = 1_000 - self.tokens;
         Err(Duration::from_millis(missing.div_ceil(self.per_s.max(1))))
     }
 }
--- a/crates/decide/src/caller_index.rs
+++ b/crates/decide/src/caller_index.rs
@@ -40,8 +40,8 @@
     /// The route with the longest prefix of `path` at `host`.
     pub fn route(&self, host: &str, path: &str) -> Option<&RouteRule> {
         let prefixes = self.hosts.get(host)?;
-        let cuts = path.rmatch_indices('/').map(|(slash, _)| &path[..=slash]);
-        let position = cuts.into_iter().find_map(|prefix| prefixes.get(prefix))?;
+        let candidates = path.rmatch_indices('/').map(|(slash, _)| &path[..=slash]);
+        let position = candidates.into_iter().find_map(|prefix| prefixes.get(prefix))?;
         self.table.routes.get(*position)
     }
 
@@ -62,11 +62,11 @@
 /// The service that a request of the route goes to; `point` is a random number.
 pub fn pick_service(rule: &RouteRule, point: u32) -> Option<&ServiceName> {
     let total: u64 = rule.shares.iter().map(|share| u64::from(share.weight)).sum();
-    let mut left = u64::from(point) % total.max(1);
+    let mut remaining = u64::from(point) % total.max(1);
     let chosen = rule.shares.iter().find(|share| {
         let weight = u64::from(share.weight);
-        let is_chosen = left < weight;
-        left = left.saturating_sub(weight);
+        let is_chosen = remaining < weight;
+        remaining = remaining.saturating_sub(weight);
         is_chosen
     });
     chosen.or(rule.shares.first()).map(|share| &share.service)
--- a/crates/decide/src/crash_tracker.rs
+++ b/crates/decide/src/crash_tracker.rs
@@ -36,7 +36,7 @@
 pub const BAR_DURATION: Duration = Duration::from_secs(600);
 
 /// Wait after an end, in which ends at other entries become known here.
-const SETTLE_TIME: Duration = Duration::from_millis(60);
+const PROPAGATION_TIME: Duration = Duration::from_millis(60);
 
 /// Time over which the beginnings of all entries are spread.
 const SPREAD_TIME: Duration = Duration::from_millis(1_000);
@@ -45,10 +45,10 @@
 const RUN_TIME: Duration = Duration::from_millis(600);
 
 /// Most requests that are kept; those with the least weight are dropped first.
-const MAX_KEPT: usize = 4_096;
+const MAX_REQUESTS: usize = 4_096;
 
 /// Most ends that are kept of one request.
-const MAX_ENDS: usize = 8;
+const MAX_CRASHES: usize = 8;
 
 /// Most bars in the table service.
 const MAX_BARS: usize = 256;
@@ -85,14 +85,14 @@
 
 #[derive(Debug, Default)]
 struct SuspectRequest {
-    ends: Vec<KnownFact>,
-    begun: Option<KnownFact>,
-    answered: Option<KnownFact>,
+    crashes: Vec<RecordedEvent>,
+    begun: Option<RecordedEvent>,
+    answered: Option<RecordedEvent>,
 }
 
 /// A fact, and how it became known.
 #[derive(Debug, Clone, Copy)]
-struct KnownFact {
+struct RecordedEvent {
     event: CrashEvent,
     at: Timestamp,
     change: u64,
@@ -116,9 +116,9 @@
     }
 }
 
-impl KnownFact {
+impl RecordedEvent {
     /// Whether `event` is of the same endpoint's end.
-    fn is_same_end(&self, event: CrashEvent) -> bool {
+    fn is_same_crash(&self, event: CrashEvent) -> bool {
         self.event.endpoint() == event.endpoint()
     }
 
@@ -134,80 +134,81 @@
 
 impl SuspectRequest {
     /// Takes in a fact; true if it is new.
-    fn note(&mut self, fact: KnownFact) -> bool {
-        match fact.event {
-            CrashEvent::Begun => take_later(&mut self.begun, fact),
+    fn apply(&mut self, record: RecordedEvent) -> bool {
+        match record.event {
+            CrashEvent::Begun => replace_if_later(&mut self.begun, record),
             CrashEvent::Answered => {
-                let clears = self.counted().any(|end| end.at <= fact.at);
+                let clears = self.counted_crashes().any(|crash| crash.at <= record.at);
                 if clears {
-                    self.answered = Some(fact);
+                    self.answered = Some(record);
                 }
                 clears
             }
             CrashEvent::EndedAtStart(_) | CrashEvent::EndedInAnswer(_) | CrashEvent::Barred => {
-                self.note_end(fact)
+                self.record_crash(record)
             }
         }
     }
 
-    fn note_end(&mut self, fact: KnownFact) -> bool {
-        let is_known = self.ends.iter().any(|end| end.is_same_end(fact.event));
-        if is_known || self.ends.len() >= MAX_ENDS && self.weight() >= BARRED_WEIGHT {
+    fn record_crash(&mut self, record: RecordedEvent) -> bool {
+        let is_known = self.crashes.iter().any(|crash| crash.is_same_crash(record.event));
+        if is_known || self.crashes.len() >= MAX_CRASHES && self.weight() >= BARRED_WEIGHT {
             return false;
         }
-        if self.ends.len() >= MAX_ENDS {
-            self.ends.remove(0);
+        if self.crashes.len() >= MAX_CRASHES {
+            self.crashes.remove(0);
         }
-        self.ends.push(fact);
+        self.crashes.push(record);
         true
     }
 
     /// Ends that no whole answer has cleared.
-    fn counted(&self) -> impl Iterator<Item = &KnownFact> {
+    fn counted_crashes(&self) -> impl Iterator<Item = &RecordedEvent> {
         let answered_at = self.answered.map_or(Timestamp(0), |answered| answered.at);
-        self.ends.iter().filter(move |end| end.at > answered_at)
+        self.crashes.iter().filter(move |crash| crash.at > answered_at)
     }
 
     fn weight(&self) -> u32 {
-        self.counted().map(KnownFact::weight).sum()
+        self.counted_crashes().map(RecordedEvent::weight).sum()
     }
 
-    fn last_end(&self) -> Timestamp {
-        self.counted().map(|end| end.at).max().unwrap_or(Timestamp(0))
+    fn last_crash(&self) -> Timestamp {
+        self.counted_crashes().map(|crash| crash.at).max().unwrap_or(Timestamp(0))
     }
 
     /// When what the last run does is known here.
     fn settled_at(&self) -> Deadline {
-        let last = self.last_end();
-        let settled_at = last.deadline_after(SETTLE_TIME);
+        let last = self.last_crash();
+        let settled_at = last.deadline_after(PROPAGATION_TIME);
         // The own run has ended, or another one could not begin here.
-        let running = self.begun.filter(|begun| begun.at > last && begun.source.is_some());
-        running.map_or(settled_at, |begun| begun.at.deadline_after(RUN_TIME).max(settled_at))
+        let remote_run = self.begun.filter(|begun| begun.at > last && begun.source.is_some());
+        remote_run.map_or(settled_at, |begun| begun.at.deadline_after(RUN_TIME).max(settled_at))
     }
 
     fn verdict(&self) -> CrashVerdict {
-        let last = self.last_end();
+        let last = self.last_crash();
         match self.weight() {
             0 | ANSWER_WEIGHT => CrashVerdict::Clear,
             BARRED_WEIGHT.. => CrashVerdict::Barred { until: last.deadline_after(BAR_DURATION) },
             _ => CrashVerdict::Suspect {
-                is_local: self.counted().count() == 1
-                    && self.counted().all(|end| end.source.is_none()),
+                is_local: self.counted_crashes().count() == 1
+                    && self.counted_crashes().all(|crash| crash.source.is_none()),
                 settled_at: self.settled_at(),
             },
         }
     }
 
-    fn facts(&self) -> impl Iterator<Item = &KnownFact> {
-        self.ends.iter().chain(&self.begun).chain(&self.answered)
+    fn records(&self) -> impl Iterator<Item = &RecordedEvent> {
+        self.crashes.iter().chain(&self.begun).chain(&self.answered)
     }
 }
 
 /// Replaces `known` by a fact that differs from it by more than the time of a message.
-fn take_later(known: &mut Option<KnownFact>, fact: KnownFact) -> bool {
-    let is_later = known.is_none_or(|known| known.at.deadline_after(SETTLE_TIME).is_past(fact.at));
+fn replace_if_later(known: &mut Option<RecordedEvent>, record: RecordedEvent) -> bool {
+    let is_later =
+        known.is_none_or(|known| known.at.deadline_after(PROPAGATION_TIME).is_past(record.at));
     if is_later {
-        *known = Some(fact);
+        *known = Some(record);
     }
     is_later
 }
@@ -222,24 +223,24 @@
         if at.deadline_after(BAR_DURATION).is_past(now) {
             return false;
         }
-        let fact = KnownFact { event: row.event, at, change: self.changes + 1, source };
-        let is_news = match self.requests.entry(row.digest) {
-            Entry::Occupied(known) => known.into_mut().note(fact),
+        let record = RecordedEvent { event: row.event, at, change: self.changes + 1, source };
+        let is_new = match self.requests.entry(row.digest) {
+            Entry::Occupied(known) => known.into_mut().apply(record),
             Entry::Vacant(_) if matches!(row.event, CrashEvent::Begun | CrashEvent::Answered) => {
                 false
             }
-            Entry::Vacant(vacant) => vacant.insert(SuspectRequest::default()).note(fact),
+            Entry::Vacant(vacant) => vacant.insert(SuspectRequest::default()).apply(record),
         };
-        self.changes += u64::from(is_news);
-        if self.requests.len() > MAX_KEPT {
-            self.drop_least(row.digest);
+        self.changes += u64::from(is_new);
+        if self.requests.len() > MAX_REQUESTS {
+            self.evict_least(row.digest);
         }
-        is_news
+        is_new
     }
 
-    fn drop_least(&mut self, newest: RequestDigest) {
+    fn evict_least(&mut self, newest: RequestDigest) {
         let others = self.requests.iter().filter(|(digest, _)| **digest != newest);
-        let least = others.min_by_key(|(_, request)| (request.weight(), request.last_end()));
+        let least = others.min_by_key(|(_, request)| (request.weight(), request.last_crash()));
         if let Some(digest) = least.map(|(digest, _)| *digest) {
             self.requests.remove(&digest);
         }
@@ -260,24 +261,24 @@
     /// there is nothing to add.
     pub fn bars_to_persist(
         &self,
-        kept: &[BarredRequest],
+        stored: &[BarredRequest],
         now: Timestamp,
     ) -> Option<Vec<BarredRequest>> {
-        let is_over = |bar: &BarredRequest| bar.ended_at.deadline_after(BAR_DURATION).is_past(now);
-        let is_kept =
-            |digest: &RequestDigest| kept.iter().any(|bar| bar.digest == *digest && !is_over(bar));
+        let is_old = |bar: &BarredRequest| bar.ended_at.deadline_after(BAR_DURATION).is_past(now);
+        let is_stored =
+            |digest: &RequestDigest| stored.iter().any(|bar| bar.digest == *digest && !is_old(bar));
         let barred = self.requests.iter().filter(|(digest, request)| {
-            matches!(request.verdict(), CrashVerdict::Barred { .. }) && !is_kept(digest)
+            matches!(request.verdict(), CrashVerdict::Barred { .. }) && !is_stored(digest)
         });
         let added = barred.map(|(digest, request)| BarredRequest {
             digest: *digest,
-            ended_at: request.last_end(),
+            ended_at: request.last_crash(),
         });
-        let added: Vec<_> = added.filter(|bar| !is_over(bar)).collect();
+        let added: Vec<_> = added.filter(|bar| !is_old(bar)).collect();
         if added.is_empty() {
             return None;
         }
-        let mut bars: Vec<_> = kept.iter().copied().filter(|bar| !is_over(bar)).collect();
+        let mut bars: Vec<_> = stored.iter().copied().filter(|bar| !is_old(bar)).collect();
         bars.extend(added);
         bars.sort_unstable_by_key(|bar| Reverse(bar.ended_at));
         bars.truncate(MAX_BARS);
@@ -285,33 +286,33 @@
     }
 
     /// Facts that `link` has to be sent, and up to which change it has all of them then.
-    pub fn rows_since(&self, mark: u64, link: LinkId, now: Timestamp) -> (Vec<CrashRow>, u64) {
-        if mark == self.changes {
-            return (Vec::new(), mark);
+    pub fn rows_since(&self, cursor: u64, link: LinkId, now: Timestamp) -> (Vec<CrashRow>, u64) {
+        if cursor == self.changes {
+            return (Vec::new(), cursor);
         }
-        let facts = self
+        let records = self
             .requests
             .iter()
-            .flat_map(|(digest, request)| request.facts().map(move |fact| (*digest, *fact)));
-        let is_due = |fact: &KnownFact| fact.change > mark && fact.source != Some(link);
-        let mut due: Vec<_> = facts.filter(|(_, fact)| is_due(fact)).collect();
-        due.sort_unstable_by_key(|(_, fact)| fact.change);
-        let is_cut = due.len() > MAX_ROWS;
+            .flat_map(|(digest, request)| request.records().map(move |record| (*digest, *record)));
+        let is_due = |record: &RecordedEvent| record.change > cursor && record.source != Some(link);
+        let mut due: Vec<_> = records.filter(|(_, record)| is_due(record)).collect();
+        due.sort_unstable_by_key(|(_, record)| record.change);
+        let is_truncated = due.len() > MAX_ROWS;
         due.truncate(MAX_ROWS);
-        let last = due.last().map_or(mark, |(_, fact)| fact.change);
-        let rows = due.into_iter().map(|(digest, fact)| CrashRow {
+        let last = due.last().map_or(cursor, |(_, record)| record.change);
+        let rows = due.into_iter().map(|(digest, record)| CrashRow {
             digest,
-            event: fact.event,
-            age_ms: now.0.saturating_sub(fact.at.0) as u32,
+            event: record.event,
+            age_ms: now.0.saturating_sub(record.at.0) as u32,
         });
-        (rows.collect(), if is_cut { last } else { self.changes })
+        (rows.collect(), if is_truncated { last } else { self.changes })
     }
 
     /// Forgets requests under which no endpoint has ended for long; true if there were any.
     pub fn expire(&mut self, now: Timestamp) -> bool {
         let before = self.requests.len();
-        let is_old = |fact: &KnownFact| fact.at.deadline_after(BAR_DURATION).is_past(now);
-        self.requests.retain(|_, request| !request.ends.iter().all(is_old));
+        let is_old = |record: &RecordedEvent| record.at.deadline_after(BAR_DURATION).is_past(now);
+        self.requests.retain(|_, request| !request.crashes.iter().all(is_old));
         before != self.requests.len()
     }
 }
--- a/crates/decide/src/endpoint_tracker.rs
+++ b/crates/decide/src/endpoint_tracker.rs
@@ -16,13 +16,13 @@
 const FRESH_MS: u64 = 800;
 
 /// Age at which a load report no longer counts, in milliseconds.
-const REPORT_LIFE_MS: u64 = 2_000;
+const REPORT_TTL_MS: u64 = 2_000;
 
 /// Weight of a new delay in the mean, as a negative power of two.
 const DELAY_SHIFT: u32 = 1;
 
 /// Age at which measured delays no longer count, in milliseconds.
-const DELAY_LIFE_MS: u64 = 3_000;
+const DELAY_TTL_MS: u64 = 3_000;
 
 /// Time until an answer begins beyond which an endpoint counts as slow, in milliseconds.
 ///
@@ -31,12 +31,12 @@
 const SLOW_MS: u32 = 1_000;
 
 /// Sixteenths of a request, in which the adaptive limit is kept.
-const UNIT: u32 = 16;
+const LIMIT_SCALE: u32 = 16;
 
 /// Time in which refusals lower the limit only once, in milliseconds.
 ///
 /// A full endpoint refuses all that is on its way; one overload counts once.
-const CUT_MS: u64 = 50;
+const CUT_INTERVAL_MS: u64 = 50;
 
 /// Failures in a row after which an endpoint is ejected.
 const EJECT_FAILURES: u32 = 3;
@@ -51,7 +51,7 @@
 const OVERDUE_US: u64 = 1_000_000;
 
 /// Bits of a packed report that hold its moment.
-const MOMENT_BITS: u32 = 48;
+const TIME_BITS: u32 = 48;
 
 /// How fast an entry may send to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -91,11 +91,11 @@
     ejected_until: AtomicU64,
     /// Mean time until an answer begins, in milliseconds.
     delay_ms: AtomicU32,
-    delayed_at: AtomicU64,
+    delay_updated_at: AtomicU64,
     /// Requests of which no answer has begun yet.
     unanswered: AtomicU32,
     /// When an answer began last, or the first of those requests was sent.
-    heard_at: AtomicU64,
+    progress_at: AtomicU64,
     /// Time between two requests, in microseconds; zero if the endpoint names no limit.
     interval_us: AtomicU64,
     /// When the next request may be sent, in microseconds.
@@ -117,8 +117,8 @@
     ///
     /// Looked at and counted in one step: between the two another thread could
     /// take the same last place.
-    pub fn try_acquire(&self, most: u32) -> bool {
-        let next = |count: u32| (count < most).then(|| count + 1);
+    pub fn try_acquire(&self, max_in_flight: u32) -> bool {
+        let next = |count: u32| (count < max_in_flight).then(|| count + 1);
         self.in_flight.fetch_update(Ordering::Relaxed, Ordering::Relaxed, next).is_ok()
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Takes the place of a request in the pace; false if it is not due.
-    fn take_pace(&self, now: Timestamp) -> bool {
+    fn take_slot(&self, now: Timestamp) -> bool {
         let interval_us = self.interval_us.load(Ordering::Relaxed);
         if interval_us == 0 {
             return true;
@@ -184,11 +184,11 @@
 
     /// Counts a request if fewer than `most` are in progress and the pace lets it be sent;
     /// false if not.
-    pub fn try_acquire_paced(&self, most: u32, now: Timestamp) -> bool {
-        if !self.try_acquire(most) {
+    pub fn try_acquire_paced(&self, max_in_flight: u32, now: Timestamp) -> bool {
+        if !self.try_acquire(max_in_flight) {
             return false;
         }
-        let is_taken = self.take_pace(now);
+        let is_taken = self.take_slot(now);
         if !is_taken {
             self.release();
         }
@@ -199,9 +199,9 @@
     pub fn apply_report(&self, load: &LoadReport, limit: u32) {
         // The report counts our own requests too; what is left is the others'.
         let others = (load.in_flight + load.queued).saturating_sub(self.in_flight());
-        let moment = load.measured_at.0 & ((1 << MOMENT_BITS) - 1);
+        let measured_at = load.measured_at.0 & ((1 << TIME_BITS) - 1);
         let others = u64::from(others.min(u32::from(u16::MAX)));
-        self.report.store(others << MOMENT_BITS | moment, Ordering::Relaxed);
+        self.report.store(others << TIME_BITS | measured_at, Ordering::Relaxed);
         self.set_hard_limit(limit);
     }
 
@@ -213,13 +213,13 @@
     /// Takes the most requests that the endpoint takes, without a word of its load.
     pub fn set_hard_limit(&self, limit: u32) {
         if self.hard_limit.swap(limit, Ordering::Relaxed) != limit {
-            self.limit.store(limit.saturating_mul(UNIT), Ordering::Relaxed);
+            self.limit.store(limit.saturating_mul(LIMIT_SCALE), Ordering::Relaxed);
         }
     }
 
     /// Requests that this entry may have in progress there.
     pub fn limit(&self) -> u32 {
-        self.limit.load(Ordering::Relaxed) / UNIT
+        self.limit.load(Ordering::Relaxed) / LIMIT_SCALE
     }
 
     /// Own requests, and others' by the last report, discounted by its age.
@@ -229,26 +229,26 @@
 
     /// Requests of others by the last report, discounted by its age.
     pub fn others_in_flight(&self, now: Timestamp) -> u32 {
-        self.others_after(now, 0)
+        self.weighted_others(now, 0)
     }
 
     /// Requests of others by the last report, which counts in full while it is fresh.
     pub fn recent_others(&self, now: Timestamp) -> u32 {
-        self.others_after(now, FRESH_MS)
+        self.weighted_others(now, FRESH_MS)
     }
 
-    fn others_after(&self, now: Timestamp, fresh_ms: u64) -> u32 {
+    fn weighted_others(&self, now: Timestamp, fresh_ms: u64) -> u32 {
         let report = self.report.load(Ordering::Relaxed);
-        let measured_at = Timestamp(report & ((1 << MOMENT_BITS) - 1));
+        let measured_at = Timestamp(report & ((1 << TIME_BITS) - 1));
         let age = now.0.saturating_sub(measured_at.0);
-        let weight = REPORT_LIFE_MS.saturating_sub(age.max(fresh_ms));
-        ((report >> MOMENT_BITS) * weight / (REPORT_LIFE_MS - fresh_ms)) as u32
+        let weight = REPORT_TTL_MS.saturating_sub(age.max(fresh_ms));
+        ((report >> TIME_BITS) * weight / (REPORT_TTL_MS - fresh_ms)) as u32
     }
 
     /// Notes that a request was sent, of which [`Self::record_delay`] tells more.
     pub fn record_sent(&self, now: Timestamp) {
         if self.unanswered.fetch_add(1, Ordering::Relaxed) == 0 {
-            self.heard_at.store(now.0, Ordering::Relaxed);
+            self.progress_at.store(now.0, Ordering::Relaxed);
         }
     }
 
@@ -257,7 +257,7 @@
     pub fn record_delay(&self, delay_ms: u64, answered: bool, now: Timestamp) {
         self.unanswered.fetch_sub(1, Ordering::Relaxed);
         if answered {
-            self.heard_at.store(now.0, Ordering::Relaxed);
+            self.progress_at.store(now.0, Ordering::Relaxed);
         }
         let before = self.mean_delay(now);
         let delay = u32::try_from(delay_ms).unwrap_or(u32::MAX);
@@ -267,7 +267,7 @@
             before => before - ((before - delay) >> DELAY_SHIFT),
         };
         self.delay_ms.store(mean, Ordering::Relaxed);
-        self.delayed_at.store(now.0, Ordering::Relaxed);
+        self.delay_updated_at.store(now.0, Ordering::Relaxed);
     }
 
     /// Time until an answer begins here, in milliseconds; zero if not known.
@@ -276,11 +276,11 @@
     /// wait, whichever is longer: an endpoint that fell silent would else get
     /// more and more until the first of them is given up.
     pub fn delay_ms(&self, now: Timestamp) -> u32 {
-        let silence = match self.unanswered.load(Ordering::Relaxed) {
+        let silence_ms = match self.unanswered.load(Ordering::Relaxed) {
             0 => 0,
-            _ => now.0.saturating_sub(self.heard_at.load(Ordering::Relaxed)),
+            _ => now.0.saturating_sub(self.progress_at.load(Ordering::Relaxed)),
         };
-        self.mean_delay(now).max(u32::try_from(silence).unwrap_or(u32::MAX))
+        self.mean_delay(now).max(u32::try_from(silence_ms).unwrap_or(u32::MAX))
     }
 
     /// Whether the endpoint takes so long to answer that others should be asked.
@@ -296,8 +296,8 @@
     }
 
     fn mean_delay(&self, now: Timestamp) -> u32 {
-        let age = now.0.saturating_sub(self.delayed_at.load(Ordering::Relaxed));
-        if age > DELAY_LIFE_MS { 0 } else { self.delay_ms.load(Ordering::Relaxed) }
+        let age = now.0.saturating_sub(self.delay_updated_at.load(Ordering::Relaxed));
+        if age > DELAY_TTL_MS { 0 } else { self.delay_ms.load(Ordering::Relaxed) }
     }
 
     /// Notes an answer: raises the limit by one per round of full use.
@@ -306,24 +306,24 @@
             self.failures.store(0, Ordering::Relaxed);
         }
         let limit = self.limit.load(Ordering::Relaxed);
-        let most = self.hard_limit.load(Ordering::Relaxed).saturating_mul(UNIT);
-        let is_used = self.in_flight() * UNIT * 2 >= limit;
-        if is_used && limit < most {
-            let step = (UNIT * UNIT / limit.max(1)).max(1);
-            self.limit.store((limit + step).min(most), Ordering::Relaxed);
+        let max_limit = self.hard_limit.load(Ordering::Relaxed).saturating_mul(LIMIT_SCALE);
+        let is_used = self.in_flight() * LIMIT_SCALE * 2 >= limit;
+        if is_used && limit < max_limit {
+            let step = (LIMIT_SCALE * LIMIT_SCALE / limit.max(1)).max(1);
+            self.limit.store((limit + step).min(max_limit), Ordering::Relaxed);
         }
     }
 
     /// Notes a refusal for overload: lowers the limit by an eighth.
     pub fn record_refusal(&self, now: Timestamp) {
         let cut_at = self.cut_at.load(Ordering::Relaxed);
-        if now.0 < cut_at + CUT_MS {
+        if now.0 < cut_at + CUT_INTERVAL_MS {
             return;
         }
         let cut = self.cut_at.compare_exchange(cut_at, now.0, Ordering::Relaxed, Ordering::Relaxed);
         if cut.is_ok() {
             let limit = self.limit.load(Ordering::Relaxed);
-            self.limit.store((limit - limit / 8).max(UNIT), Ordering::Relaxed);
+            self.limit.store((limit - limit / 8).max(LIMIT_SCALE), Ordering::Relaxed);
         }
     }
 
@@ -334,9 +334,9 @@
 
     /// Keeps requests away for a while that doubles with each further failure.
     pub fn eject(&self, now: Timestamp) {
-        let over = self.failures.load(Ordering::Relaxed).saturating_sub(EJECT_FAILURES);
-        let span = (MIN_EJECT_MS << over.min(5)).min(MAX_EJECT_MS);
-        self.ejected_until.store(now.0 + span, Ordering::Relaxed);
+        let excess = self.failures.load(Ordering::Relaxed).saturating_sub(EJECT_FAILURES);
+        let duration_ms = (MIN_EJECT_MS << excess.min(5)).min(MAX_EJECT_MS);
+        self.ejected_until.store(now.0 + duration_ms, Ordering::Relaxed);
     }
 
     /// Whether requests are kept away.
--- a/crates/decide/src/entry_selector.rs
+++ b/crates/decide/src/entry_selector.rs
@@ -47,8 +47,8 @@
     /// The `count` entries to be connected to.
     pub fn select(&mut self, subject: u64, count: usize, now: Timestamp) -> Vec<SocketAddr> {
         self.avoided.retain(|_, until| !until.is_past(now));
-        let open = self.candidates.iter().filter(|addr| !self.avoided.contains_key(addr));
-        let names: Vec<_> = open.map(ToString::to_string).collect();
+        let available = self.candidates.iter().filter(|addr| !self.avoided.contains_key(addr));
+        let names: Vec<_> = available.map(ToString::to_string).collect();
         let ranked = first_ranked(subject, names.iter().map(String::as_str), count);
         ranked.into_iter().filter_map(|name| name.parse().ok()).collect()
     }
--- a/crates/decide/src/events.rs
+++ b/crates/decide/src/events.rs
@@ -48,7 +48,7 @@
         while let Some(length) = self.event_length() {
             let event: Vec<u8> = self.pending.drain(..length).collect();
             self.searched = 0;
-            self.give_out(&event, &mut ready);
+            self.emit(&event, &mut ready);
         }
         if self.pending.len() > MAX_EVENT_BYTES {
             return Err(EventError::TooLong);
@@ -67,7 +67,7 @@
         self.searched = 0;
     }
 
-    fn give_out(&mut self, event: &[u8], ready: &mut Vec<u8>) {
+    fn emit(&mut self, event: &[u8], ready: &mut Vec<u8>) {
         let id = event_id(event);
         // Without an id there is no telling whether the caller has it.
         if id.is_some_and(|id| self.last_id.is_some_and(|last| id <= last)) {
--- a/crates/decide/src/flood.rs
+++ b/crates/decide/src/flood.rs
@@ -45,11 +45,11 @@
             return true;
         }
         let behind = seen.newest - number;
-        let is_news = behind < WINDOW && seen.bits & (1 << behind) == 0;
-        if is_news {
+        let is_new = behind < WINDOW && seen.bits & (1 << behind) == 0;
+        if is_new {
             seen.bits |= 1 << behind;
         }
-        is_news
+        is_new
     }
 
     /// Forgets processes that are gone.
--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -15,7 +15,7 @@
 use crate::rank::subject_of;
 
 /// Most records, and most reports, that are kept.
-const MAX_KEPT: usize = 16_384;
+const MAX_ITEMS: usize = 16_384;
 
 /// Most loads in one message.
 const MAX_LOADS: usize = 512;
@@ -23,7 +23,7 @@
 /// Time for which an item is kept that no reachable process stands for.
 ///
 /// Longer than any message can be delayed, so that a late copy of it is known to be old.
-const KEEP_TIME: Duration = Duration::from_secs(60);
+const RETENTION_TIME: Duration = Duration::from_secs(60);
 
 /// Age at which a load is of no use to anyone, in milliseconds.
 const MAX_LOAD_AGE_MS: u64 = 2_000;
@@ -41,19 +41,19 @@
 /// Records, reports and loads as one entry has them.
 #[derive(Debug, Default)]
 pub struct GossipStore {
-    records: BTreeMap<InstanceId, KeptItem<EntryRecord>>,
-    reports: BTreeMap<InstanceId, KeptItem<EndpointReport>>,
+    records: BTreeMap<InstanceId, StoredItem<EntryRecord>>,
+    reports: BTreeMap<InstanceId, StoredItem<EndpointReport>>,
     loads: HashMap<u64, KnownLoad>,
     changes: u64,
 }
 
 /// An item with its change and the links over which it has come.
 #[derive(Debug)]
-struct KeptItem<T> {
+struct StoredItem<T> {
     item: T,
     change: u64,
     sources: Vec<LinkId>,
-    heard_at: Timestamp,
+    received_at: Timestamp,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -72,9 +72,9 @@
     now: Timestamp,
 }
 
-impl<T> KeptItem<T> {
+impl<T> StoredItem<T> {
     fn new(item: T, Arrival { change, source, now }: Arrival) -> Self {
-        Self { item, change, sources: source.into_iter().collect(), heard_at: now }
+        Self { item, change, sources: source.into_iter().collect(), received_at: now }
     }
 
     /// Replaces the item if `item` is newer; the sender of an equal copy is a further source.
@@ -90,20 +90,20 @@
         false
     }
 
-    fn is_due(&self, mark: u64, link: LinkId) -> bool {
-        self.change > mark && !self.sources.contains(&link)
+    fn is_due(&self, cursor: u64, link: LinkId) -> bool {
+        self.change > cursor && !self.sources.contains(&link)
     }
 }
 
 fn insert_new<T>(
-    items: &mut BTreeMap<InstanceId, KeptItem<T>>,
+    items: &mut BTreeMap<InstanceId, StoredItem<T>>,
     instance: InstanceId,
     item: T,
     arrival: Arrival,
 ) -> bool {
-    let has_room = items.len() < MAX_KEPT;
+    let has_room = items.len() < MAX_ITEMS;
     if has_room {
-        items.insert(instance, KeptItem::new(item, arrival));
+        items.insert(instance, StoredItem::new(item, arrival));
     }
     has_room
 }
@@ -117,12 +117,12 @@
         now: Timestamp,
     ) -> bool {
         let arrival = Arrival { change: self.changes + 1, source, now };
-        let is_news = match self.records.get_mut(&record.instance) {
+        let is_new = match self.records.get_mut(&record.instance) {
             Some(known) => known.merge(record, EntryRecord::is_newer, arrival),
             None => insert_new(&mut self.records, record.instance.clone(), record, arrival),
         };
-        self.changes += u64::from(is_news);
-        is_news
+        self.changes += u64::from(is_new);
+        is_new
     }
 
     /// Takes in a report; true if it is newer than the known one.
@@ -133,12 +133,12 @@
         now: Timestamp,
     ) -> bool {
         let arrival = Arrival { change: self.changes + 1, source, now };
-        let is_news = match self.reports.get_mut(&report.instance) {
+        let is_new = match self.reports.get_mut(&report.instance) {
             Some(known) => known.merge(report, EndpointReport::is_newer, arrival),
             None => insert_new(&mut self.reports, report.instance.clone(), report, arrival),
         };
-        self.changes += u64::from(is_news);
-        is_news
+        self.changes += u64::from(is_new);
+        is_new
     }
 
     /// Takes in a load; true if it was measured more than `step_ms` after the known one.
@@ -153,15 +153,15 @@
         let measured_at = Timestamp(now.0.saturating_sub(age_ms));
         let known = self.loads.get(&row.subject);
         let is_later = known.is_none_or(|known| measured_at.0 > known.measured_at.0 + step_ms);
-        let has_room = known.is_some() || self.loads.len() < 2 * MAX_KEPT;
-        let is_news = is_later && has_room && age_ms < MAX_LOAD_AGE_MS;
-        if is_news {
+        let has_room = known.is_some() || self.loads.len() < 2 * MAX_ITEMS;
+        let is_new = is_later && has_room && age_ms < MAX_LOAD_AGE_MS;
+        if is_new {
             self.changes += 1;
             let change = self.changes;
             let known = KnownLoad { load: row.load, measured_at, change, source };
             self.loads.insert(row.subject, known);
         }
-        is_news
+        is_new
     }
 
     /// The load of a process, if it is recent.
@@ -174,17 +174,17 @@
     /// Records and reports that `link` has to be sent, and its mark after that.
     pub fn state_since(
         &self,
-        mark: LinkCursor,
+        cursor: LinkCursor,
         link: LinkId,
     ) -> (Vec<EntryRecord>, Vec<EndpointReport>, LinkCursor) {
-        if mark.state == self.changes {
-            return (Vec::new(), Vec::new(), mark);
+        if cursor.state == self.changes {
+            return (Vec::new(), Vec::new(), cursor);
         }
-        let records = self.records.values().filter(|kept| kept.is_due(mark.state, link));
-        let records = records.map(|kept| kept.item.clone()).collect();
-        let reports = self.reports.values().filter(|kept| kept.is_due(mark.state, link));
-        let reports = reports.map(|kept| kept.item.clone()).collect();
-        (records, reports, LinkCursor { state: self.changes, ..mark })
+        let records = self.records.values().filter(|stored| stored.is_due(cursor.state, link));
+        let records = records.map(|stored| stored.item.clone()).collect();
+        let reports = self.reports.values().filter(|stored| stored.is_due(cursor.state, link));
+        let reports = reports.map(|stored| stored.item.clone()).collect();
+        (records, reports, LinkCursor { state: self.changes, ..cursor })
     }
 
     /// Loads that `link` has to be sent, and its mark after that.
@@ -192,17 +192,17 @@
     /// Those that have waited longest go first if one message cannot hold them all.
     pub fn loads_since(
         &self,
-        mark: LinkCursor,
+        cursor: LinkCursor,
         link: LinkId,
         now: Timestamp,
     ) -> (Vec<LoadRow>, LinkCursor) {
-        let is_due = |known: &KnownLoad| known.change > mark.loads && known.source != Some(link);
+        let is_due = |known: &KnownLoad| known.change > cursor.loads && known.source != Some(link);
         let mut due: Vec<_> = self.loads.iter().filter(|(_, known)| is_due(known)).collect();
         due.sort_unstable_by_key(|(_, known)| known.change);
-        let is_cut = due.len() > MAX_LOADS;
+        let is_truncated = due.len() > MAX_LOADS;
         due.truncate(MAX_LOADS);
-        let last = due.last().map_or(mark.loads, |(_, known)| known.change);
-        let loads = if is_cut { last } else { self.changes };
+        let last = due.last().map_or(cursor.loads, |(_, known)| known.change);
+        let loads = if is_truncated { last } else { self.changes };
         let rows = due.into_iter().filter_map(|(subject, known)| {
             let age_ms = now.0.saturating_sub(known.measured_at.0);
             (age_ms < MAX_LOAD_AGE_MS).then_some(LoadRow {
@@ -211,34 +211,34 @@
                 age_ms: age_ms as u32,
             })
         });
-        (rows.collect(), LinkCursor { loads, ..mark })
+        (rows.collect(), LinkCursor { loads, ..cursor })
     }
 
     /// All records.
     pub fn records(&self) -> impl Iterator<Item = &EntryRecord> {
-        self.records.values().map(|kept| &kept.item)
+        self.records.values().map(|stored| &stored.item)
     }
 
     /// The record of one entry.
     pub fn record(&self, instance: &InstanceId) -> Option<&EntryRecord> {
-        self.records.get(instance).map(|kept| &kept.item)
+        self.records.get(instance).map(|stored| &stored.item)
     }
 
     /// All reports.
     pub fn reports(&self) -> impl Iterator<Item = &EndpointReport> {
-        self.reports.values().map(|kept| &kept.item)
+        self.reports.values().map(|stored| &stored.item)
     }
 
     /// The report of one endpoint.
     pub fn report(&self, instance: &InstanceId) -> Option<&EndpointReport> {
-        self.reports.get(instance).map(|kept| &kept.item)
+        self.reports.get(instance).map(|stored| &stored.item)
     }
 
     /// Drops what is old and stands for no process that `is_present`.
     pub fn expire(&mut self, now: Timestamp, is_present: impl Fn(&InstanceId) -> bool) {
-        let is_old = |heard_at: Timestamp| now.since(heard_at) > KEEP_TIME;
-        self.records.retain(|name, kept| is_present(name) || !is_old(kept.heard_at));
-        self.reports.retain(|name, kept| is_present(name) || !is_old(kept.heard_at));
+        let is_old = |received_at: Timestamp| now.since(received_at) > RETENTION_TIME;
+        self.records.retain(|name, stored| is_present(name) || !is_old(stored.received_at));
+        self.reports.retain(|name, stored| is_present(name) || !is_old(stored.received_at));
         self.loads.retain(|_, known| now.0.saturating_sub(known.measured_at.0) < MAX_LOAD_AGE_MS);
     }
 }
--- a/crates/decide/src/heartbeat.rs
+++ b/crates/decide/src/heartbeat.rs
@@ -11,7 +11,7 @@
 /// Time between whole reports that tell nothing but progress.
 ///
 /// Forecasts and the choice among endpoints that hold a part need no more.
-const PROGRESS_TIME: Duration = Duration::from_secs(1);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The last whole report, and when progress alone is worth another one.
 #[derive(Debug, Clone)]
@@ -23,30 +23,30 @@
 impl SentReport {
     /// A report that every entry has got.
     pub fn new(report: EndpointReport, now: Timestamp) -> Self {
-        Self { report, progress_at: now.deadline_after(PROGRESS_TIME) }
+        Self { report, progress_at: now.deadline_after(PROGRESS_INTERVAL) }
     }
 
     /// Whether a load is all that has to be told now.
     pub fn covers(&self, report: &EndpointReport, now: Timestamp) -> bool {
-        let mut told = EndpointReport { load: report.load, ..self.report.clone() };
-        if told == *report {
+        let mut sent = EndpointReport { load: report.load, ..self.report.clone() };
+        if sent == *report {
             return true;
         }
-        if self.progress_at.is_past(now) || !is_under_way(&told.staged, &report.staged) {
+        if self.progress_at.is_past(now) || !is_under_way(&sent.staged, &report.staged) {
             return false;
         }
-        told.staged.clone_from(&report.staged);
-        told == *report
+        sent.staged.clone_from(&report.staged);
+        sent == *report
     }
 }
 
 /// Whether both are parts of the same weights.
-fn is_under_way(told: &Option<StagedWeights>, staged: &Option<StagedWeights>) -> bool {
-    let (Some(told), Some(staged)) = (told, staged) else {
+fn is_under_way(sent: &Option<StagedWeights>, staged: &Option<StagedWeights>) -> bool {
+    let (Some(sent), Some(staged)) = (sent, staged) else {
         return false;
     };
     let is_partial = |staged: &StagedWeights| staged.chunks_ready < staged.chunks_total;
-    told.manifest == staged.manifest && is_partial(told) && is_partial(staged)
+    sent.manifest == staged.manifest && is_partial(sent) && is_partial(staged)
 }
 
 /// When an entry wants to hear the load.
--- a/crates/decide/src/latch.rs
+++ b/crates/decide/src/latch.rs
@@ -18,12 +18,12 @@
 impl RunLatch {
     /// Begins the run; false if the attempt was cancelled before.
     pub fn begin(&self) -> bool {
-        self.leave_waiting(RUNNING)
+        self.transition(RUNNING)
     }
 
     /// Cancels the attempt; false if its run has begun.
     pub fn cancel(&self) -> bool {
-        self.leave_waiting(CANCELLED)
+        self.transition(CANCELLED)
     }
 
     /// Whether the attempt was cancelled before its run.
@@ -31,7 +31,7 @@
         self.state.load(Ordering::Acquire) == CANCELLED
     }
 
-    fn leave_waiting(&self, next: u8) -> bool {
+    fn transition(&self, next: u8) -> bool {
         let changed =
             self.state.compare_exchange(WAITING, next, Ordering::AcqRel, Ordering::Acquire);
         changed.is_ok()
--- a/crates/decide/src/overlay.rs
+++ b/crates/decide/src/overlay.rs
@@ -21,10 +21,10 @@
 use crate::rank::{rendezvous_weight, subject_of};
 
 /// Entries that read the operators' rows, where there are fewer regions.
-const FEWEST_READERS: usize = 3;
+const MIN_FOLLOWERS: usize = 3;
 
 /// Links between each two regions.
-const BRIDGES: usize = 3;
+const LINKS_PER_REGION_PAIR: usize = 3;
 
 /// Address and region of an entry, the input of the choice of links.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -73,7 +73,7 @@
     let rank = ranked(subject, near).iter().position(|addr| *addr == own.inner_addr)?;
     let far = ranked(subject, far);
     // A region with fewer entries joins each of them to more than one.
-    (rank < BRIDGES).then(|| far[rank % far.len()])
+    (rank < LINKS_PER_REGION_PAIR).then(|| far[rank % far.len()])
 }
 
 fn ranked(subject: u64, addrs: &[SocketAddr]) -> Vec<SocketAddr> {
@@ -126,7 +126,7 @@
         .filter(|other| other.instance < *own)
         .collect();
     let is_first_near = before.iter().all(|other| other.region != record.region);
-    match is_first_near || before.len() < FEWEST_READERS {
+    match is_first_near || before.len() < MIN_FOLLOWERS {
         true => FeedRole::Follow,
         false => FeedRole::Standby,
     }
@@ -139,13 +139,14 @@
 ) -> BTreeSet<&'a InstanceId> {
     let records: HashMap<_, _> = records.map(|record| (&record.instance, record)).collect();
     let mut reached = BTreeSet::from([own]);
-    let mut open = vec![own];
-    while let Some(record) = open.pop().and_then(|instance| records.get(instance)) {
+    let mut pending = vec![own];
+    while let Some(record) = pending.pop().and_then(|instance| records.get(instance)) {
         for neighbour in &record.neighbours {
-            let back = records.get(neighbour).map(|other| &other.neighbours);
-            let is_confirmed = back.is_some_and(|back| back.contains(&record.instance));
+            let their_neighbours = records.get(neighbour).map(|other| &other.neighbours);
+            let is_confirmed = their_neighbours
+                .is_some_and(|their_neighbours| their_neighbours.contains(&record.instance));
             if is_confirmed && reached.insert(neighbour) {
-                open.push(neighbour);
+                pending.push(neighbour);
             }
         }
     }
--- a/crates/decide/src/peering.rs
+++ b/crates/decide/src/peering.rs
@@ -13,14 +13,14 @@
 use crate::rank::{first_ranked, subject_of};
 
 /// Most agents of its own region that an agent knows.
-const MAX_NEAR: usize = 256;
+const MAX_SAME_REGION: usize = 256;
 
 /// Agents of each other region that an agent knows.
 ///
 /// A chunk is offered to a region once one of these holds it. Chunks double
 /// their holders about every 150 ms, so with six known agents the wait is a few
 /// tens of milliseconds, and all six gone at once is not expected.
-const MAX_FAR: usize = 6;
+const MAX_PER_OTHER_REGION: usize = 6;
 
 /// An agent as far as this choice needs to know it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,8 +39,8 @@
     }
     let subject = subject_of(agent.instance);
     let chosen = regions.into_iter().flat_map(|(region, names)| {
-        let most = if region == agent.region { MAX_NEAR } else { MAX_FAR };
-        first_ranked(subject, names.into_iter(), most)
+        let max_count = if region == agent.region { MAX_SAME_REGION } else { MAX_PER_OTHER_REGION };
+        first_ranked(subject, names.into_iter(), max_count)
     });
     chosen.collect()
 }
--- a/crates/decide/src/rate_limits.rs
+++ b/crates/decide/src/rate_limits.rs
@@ -24,41 +24,41 @@
 const MAX_HOLDERS: usize = 3;
 
 /// Requests a second of a limit for each of its holders at least.
-const HOLDER_RATE: f64 = 1.0;
+const MIN_HOLDER_RATE: f64 = 1.0;
 
 /// Requests a second that an endpoint gets at least, or the end of its limit would not be
 /// noticed.
-const LEAST_RATE: f64 = 0.1;
+const MIN_RATE: f64 = 0.1;
 
 /// Time after the last answer with a limit within which one without it may be older.
-const CROSS_TIME: Duration = Duration::from_millis(250);
+const GRACE_TIME: Duration = Duration::from_millis(250);
 
 /// Time after which neighbours are sent a limit again that still holds.
-const REPEAT_TIME: Duration = Duration::from_secs(1);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time in which holders confirm a limit; three of their repeats.
-const TURN_TIME: Duration = Duration::from_secs(3);
+const MIN_CONFIRM_TIME: Duration = Duration::from_secs(3);
 
 /// Requests that holders send in that time at least.
-const TURNS: f64 = 4.0;
+const CONFIRM_REQUESTS: f64 = 4.0;
 
 /// Relative change of a limit that neighbours are sent at once, as a divisor.
-const CHANGE_PART: u32 = 20;
+const CHANGE_DIVISOR: u32 = 20;
 
 /// Time in which the rate doubles after a limit has ended.
-const DOUBLE_TIME: Duration = Duration::from_secs(1);
+const DOUBLING_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Doublings after which an endpoint is used as before.
-const DOUBLINGS: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 
 /// Rate from which entries return to an endpoint that took nothing, in requests a second.
-const LEAST_RETURN_RATE: f64 = 1.0;
+const MIN_RECOVERY_RATE: f64 = 1.0;
 
 /// Time for which a limit is kept of an endpoint that is not listed.
-const KEEP_TIME: Duration = Duration::from_secs(60);
+const RETENTION_TIME: Duration = Duration::from_secs(60);
 
 /// Most limits that are kept.
-const MAX_KEPT: usize = 16_384;
+const MAX_LIMITS: usize = 16_384;
 
 /// Limits by the hash of the endpoint's process.
 #[derive(Debug, Default)]
@@ -117,14 +117,14 @@
                 let LimitState::Named(limit) = known.state else {
                     return false;
                 };
-                if !known.confirmed_at.deadline_after(CROSS_TIME).is_past(now) {
+                if !known.confirmed_at.deadline_after(GRACE_TIME).is_past(now) {
                     return false;
                 }
                 LimitState::Ended(limit)
             }
-            (Some(limit), Some(known)) if known.is_near(limit) => {
+            (Some(limit), Some(known)) if known.is_close_to(limit) => {
                 known.confirmed_at = now;
-                if !known.observed_at.deadline_after(REPEAT_TIME).is_past(now) {
+                if !known.observed_at.deadline_after(REFRESH_INTERVAL).is_past(now) {
                     return false;
                 }
                 LimitState::Named(limit)
@@ -140,11 +140,11 @@
         let known = self.limits.get(&row.endpoint);
         // Copies that come another way seem to be some milliseconds younger or older.
         let is_later = known
-            .is_none_or(|known| known.observed_at.deadline_after(CROSS_TIME).is_past(observed_at));
-        let is_other = known.is_none_or(|known| known.state != row.state);
-        let is_news =
-            is_later || is_other && known.is_some_and(|known| observed_at > known.observed_at);
-        is_news && self.insert(row.endpoint, row.state, observed_at, Some(source))
+            .is_none_or(|known| known.observed_at.deadline_after(GRACE_TIME).is_past(observed_at));
+        let is_different = known.is_none_or(|known| known.state != row.state);
+        let is_new =
+            is_later || is_different && known.is_some_and(|known| observed_at > known.observed_at);
+        is_new && self.insert(row.endpoint, row.state, observed_at, Some(source))
     }
 
     fn insert(
@@ -154,7 +154,7 @@
         observed_at: Timestamp,
         source: Option<LinkId>,
     ) -> bool {
-        let has_room = self.limits.contains_key(&endpoint) || self.limits.len() < MAX_KEPT;
+        let has_room = self.limits.contains_key(&endpoint) || self.limits.len() < MAX_LIMITS;
         if has_room {
             self.changes += 1;
             let change = self.changes;
@@ -166,38 +166,38 @@
     }
 
     /// How fast an entry may send to an endpoint; none if it names no limit.
-    pub fn pace(&self, endpoint: u64, place: HolderRank, now: Timestamp) -> Option<EndpointPace> {
+    pub fn pace(&self, endpoint: u64, holder: HolderRank, now: Timestamp) -> Option<EndpointPace> {
         let known = self.limits.get(&endpoint)?;
         match known.state {
             LimitState::Named(limit) => {
-                let wanted = (limit.rate() / HOLDER_RATE) as usize;
-                let holders = wanted.clamp(1, MAX_HOLDERS) + known.missed_turns(limit, now);
-                let holders = holders.min(place.candidates.max(1));
-                Some(match place.rank < holders {
+                let wanted = (limit.rate() / MIN_HOLDER_RATE) as usize;
+                let holders = wanted.clamp(1, MAX_HOLDERS) + known.missed_confirmations(limit, now);
+                let holders = holders.min(holder.candidates.max(1));
+                Some(match holder.rank < holders {
                     true => {
-                        let rate = limit.rate().max(LEAST_RATE) / holders as f64;
-                        let part = (place.rank + 1) as f64 / holders as f64;
-                        EndpointPace::from_rate(rate).with_first_delay(part)
+                        let rate = limit.rate().max(MIN_RATE) / holders as f64;
+                        let fraction = (holder.rank + 1) as f64 / holders as f64;
+                        EndpointPace::from_rate(rate).with_first_delay(fraction)
                     }
                     false => EndpointPace::ZERO,
                 })
             }
             LimitState::Ended(limit) => {
                 let doublings = doublings(known.observed_at, now);
-                let factor = f64::from(1_u32 << doublings.min(DOUBLINGS));
-                let rate = limit.rate().max(LEAST_RETURN_RATE) * factor;
-                let pace = EndpointPace::from_rate(rate / place.entries.max(1) as f64);
-                (doublings < DOUBLINGS).then(|| pace.with_first_delay(place.phase))
+                let factor = f64::from(1_u32 << doublings.min(MAX_DOUBLINGS));
+                let rate = limit.rate().max(MIN_RECOVERY_RATE) * factor;
+                let pace = EndpointPace::from_rate(rate / holder.entries.max(1) as f64);
+                (doublings < MAX_DOUBLINGS).then(|| pace.with_first_delay(holder.phase))
             }
         }
     }
 
     /// Limits that `link` has to be sent, and up to which change it has all of them then.
-    pub fn rows_since(&self, mark: u64, link: LinkId, now: Timestamp) -> (Vec<LimitRow>, u64) {
-        if mark == self.changes {
-            return (Vec::new(), mark);
+    pub fn rows_since(&self, cursor: u64, link: LinkId, now: Timestamp) -> (Vec<LimitRow>, u64) {
+        if cursor == self.changes {
+            return (Vec::new(), cursor);
         }
-        let is_due = |known: &KnownLimit| known.change > mark && known.source != Some(link);
+        let is_due = |known: &KnownLimit| known.change > cursor && known.source != Some(link);
         let due = self.limits.iter().filter(|(_, known)| is_due(known));
         let rows = due.map(|(endpoint, known)| LimitRow {
             endpoint: *endpoint,
@@ -210,7 +210,7 @@
     /// Forgets limits that have ended long ago, and those of endpoints that are gone.
     pub fn expire(&mut self, is_listed: impl Fn(u64) -> bool, now: Timestamp) {
         self.limits.retain(|endpoint, known| {
-            let is_old = known.confirmed_at.deadline_after(KEEP_TIME).is_past(now);
+            let is_old = known.confirmed_at.deadline_after(RETENTION_TIME).is_past(now);
             match known.state {
                 LimitState::Named(_) => is_listed(*endpoint) || !is_old,
                 LimitState::Ended(_) => !is_old,
@@ -223,21 +223,21 @@
     /// How often the holders have had time to confirm the limit, and did not.
     ///
     /// They may have lost the connection to the endpoint; the next in rank then use it too.
-    fn missed_turns(&self, limit: NamedLimit, now: Timestamp) -> usize {
-        let interval = Duration::from_secs_f64(TURNS / limit.rate().max(LEAST_RATE));
-        let patience = interval.max(TURN_TIME);
-        (now.since(self.observed_at).as_millis() / patience.as_millis()) as usize
+    fn missed_confirmations(&self, limit: NamedLimit, now: Timestamp) -> usize {
+        let interval = Duration::from_secs_f64(CONFIRM_REQUESTS / limit.rate().max(MIN_RATE));
+        let confirm_time = interval.max(MIN_CONFIRM_TIME);
+        (now.since(self.observed_at).as_millis() / confirm_time.as_millis()) as usize
     }
 
     /// Whether `limit` differs little from the one that neighbours know.
-    fn is_near(&self, limit: NamedLimit) -> bool {
+    fn is_close_to(&self, limit: NamedLimit) -> bool {
         let LimitState::Named(known) = self.state else {
             return false;
         };
-        known.0.abs_diff(limit.0) <= known.0 / CHANGE_PART
+        known.0.abs_diff(limit.0) <= known.0 / CHANGE_DIVISOR
     }
 }
 
 fn doublings(ended_at: Timestamp, now: Timestamp) -> u32 {
-    (now.since(ended_at).as_millis() / DOUBLE_TIME.as_millis()) as u32
+    (now.since(ended_at).as_millis() / DOUBLING_INTERVAL.as_millis()) as u32
 }
--- a/crates/decide/src/restarts.rs
+++ b/crates/decide/src/restarts.rs
@@ -7,7 +7,7 @@
 /// When the present process of each endpoint started, by its own word.
 #[derive(Debug, Clone, Default)]
 pub struct RestartDetector {
-    born: HashMap<InstanceId, Timestamp>,
+    started_at: HashMap<InstanceId, Timestamp>,
 }
 
 impl RestartDetector {
@@ -16,19 +16,19 @@
     /// What was learnt of the former process does not hold for this one: its
     /// failures would keep requests away from an engine that is idle, its loads
     /// would send it more or less than it can take, and its connections are gone.
-    pub fn observe_start(&mut self, instance: &InstanceId, born_at: Option<Timestamp>) -> bool {
-        let Some(born_at) = born_at else {
+    pub fn observe_start(&mut self, instance: &InstanceId, started: Option<Timestamp>) -> bool {
+        let Some(started) = started else {
             return false;
         };
-        let known = self.born.entry(instance.clone()).or_insert(born_at);
-        let is_later = *known < born_at;
+        let known = self.started_at.entry(instance.clone()).or_insert(started);
+        let is_later = *known < started;
         // An older row may come late, and must not end the present life.
-        *known = born_at.max(*known);
+        *known = started.max(*known);
         is_later
     }
 
     /// Forgets the endpoints for which `is_listed` does not hold.
     pub fn keep_only(&mut self, is_listed: impl Fn(&InstanceId) -> bool) {
-        self.born.retain(|instance, _| is_listed(instance));
+        self.started_at.retain(|instance, _| is_listed(instance));
     }
 }
--- a/crates/decide/src/resync.rs
+++ b/crates/decide/src/resync.rs
@@ -13,29 +13,29 @@
 /// Time between repeats to an agent that has missed nothing.
 ///
 /// A third of the two seconds after which a silent agent counts as gone.
-const REPEAT_TIME: Duration = Duration::from_millis(650);
+const RESYNC_INTERVAL: Duration = Duration::from_millis(650);
 
 /// What one other agent has been told.
 #[derive(Debug, Clone, Copy)]
 pub struct ResyncSchedule {
-    has_missed: bool,
-    repeat_at: Deadline,
+    has_dropped: bool,
+    resync_at: Deadline,
 }
 
 impl ResyncSchedule {
     /// An agent that has just been told everything.
     pub fn new(now: Timestamp) -> Self {
-        Self { has_missed: false, repeat_at: now.deadline_after(REPEAT_TIME) }
+        Self { has_dropped: false, resync_at: now.deadline_after(RESYNC_INTERVAL) }
     }
 
     /// Notes that a word to it went out, or that its queue was full.
     pub fn record_send(&mut self, queued: bool) {
-        self.has_missed |= !queued;
+        self.has_dropped |= !queued;
     }
 
     /// Whether all has to be repeated now; starts the next span if so.
     pub fn take_due(&mut self, now: Timestamp) -> bool {
-        if !self.has_missed && !self.repeat_at.is_past(now) {
+        if !self.has_dropped && !self.resync_at.is_past(now) {
             return false;
         }
         *self = Self::new(now);
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -101,7 +101,7 @@
             AttemptFailure::Unanswered(_) => false,
         };
         let stale = end == AttemptFailure::NotRun(NotRunReason::StaleRevision);
-        self.note(end.clone());
+        self.record(end.clone());
         let next_at = self.next_at(now, rng);
         let exhausted = self.attempts >= self.max_attempts || next_at >= self.deadline;
         if !may_repeat || exhausted || !budget.withdraw() {
@@ -110,7 +110,7 @@
         if stale { RetryStep::Reroute(next_at) } else { RetryStep::Retry(next_at) }
     }
 
-    fn note(&mut self, end: AttemptFailure) {
+    fn record(&mut self, end: AttemptFailure) {
         match end {
             AttemptFailure::Unknown(detail)
             | AttemptFailure::Lost(detail)
@@ -126,9 +126,9 @@
 
     fn next_at(&self, now: Timestamp, rng: &mut impl Rng) -> Deadline {
         let doublings = self.attempts.saturating_sub(1).min(8);
-        let longest = (MIN_BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
+        let max_wait_ms = (MIN_BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
         // Full jitter: entries that were refused together do not come back together.
-        now.deadline_after(Duration::from_millis(rng.random_range(0..=longest)))
+        now.deadline_after(Duration::from_millis(rng.random_range(0..=max_wait_ms)))
     }
 
     fn stop(&self, end: AttemptFailure) -> RetryStep {
@@ -148,13 +148,13 @@
 }
 
 /// Price of a retry, in thousandths.
-const PRICE: u32 = 1_000;
+const RETRY_COST: u32 = 1_000;
 
 /// Retries for each request, unless a deployment states another ratio.
-const USUAL_RATIO: f64 = 0.1;
+const DEFAULT_RATIO: f64 = 0.1;
 
 /// Retries that an idle entry may make at once, unless a deployment states another number.
-const USUAL_SAVINGS: f64 = 100.0;
+const DEFAULT_BURST: f64 = 100.0;
 
 /// Retries that one entry may make: a share of its requests, and a few at once.
 ///
@@ -165,48 +165,48 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     /// Share of a retry that each request earns, in thousandths.
-    earned: u32,
+    deposit: u32,
     /// Most retries that are saved up, in thousandths.
-    savings: AtomicU32,
+    burst: AtomicU32,
     balance: AtomicU32,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self::new(USUAL_RATIO, USUAL_SAVINGS)
+        Self::new(DEFAULT_RATIO, DEFAULT_BURST)
     }
 }
 
 impl RetryBudget {
     /// A budget of `ratio` retries for each request and `savings` at once.
-    pub fn new(ratio: f64, savings: f64) -> Self {
-        let savings = (savings * f64::from(PRICE)) as u32;
+    pub fn new(ratio: f64, burst: f64) -> Self {
+        let burst = (burst * f64::from(RETRY_COST)) as u32;
         Self {
-            earned: (ratio * f64::from(PRICE)) as u32,
-            savings: AtomicU32::new(savings),
-            balance: AtomicU32::new(savings),
+            deposit: (ratio * f64::from(RETRY_COST)) as u32,
+            burst: AtomicU32::new(burst),
+            balance: AtomicU32::new(burst),
         }
     }
 
     /// Changes the retries that are saved up at most, as entries come and go that share
     /// them with this one. What is saved beyond that is lost.
-    pub fn set_burst(&self, savings: f64) {
-        let savings = (savings * f64::from(PRICE)) as u32;
-        if self.savings.swap(savings, Ordering::Relaxed) > savings {
-            self.balance.fetch_min(savings, Ordering::Relaxed);
+    pub fn set_burst(&self, burst: f64) {
+        let burst = (burst * f64::from(RETRY_COST)) as u32;
+        if self.burst.swap(burst, Ordering::Relaxed) > burst {
+            self.balance.fetch_min(burst, Ordering::Relaxed);
         }
     }
 
     /// Notes a request.
     pub fn deposit(&self) {
-        let most = self.savings.load(Ordering::Relaxed);
-        let earned = |balance: u32| (balance < most).then(|| (balance + self.earned).min(most));
-        let _ = self.balance.fetch_update(Ordering::Relaxed, Ordering::Relaxed, earned);
+        let limit = self.burst.load(Ordering::Relaxed);
+        let next = |balance: u32| (balance < limit).then(|| (balance + self.deposit).min(limit));
+        let _ = self.balance.fetch_update(Ordering::Relaxed, Ordering::Relaxed, next);
     }
 
     /// Takes one retry; false if there is none.
     pub fn withdraw(&self) -> bool {
-        let pay = |balance: u32| balance.checked_sub(PRICE);
-        self.balance.fetch_update(Ordering::Relaxed, Ordering::Relaxed, pay).is_ok()
+        let next = |balance: u32| balance.checked_sub(RETRY_COST);
+        self.balance.fetch_update(Ordering::Relaxed, Ordering::Relaxed, next).is_ok()
     }
 }
--- a/crates/decide/src/roster.rs
+++ b/crates/decide/src/roster.rs
@@ -15,7 +15,7 @@
 ///
 /// Longer than any message can be delayed between our processes, so that a
 /// heartbeat that was overtaken cannot bring a process back.
-const MARK_MS: u64 = 60_000;
+const MARK_TTL_MS: u64 = 60_000;
 
 /// The endpoints that one entry knows.
 #[derive(Debug, Clone, Default)]
@@ -62,7 +62,7 @@
 /// Who leaves, by its own word or the platform's.
 #[derive(Debug, Clone, Default)]
 struct LeavingMarks {
-    told: BTreeMap<InstanceId, LeavingMark>,
+    reported: BTreeMap<InstanceId, LeavingMark>,
     listed: HashSet<InstanceId>,
 }
 
@@ -75,23 +75,24 @@
 
 impl LeavingMarks {
     /// Notes a process' own word, which may come before its first heartbeat.
-    fn note(&mut self, instance: &InstanceId, incarnation: u64, now: Timestamp) {
+    fn record(&mut self, instance: &InstanceId, incarnation: u64, now: Timestamp) {
         let mark = LeavingMark { incarnation, noted_at: now };
-        let known = self.told.entry(instance.clone()).or_insert(mark);
+        let known = self.reported.entry(instance.clone()).or_insert(mark);
         if known.incarnation <= incarnation {
             *known = mark;
         }
     }
 
-    fn has(&self, instance: &InstanceId, incarnation: u64) -> bool {
-        let told = self.told.get(instance).is_some_and(|mark| mark.incarnation >= incarnation);
-        told || self.listed.contains(instance)
+    fn contains(&self, instance: &InstanceId, incarnation: u64) -> bool {
+        let reported =
+            self.reported.get(instance).is_some_and(|mark| mark.incarnation >= incarnation);
+        reported || self.listed.contains(instance)
     }
 
     /// Forgets words that are old, of processes for which `is_member` does not hold.
     fn expire(&mut self, now: Timestamp, is_member: impl Fn(&InstanceId) -> bool) {
-        let oldest = Timestamp(now.0.saturating_sub(MARK_MS));
-        self.told.retain(|instance, mark| mark.noted_at >= oldest || is_member(instance));
+        let oldest = Timestamp(now.0.saturating_sub(MARK_TTL_MS));
+        self.reported.retain(|instance, mark| mark.noted_at >= oldest || is_member(instance));
     }
 }
 
@@ -158,7 +159,7 @@
 
     /// Notes an endpoint's own word that it leaves.
     pub fn mark_leaving(&mut self, instance: &InstanceId, incarnation: u64, now: Timestamp) {
-        self.marks.note(instance, incarnation, now);
+        self.marks.record(instance, incarnation, now);
     }
 
     /// Takes the platform's list of leaving instances; true if it changed.
@@ -199,7 +200,7 @@
 
     /// Whether the endpoint leaves, by its own word or the platform's.
     pub fn is_leaving(&self, member: &RosterMember) -> bool {
-        self.marks.has(&member.report.instance, member.report.incarnation)
+        self.marks.contains(&member.report.instance, member.report.incarnation)
     }
 
     /// One endpoint.
@@ -221,9 +222,9 @@
             return;
         }
         if peer.advice.leaving {
-            self.marks.note(instance, peer.incarnation, peer.last_seen);
+            self.marks.record(instance, peer.incarnation, peer.last_seen);
         }
-        peer.advice.leaving = !peer.advised || self.marks.has(instance, peer.incarnation);
+        peer.advice.leaving = !peer.advised || self.marks.contains(instance, peer.incarnation);
         self.peers.insert(instance.clone(), peer);
     }
 
@@ -258,7 +259,7 @@
 
     /// Notes an entry's own word that it leaves.
     pub fn mark_leaving(&mut self, instance: &InstanceId, incarnation: u64, now: Timestamp) {
-        self.marks.note(instance, incarnation, now);
+        self.marks.record(instance, incarnation, now);
         self.refresh();
     }
 
@@ -287,7 +288,7 @@
 
     fn refresh(&mut self) {
         for (instance, peer) in &mut self.peers {
-            peer.advice.leaving = !peer.advised || self.marks.has(instance, peer.incarnation);
+            peer.advice.leaving = !peer.advised || self.marks.contains(instance, peer.incarnation);
         }
     }
 }
--- a/crates/decide/src/route.rs
+++ b/crates/decide/src/route.rs
@@ -123,10 +123,10 @@
 }
 
 /// Further draws from the near endpoints if none of the first has room.
-const NEAR_DRAWS: usize = 3;
+const EXTRA_NEAR_DRAWS: usize = 3;
 
 /// Draws from all endpoints before each is looked at in turn.
-const MORE_DRAWS: usize = 6;
+const EXTRA_DRAWS: usize = 6;
 
 /// Cost of one request in progress.
 const LOAD_COST: u32 = 4;
@@ -139,10 +139,10 @@
 const FAR_COST: u32 = 10;
 
 /// Cost beyond that of a drawn endpoint at which one that names a limit is still used.
-const PACED_COST: u32 = 12;
+const PACED_COST_MARGIN: u32 = 12;
 
 /// Time until an answer begins that is usual at a busy endpoint, in milliseconds.
-const USUAL_DELAY_MS: u32 = 450;
+const BASELINE_DELAY_MS: u32 = 450;
 
 /// Delay beyond the usual that costs as much as one unit of cost, in milliseconds.
 ///
@@ -188,29 +188,29 @@
 
     fn cost(&self, now: Timestamp) -> u32 {
         let distance = if self.is_near { 0 } else { FAR_COST };
-        let delay = self.tracker.delay_ms(now).saturating_sub(USUAL_DELAY_MS) / DELAY_UNIT_MS;
+        let delay = self.tracker.delay_ms(now).saturating_sub(BASELINE_DELAY_MS) / DELAY_UNIT_MS;
         self.tracker.load(now) * LOAD_COST + distance + delay
     }
 
     /// Requests that this entry may have in progress here for the sake of this one.
-    fn room(&self, query: &RouteQuery<'_>) -> u32 {
+    fn capacity(&self, query: &RouteQuery<'_>) -> u32 {
         self.limit(query.max_in_flight, query.now).saturating_add(query.extra_capacity)
     }
 
-    fn has_room(&self, query: &RouteQuery<'_>) -> bool {
-        let is_wanted = query.version.is_none_or(|version| self.version.as_ref() == Some(version));
+    fn is_eligible(&self, query: &RouteQuery<'_>) -> bool {
+        let is_version = query.version.is_none_or(|version| self.version.as_ref() == Some(version));
         let is_allowed = query.allowed.is_none_or(|allowed| {
             self.version.as_ref().is_none_or(|version| allowed.contains(version))
         });
-        self.tracker.in_flight() < self.room(query)
+        self.tracker.in_flight() < self.capacity(query)
             && self.tracker.is_due(query.now)
-            && is_wanted
+            && is_version
             && is_allowed
             && !query.excluded.contains(&self.instance)
     }
 
     fn is_usable(&self, query: &RouteQuery<'_>) -> bool {
-        self.has_room(query) && !self.tracker.is_ejected(query.now) && !self.is_slow(query.now)
+        self.is_eligible(query) && !self.tracker.is_ejected(query.now) && !self.is_slow(query.now)
     }
 }
 
@@ -261,33 +261,34 @@
         if self.candidates.is_empty() {
             return None;
         }
-        if let Some(candidate) = query.prefix.and_then(|prefix| self.cached(prefix, query)) {
+        if let Some(candidate) = query.prefix.and_then(|prefix| self.prefix_owner(prefix, query)) {
             return Some(self.choice(candidate, RouteReason::PrefixAffinity, query));
         }
-        let drawn = self.first_draws(rng);
+        let drawn = self.initial_draws(rng);
         let drawn = drawn.into_iter().flatten().filter(|c| c.is_usable(query));
         let drawn = drawn.min_by_key(|c| c.cost(query.now));
-        if let Some(candidate) = self.due(query, drawn) {
+        if let Some(candidate) = self.paced_candidate(query, drawn) {
             return Some(self.choice(candidate, RouteReason::NamedLimit, query));
         }
         if let Some(candidate) = drawn {
             return Some(self.choice(candidate, RouteReason::LeastCost, query));
         }
-        let near = (0..NEAR_DRAWS).filter_map(|_| self.draw_near(rng)).find(|c| c.is_usable(query));
-        let more = || (0..MORE_DRAWS).map(|_| self.draw(rng)).find(|c| c.is_usable(query));
+        let near =
+            (0..EXTRA_NEAR_DRAWS).filter_map(|_| self.draw_near(rng)).find(|c| c.is_usable(query));
+        let more = || (0..EXTRA_DRAWS).map(|_| self.draw(rng)).find(|c| c.is_usable(query));
         let more = near.or_else(more);
-        if let Some(candidate) = more.or_else(|| self.in_turn(rng, |c| c.is_usable(query))) {
+        if let Some(candidate) = more.or_else(|| self.scan(rng, |c| c.is_usable(query))) {
             return Some(self.choice(candidate, RouteReason::FirstWithRoom, query));
         }
         let slow = self.candidates.iter().filter(|c| c.is_slow(query.now)).count();
         // If most are slow the cause is elsewhere, and they are all there is.
         let may_be_slow = slow * 2 > self.candidates.len();
         let candidate =
-            self.in_turn(rng, |c| c.has_room(query) && (may_be_slow || !c.is_slow(query.now)))?;
+            self.scan(rng, |c| c.is_eligible(query) && (may_be_slow || !c.is_slow(query.now)))?;
         Some(self.choice(candidate, RouteReason::LastResort, query))
     }
 
-    fn cached(&self, prefix: u64, query: &RouteQuery<'_>) -> Option<&RouteCandidate> {
+    fn prefix_owner(&self, prefix: u64, query: &RouteQuery<'_>) -> Option<&RouteCandidate> {
         let total = self.in_flight.load(Ordering::Relaxed);
         let bound = bounded_load(total, self.candidates.len());
         let names = || self.candidates.iter().map(|c| c.instance.as_str());
@@ -301,23 +302,23 @@
     ///
     /// Draws alone would leave most of a limit unused: its few holders rarely draw the
     /// endpoint.
-    fn due(
+    fn paced_candidate(
         &self,
         query: &RouteQuery<'_>,
         drawn: Option<&RouteCandidate>,
     ) -> Option<&RouteCandidate> {
-        let most = drawn.map_or(u32::MAX, |drawn| drawn.cost(query.now) + PACED_COST);
+        let max_cost = drawn.map_or(u32::MAX, |drawn| drawn.cost(query.now) + PACED_COST_MARGIN);
         let mut paced = self.paced.iter().map(|position| &self.candidates[*position as usize]);
         paced.find(|c| {
-            let is_wanted = c.is_usable(query) && c.cost(query.now) <= most;
+            let is_acceptable = c.is_usable(query) && c.cost(query.now) <= max_cost;
             let is_overdue = c.tracker.is_overdue(query.now) && !c.tracker.is_ejected(query.now);
-            c.tracker.is_paced() && c.has_room(query) && (is_wanted || is_overdue)
+            c.tracker.is_paced() && c.is_eligible(query) && (is_acceptable || is_overdue)
         })
     }
 
     /// Two near endpoints and one of all; two of all if none is near, since more
     /// draws would bring many entries to the same few.
-    fn first_draws(&self, rng: &mut impl Rng) -> [Option<&RouteCandidate>; 3] {
+    fn initial_draws(&self, rng: &mut impl Rng) -> [Option<&RouteCandidate>; 3] {
         match self.near.is_empty() {
             true => [Some(self.draw(rng)), Some(self.draw(rng)), None],
             false => [self.draw_near(rng), self.draw_near(rng), Some(self.draw(rng))],
@@ -338,7 +339,7 @@
 
     /// The first that fits, from a random one on, so that no endpoint is the
     /// first of all entries.
-    fn in_turn(
+    fn scan(
         &self,
         rng: &mut impl Rng,
         fits: impl Fn(&RouteCandidate) -> bool,
@@ -402,7 +403,11 @@
     ) -> Option<RouteChoice<'a>> {
         loop {
             let choice = self.choose(query, rng)?;
-            if choice.candidate.tracker.try_acquire_paced(choice.candidate.room(query), query.now) {
+            if choice
+                .candidate
+                .tracker
+                .try_acquire_paced(choice.candidate.capacity(query), query.now)
+            {
                 return Some(choice);
             }
         }
