--- a/crates/decide/src/admit.rs
+++ b/crates/decide/src/admit.rs
@@ -1,13 +1,13 @@
-//! Which requests may go on to an endpoint when there are more than fit.
+//! Admission control of one service under overload.
 //!
-//! While there is room, a request passes with one atomic step. Beyond that,
-//! requests wait in a bounded queue: by each workspace's fair share, then by
-//! priority, then by arrival. Priority before share would let one workspace that
-//! calls everything urgent starve the others. Before both goes whether its caller
-//! asks for the first time: who was refused before has missed the aim, and a place
-//! for that one would make a fresh request miss it too. A request that would wait too long
-//! is refused at once, and a full queue sheds the lowest priority of the
-//! workspace that has the most waiting. What is refused here was not run.
+//! While capacity is free, a request is admitted with one atomic step. Beyond that, requests wait
+//! in a bounded queue ordered by tier, then by the fair share of each workspace, then by priority,
+//! then by arrival. Priority ranks below the fair share, or one workspace that marks all its
+//! requests as urgent would starve the others. First-time requests rank above all, because a
+//! request that was refused before has already missed its latency target; a slot for it would make
+//! a first-time request miss its target too. A request that would wait too long is refused at once,
+//! and a full queue sheds the lowest priority of the workspace with the most waiting requests.
+//! Refused requests were not run.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -19,41 +19,41 @@
 
 use cassiawheel_model::{Deadline, NotRunReason, PriorityClass, Timestamp, WorkspaceId};
 
-/// Longest time over which the rate of departures is measured, in milliseconds.
+/// Minimum length of a window over which the departure rate is measured, in milliseconds.
 const WINDOW_MS: u64 = 200;
 
-/// What admission needs to know of a request.
+/// Properties of a request that admission depends on.
 #[derive(Debug, Clone)]
 pub struct AdmitTicket {
-    /// Whose share it uses.
+    /// Workspace whose fair share the request uses.
     pub workspace: WorkspaceId,
-    /// Order of shedding.
+    /// Priority within the workspace; the lowest is shed first.
     pub priority: PriorityClass,
-    /// When its answer is of no more use.
+    /// Time after which the answer is useless.
     pub deadline: Deadline,
-    /// Whether its caller asks for the first time.
+    /// Whether the caller was refused before.
     pub tier: AdmitTier,
 }
 
-/// Whether a caller asks for the first time; the first goes before the second.
+/// Tier of a request; [`Self::Fresh`] is admitted before [`Self::Returned`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AdmitTier {
-    /// It has asked nobody before.
+    /// First request of the caller.
     Fresh,
-    /// It was refused before and has missed its aim.
+    /// The caller was refused before and has missed its latency target.
     Returned,
 }
 
-/// What became of a request.
+/// Result of admission for one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmitVerdict {
-    /// It may go on, and has to be released later.
+    /// The request may proceed and must be released later.
     Admitted,
-    /// It was not run.
+    /// The request was refused and not run.
     Refused(NotRunReason),
 }
 
-/// Admission to one service at one entry; `T` is how a waiting request is reached.
+/// Admission to one service at one entry; `T` is the handle of a waiting request.
 #[derive(Debug)]
 pub struct ServiceAdmission<T> {
     active: AtomicU32,
@@ -61,29 +61,28 @@
     queue: Mutex<AdmitQueue<T>>,
 }
 
-/// Requests that wait.
+/// Waiting requests of one service, ordered by tier and workspace.
 #[derive(Debug)]
 struct AdmitQueue<T> {
     workspaces: BTreeMap<QueueKey, WorkspaceQueue<T>>,
     length: usize,
     max_length: usize,
-    /// Requests that each workspace got since the queue was last empty.
+    /// Requests admitted for each workspace since the queue was last empty.
     served: HashMap<WorkspaceId, u64>,
-    /// The share of the workspace that was served last.
+    /// Count of the workspace that was served last; new workspaces start from it.
     virtual_time: u64,
     departures: DepartureRate,
 }
 
-/// Part of the places that are kept free for callers that ask for the first time.
+/// Divisor of the capacity that is reserved for first-time requests.
 ///
-/// Where a third more callers come than there is room for, an eighth brings 4 in
-/// 100 more answers in time and a fifth fewer late ones, and as many are answered.
-/// A quarter brings more in time there, but refuses those that return together
-/// after some seconds in which nobody was served.
+/// At an offered load of a third above capacity, reserving an eighth answers 4 % more requests in
+/// time and a fifth fewer late, with the same total. A quarter answers more in time there, but
+/// refuses the callers that return together after an outage of some seconds.
 const FRESH_RESERVE_DIVISOR: u32 = 8;
 
 impl AdmitTier {
-    /// Places of which a caller of this turn may take one.
+    /// Slots of which a request of this tier may take one.
     fn limit(self, capacity: u32) -> u32 {
         match self {
             Self::Fresh => capacity,
@@ -92,7 +91,7 @@
     }
 }
 
-/// Whose requests wait in a part of the queue.
+/// Key of a per-workspace queue.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     tier: AdmitTier,
@@ -105,7 +104,7 @@
     }
 }
 
-/// The waiting requests of one workspace and turn, by priority and arrival.
+/// Waiting requests of one workspace and tier, by priority and arrival.
 #[derive(Debug)]
 struct WorkspaceQueue<T> {
     classes: BTreeMap<PriorityClass, VecDeque<WaitingRequest<T>>>,
@@ -118,7 +117,7 @@
     give_up_at: Deadline,
 }
 
-/// How many requests leave the queue in a millisecond.
+/// Rate at which requests leave the queue, per millisecond.
 #[derive(Debug)]
 struct DepartureRate {
     window_start: Timestamp,
@@ -127,7 +126,7 @@
 }
 
 impl<T> ServiceAdmission<T> {
-    /// An admission in which at most `most` requests wait.
+    /// Creates an admission queue of at most `max_length` requests.
     pub fn new(max_length: usize) -> Self {
         Self {
             active: AtomicU32::new(0),
@@ -136,22 +135,22 @@
         }
     }
 
-    /// Requests that were admitted and not released yet.
+    /// Requests that were admitted and not yet released.
     pub fn active(&self) -> u32 {
         self.active.load(Ordering::Relaxed)
     }
 
-    /// Requests that wait.
+    /// Requests in the queue.
     pub fn waiting(&self) -> u32 {
         self.waiting.load(Ordering::Relaxed)
     }
 
-    /// Admits a request if there is room and nobody waits.
+    /// Admits a request if a slot is free and the queue is empty.
     pub fn try_admit(&self, tier: AdmitTier, capacity: u32) -> bool {
         self.waiting.load(Ordering::SeqCst) == 0 && self.take_slot(tier.limit(capacity))
     }
 
-    /// Lets a request wait; `notify` tells verdicts and whether they were heard.
+    /// Queues a request. `notify` delivers a verdict and returns whether the receiver still waited.
     pub fn enqueue(
         &self,
         ticket: &AdmitTicket,
@@ -165,11 +164,11 @@
             notify(shed, AdmitVerdict::Refused(reason));
         }
         self.waiting.store(queue.length as u32, Ordering::SeqCst);
-        // A place that was given back before this request was seen to wait.
+        // A slot may have been released before this request became visible in the queue.
         self.fill(&mut queue, capacity, now, &mut notify);
     }
 
-    /// Gives a place back.
+    /// Releases the slot of an admitted request and admits waiting ones.
     pub fn release(
         &self,
         capacity: u32,
@@ -219,15 +218,15 @@
         }
     }
 
-    /// Takes a request in; gives back the one that is refused for it, if any.
+    /// Queues a request; returns the request that is refused in exchange, if any.
     fn offer(
         &mut self,
         ticket: &AdmitTicket,
         handle: T,
         now: Timestamp,
     ) -> Option<(T, NotRunReason)> {
-        // A request that is given up on gets its answer early, when its caller
-        // can still go elsewhere: it waits for at most half of its time.
+        // A request waits for at most half of its remaining time, so that a refused caller can
+        // still try elsewhere.
         let max_wait = ticket.deadline.remaining(now) / 2;
         let give_up_at = now.deadline_after(max_wait);
         let wait_ms = self.departures.expected_wait_ms(self.ahead_of(ticket));
@@ -241,13 +240,13 @@
         None
     }
 
-    /// The turn of the request that is admitted next.
+    /// Tier of the request at the head of the queue.
     fn next_tier(&self) -> Option<AdmitTier> {
         self.workspaces.first_key_value().map(|(key, _)| key.tier)
     }
 
-    /// Requests that go before this one: all of an earlier turn, its workspace's of
-    /// the same or a higher priority, and as many of each other workspace.
+    /// Number of requests that are served before this one: all of a higher tier, those of its
+    /// workspace with the same or a higher priority, and as many of each other workspace.
     fn ahead_of(&self, ticket: &AdmitTicket) -> usize {
         let own = self.workspaces.get(&QueueKey::of(ticket));
         let own = own.map_or(0, |queue| queue.ahead_of(ticket.priority));
@@ -259,7 +258,7 @@
     }
 
     fn push(&mut self, ticket: &AdmitTicket, request: WaitingRequest<T>) {
-        // A workspace that was idle does not save its share up for a burst.
+        // An idle workspace does not accumulate credit for a burst.
         let count = self.served.entry(ticket.workspace.clone()).or_insert(self.virtual_time);
         *count = (*count).max(self.virtual_time);
         let queue = self.workspaces.entry(QueueKey::of(ticket)).or_default();
@@ -268,8 +267,8 @@
         self.length += 1;
     }
 
-    /// Takes out the newest request of the lowest priority of the workspace that
-    /// has the most waiting, of those that have returned if there are any.
+    /// Removes the newest request of the lowest priority from the longest workspace queue, from the
+    /// returned tier if it has any.
     fn shed(&mut self) -> Option<T> {
         let longest =
             self.workspaces.iter_mut().max_by_key(|(key, queue)| (key.tier, queue.length));
@@ -287,7 +286,7 @@
         }
     }
 
-    /// Admits the next request that still has time and is still waiting.
+    /// Admits the next request that has time left and whose receiver still waits.
     fn admit_next(
         &mut self,
         now: Timestamp,
@@ -335,14 +334,14 @@
         self.classes.range(priority..).map(|(_, waiting)| waiting.len()).sum()
     }
 
-    /// The oldest of the highest priority.
+    /// Removes the oldest request of the highest priority.
     fn take_first(&mut self) -> Option<WaitingRequest<T>> {
         let taken = self.classes.values_mut().rev().find_map(VecDeque::pop_front);
         self.length -= usize::from(taken.is_some());
         taken
     }
 
-    /// The newest of the lowest priority.
+    /// Removes the newest request of the lowest priority.
     fn take_last(&mut self) -> Option<WaitingRequest<T>> {
         let taken = self.classes.values_mut().find_map(VecDeque::pop_back);
         self.length -= usize::from(taken.is_some());
@@ -357,7 +356,7 @@
         if span < WINDOW_MS {
             return;
         }
-        // After an idle time the window says nothing of a busy queue.
+        // A window that spans an idle period does not measure the rate of a busy queue.
         if span < 2 * WINDOW_MS {
             self.per_ms = Some(f64::from(self.count) / span as f64);
         }
@@ -365,7 +364,8 @@
         self.count = 0;
     }
 
-    /// Milliseconds until `ahead` requests have left; nothing is known at first.
+    /// Expected time until `ahead` requests have left, in milliseconds; zero before the first
+    /// measurement.
     fn expected_wait_ms(&self, ahead: usize) -> f64 {
         self.per_ms.map_or(0.0, |per_ms| ahead as f64 / per_ms)
     }
--- a/crates/decide/src/advice.rs
+++ b/crates/decide/src/advice.rs
@@ -1,8 +1,7 @@
-//! Which entries a caller should use.
+//! Selection of the entries that a caller should use.
 //!
-//! Callers keep the answer for a while, so it holds several addresses and the
-//! deadline until which they hold. A leaving entry is left out at once and
-//! serves until the answers that name it have run out.
+//! Callers cache the answer, so it holds several addresses and an expiry. A leaving entry is
+//! omitted at once and keeps serving until the answers that contain it have expired.
 
 use std::net::SocketAddr;
 
@@ -10,29 +9,29 @@
 use macro_rules_attribute::apply;
 use rand::Rng;
 
-/// An entry that may be advised.
+/// An entry that callers can be advised to use.
 #[derive(Debug, Clone)]
 pub struct EntryCandidate {
-    /// Where callers reach it.
+    /// Address for connections from callers.
     pub caller_addr: SocketAddr,
-    /// Where it stands.
+    /// Failure domain of the entry.
     pub failure_domain: FailureDomain,
-    /// Requests in progress there.
+    /// Requests in flight at the entry.
     pub in_flight: u32,
-    /// Whether it leaves.
+    /// Whether the entry is leaving and must not be advised.
     pub leaving: bool,
 }
 
-/// The answer to a caller that asks which entry to use.
+/// Answer to a caller that requests entry addresses.
 #[apply(record!)]
 pub struct EntryAdvice {
-    /// Addresses, the best one first.
+    /// Entry addresses, best first.
     pub addresses: Vec<SocketAddr>,
-    /// How long the answer holds.
+    /// When the answer expires.
     pub valid_until: Deadline,
 }
 
-/// Chooses at most `count` entries for a caller in `own_domain`.
+/// Selects at most `count` entries for a caller in `own_domain`.
 pub fn advise(
     entries: &[EntryCandidate],
     own_domain: &FailureDomain,
@@ -53,5 +52,6 @@
     EntryAdvice { addresses, valid_until }
 }
 
-/// Differences in load below this are left to chance, so that callers spread.
+/// Bucket size of the load comparison: smaller differences are decided at random, which spreads the
+/// callers.
 const LOAD_STEP: u32 = 16;
--- a/crates/decide/src/affinity.rs
+++ b/crates/decide/src/affinity.rs
@@ -1,23 +1,23 @@
-//! Which endpoint has probably cached a prompt's prefix.
+//! Prefix affinity by consistent hashing with bounded loads.
 //!
-//! Endpoints stand on a ring at several points each; a prefix belongs to the
-//! first point after its digest, on every entry alike and without any word
-//! from the engines, whose cache events come late and with gaps. The load is
-//! bounded: a popular prefix spills over to the next endpoints on the ring.
+//! Each endpoint has several points on a hash ring, and a prefix maps to the first point after its
+//! digest. All entries compute the same mapping without cache events from the engines, which arrive
+//! late and with gaps. The load is bounded: a popular prefix spills over to the next endpoints on
+//! the ring.
 
 use crate::rank::rendezvous_weight;
 
-/// Points on the ring that all endpoints share.
+/// Target number of points on the ring, over all endpoints.
 const TOTAL_POINTS: usize = 2_048;
 
-/// Points of one endpoint.
+/// Minimum number of points per endpoint.
 const MIN_POINTS: usize = 4;
 const MAX_POINTS: usize = 128;
 
-/// Endpoints that are looked at for one prefix.
+/// Maximum number of ring points visited for one prefix.
 const MAX_STEPS: usize = 24;
 
-/// The ring of one service.
+/// Hash ring of the endpoints of one service.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixRing {
     points: Vec<RingPoint>,
@@ -30,7 +30,7 @@
 }
 
 impl PrefixRing {
-    /// A ring of the endpoints with these names, in the order of their positions.
+    /// Creates a ring of the endpoints with these names, in the order of their positions.
     pub fn new<'a>(names: impl ExactSizeIterator<Item = &'a str>) -> Self {
         let per_endpoint = (TOTAL_POINTS / names.len().max(1)).clamp(MIN_POINTS, MAX_POINTS);
         let mut points = Vec::with_capacity(names.len() * per_endpoint);
@@ -44,7 +44,7 @@
         Self { points }
     }
 
-    /// Positions of the endpoints for `prefix`, the best first; some come twice.
+    /// Positions of the endpoints for `prefix` in ring order; some occur more than once.
     pub fn positions(&self, prefix: u64) -> impl Iterator<Item = usize> {
         let start = self.points.partition_point(|point| point.hash < prefix);
         let (before, after) = self.points.split_at(start);
@@ -52,14 +52,14 @@
     }
 }
 
-/// Requests that one of `endpoints` endpoints may have in progress to get
-/// another for the sake of its cache, while `total` are in progress at all.
+/// Number of in-flight requests below which one of `endpoints` endpoints gets another for its
+/// cache, with `total` in flight over all of them.
 pub fn bounded_load(total: u32, endpoints: usize) -> u32 {
-    // A quarter above the mean, and one for the request itself.
+    // A quarter above the mean, plus one for the request itself.
     (u64::from(total) * 5 / (4 * endpoints.max(1) as u64)) as u32 + 1
 }
 
-/// Digest of the leading part of a prompt; none if it is shorter than `length`.
+/// Digest of the first `length` bytes of a prompt; `None` if the prompt is shorter.
 pub fn prefix_digest(prompt: &[u8], length: usize) -> Option<u64> {
     if length == 0 || prompt.len() < length {
         return None;
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -1,32 +1,32 @@
-//! How often a process may call the table service.
+//! Rate limiting of the calls to the table service.
 
 use std::time::Duration;
 
 use cassiawheel_model::Timestamp;
 
-/// Failures in a row after which the wait between polls grows no more.
+/// Consecutive failures after which the poll interval stops doubling.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// Calls that may be made now; refilled at a steady rate.
+/// Token bucket of calls.
 ///
-/// Without it a fault in one process, such as a loop of retries, would use up
-/// the rate that the service grants to all.
+/// It keeps a fault in one process, such as a retry loop, from using up the rate limit that all
+/// processes share.
 #[derive(Debug, Clone)]
 pub struct CallBudget {
     per_s: u64,
-    /// Thousandths of a call.
+    /// Available tokens, in thousandths of a call.
     tokens: u64,
     refilled_at: Timestamp,
 }
 
 impl CallBudget {
-    /// A full budget of `per_s` calls a second, and as many at once.
+    /// Creates a full bucket that refills at `per_s` calls per second and holds as many.
     pub fn new(per_s: u32, now: Timestamp) -> Self {
         let per_s = u64::from(per_s);
         Self { per_s, tokens: per_s * 1_000, refilled_at: now }
     }
 
-    /// Takes one call; the wait until there is one if there is none.
+    /// Takes one call, or returns the time until one is available.
     pub fn take(&mut self, now: Timestamp) -> Result<(), Duration> {
         let elapsed_ms = now.0.saturating_sub(self.refilled_at.0);
         self.refilled_at = now.max(self.refilled_at);
@@ -40,10 +40,10 @@
     }
 }
 
-/// The wait until the next poll after `failures` in a row.
+/// Time until the next poll after `failures` consecutive failures, in milliseconds.
 ///
-/// A service that comes back after an outage would otherwise meet the polls of
-/// all processes at their full rate, on top of the calls that waited for it.
+/// Without the backoff, a service that recovers from an outage would get the polls of all processes
+/// at their full rate, on top of the calls that waited for it.
 pub fn poll_backoff_ms(base_ms: u64, failures: u32) -> u64 {
     base_ms << failures.min(MAX_DOUBLINGS)
 }
--- a/crates/decide/src/caller_index.rs
+++ b/crates/decide/src/caller_index.rs
@@ -1,28 +1,27 @@
-//! Finding the route of a request and the workspace of a key.
+//! Lookup of the route of a request and of the workspace of an API key.
 //!
-//! Built once for each preset and read by every request without a lock. A path
-//! is cut at its slashes, from the longest prefix to the shortest, so that a
-//! search costs as many look-ups as the path has parts, however many routes
-//! there are.
+//! Built once per preset and read by every request without a lock. The path is cut at its slashes
+//! and tried from the longest prefix to the shortest, so that a lookup costs one hash lookup per
+//! path segment, independent of the number of routes.
 
 use std::{collections::HashMap, sync::Arc};
 
 use cassiawheel_model::{CallerTable, RouteRule, ServiceName, WorkspaceId};
 
-/// The routes and keys of one preset.
+/// Index of the routes and keys of one preset.
 #[derive(Debug, Clone)]
 pub struct CallerIndex {
     table: Arc<CallerTable>,
-    /// Positions of routes by host and prefix.
+    /// Positions of routes by host and path prefix.
     hosts: HashMap<String, HashMap<String, usize>>,
 }
 
-/// Why a key opens nothing.
+/// Error for a missing or unknown key on a route that requires one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnknownKey;
 
 impl CallerIndex {
-    /// An index of `table`.
+    /// Builds the index of `table`.
     pub fn new(table: Arc<CallerTable>) -> Self {
         let mut hosts: HashMap<String, HashMap<String, usize>> = HashMap::new();
         for (position, rule) in table.routes.iter().enumerate() {
@@ -32,12 +31,12 @@
         Self { table, hosts }
     }
 
-    /// The table itself.
+    /// Underlying table of routes and keys.
     pub fn table(&self) -> &CallerTable {
         &self.table
     }
 
-    /// The route with the longest prefix of `path` at `host`.
+    /// Route of `host` with the longest prefix that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&RouteRule> {
         let prefixes = self.hosts.get(host)?;
         let candidates = path.rmatch_indices('/').map(|(slash, _)| &path[..=slash]);
@@ -45,7 +44,7 @@
         self.table.routes.get(*position)
     }
 
-    /// The workspace of a request with `key`; none where callers need no key.
+    /// Workspace of a request with `key`; `None` if the route needs no key and none is known.
     pub fn workspace(
         &self,
         rule: &RouteRule,
@@ -59,7 +58,7 @@
     }
 }
 
-/// The service that a request of the route goes to; `point` is a random number.
+/// Picks a service of the route by weight; `point` is a uniform random number.
 pub fn pick_service(rule: &RouteRule, point: u32) -> Option<&ServiceName> {
     let total: u64 = rule.shares.iter().map(|share| u64::from(share.weight)).sum();
     let mut remaining = u64::from(point) % total.max(1);
--- a/crates/decide/src/crash_tracker.rs
+++ b/crates/decide/src/crash_tracker.rs
@@ -1,17 +1,18 @@
-//! Requests under which endpoints have ended, and which of them no endpoint gets any more.
+//! Requests during which endpoints crashed, and which of them are barred.
 //!
-//! An endpoint that ends takes every request with it that it works on, so that one end
-//! proves nothing against any of them. The cause is there again when the next endpoint
-//! ends. Ends are counted by request digest, each endpoint's process once: in full if it ended before a part of the answer
-//! had come, half if it was answering. A whole answer clears all ends before it.
+//! A crashing endpoint takes down all its requests, so one crash proves nothing against any of
+//! them; the request that caused it is also present at the next crash. Crashes are counted by
+//! request digest, once per endpoint process: with full weight if no part of the answer had
+//! arrived, and with half of it if the endpoint was answering. A complete answer clears all earlier
+//! crashes.
 //!
-//! A suspect is tried further by one run at a time: entries begin in the order of their
-//! ranks and announce it to the others.
+//! A suspect is retried by one run at a time: entries start in rank order and announce the run to
+//! the others.
 //!
-//! Bars are kept in the table service as well, for entries that have all lost power.
+//! Bars are also persisted in the table service, for the case that all entries lose power.
 //!
-//! Answers load: a caller that repeats a request which ends each endpoint that begins
-//! to run it, at any entry and at several at a time.
+//! This protects against a caller that repeats a request which crashes every endpoint that runs it,
+//! at any entry and at several at once.
 
 use std::{
     cmp::Reverse,
@@ -23,60 +24,60 @@
 
 use crate::gossip::LinkId;
 
-/// Weight of an end before a part of the answer had come.
+/// Weight of a crash before any part of the answer had arrived.
 const START_WEIGHT: u32 = 2;
 
-/// Weight of an end while the endpoint was answering.
+/// Weight of a crash while the endpoint was answering.
 const ANSWER_WEIGHT: u32 = 1;
 
-/// Weight from which on a request is barred: three ends before an answer, or six in all.
+/// Weight from which a request is barred: three crashes before an answer, or six in all.
 const BARRED_WEIGHT: u32 = 3 * START_WEIGHT;
 
-/// Time since the last end for which a request is barred, and for which ends count.
+/// Time since the last crash for which a request is barred, and for which crashes count.
 pub const BAR_DURATION: Duration = Duration::from_secs(600);
 
-/// Wait after an end, in which ends at other entries become known here.
+/// Time after a crash in which crashes seen by other entries arrive here.
 const PROPAGATION_TIME: Duration = Duration::from_millis(60);
 
-/// Time over which the beginnings of all entries are spread.
+/// Time over which the starts of all entries are spread.
 const SPREAD_TIME: Duration = Duration::from_millis(1_000);
 
-/// Time in which a run that has begun ends its endpoint or counts as harmless so far.
+/// Time after its start in which a run crashes its endpoint, or counts as harmless so far.
 const RUN_TIME: Duration = Duration::from_millis(600);
 
-/// Most requests that are kept; those with the least weight are dropped first.
+/// Maximum number of tracked requests; the one with the lowest weight is evicted first.
 const MAX_REQUESTS: usize = 4_096;
 
-/// Most ends that are kept of one request.
+/// Maximum number of crashes recorded per request.
 const MAX_CRASHES: usize = 8;
 
-/// Most bars in the table service.
+/// Maximum number of bars in the table service.
 const MAX_BARS: usize = 256;
 
-/// Most rows in one message.
+/// Maximum number of rows in one message.
 const MAX_ROWS: usize = 256;
 
-/// What is known of a request.
+/// Assessment of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashVerdict {
-    /// Nothing speaks against it.
+    /// No evidence against the request.
     Clear,
-    /// Endpoints have ended under it; at most one run at a time should try it further.
+    /// Endpoints crashed during the request; at most one run at a time should retry it.
     Suspect {
-        /// Whether the only end was seen by this entry.
+        /// Whether the only crash was seen by this entry.
         is_local: bool,
-        /// When what other entries have seen until now is known here, and the last run
-        /// that has begun has shown what it does.
+        /// When the observations of other entries have arrived here and the outcome of the last run
+        /// is known.
         settled_at: Deadline,
     },
-    /// It reaches no endpoint.
+    /// The request is sent to no endpoint.
     Barred {
-        /// When it may be tried again.
+        /// When the request may be retried.
         until: Deadline,
     },
 }
 
-/// Requests under which endpoints have ended.
+/// Requests during which endpoints crashed, by digest.
 #[derive(Debug, Default)]
 pub struct CrashTracker {
     requests: HashMap<RequestDigest, SuspectRequest>,
@@ -90,7 +91,7 @@
     answered: Option<RecordedEvent>,
 }
 
-/// A fact, and how it became known.
+/// An event with its arrival time, change number and source link.
 #[derive(Debug, Clone, Copy)]
 struct RecordedEvent {
     event: CrashEvent,
@@ -100,12 +101,12 @@
 }
 
 impl CrashVerdict {
-    /// When a run of a suspect may begin at the entry of `rank` among `entries`.
+    /// Earliest start of a run at the entry of `rank` among `entries`.
     pub fn not_before(self, rank: usize, entries: usize) -> Deadline {
         match self {
             Self::Clear => Deadline(0),
-            // The request of a caller whose endpoint has ended is at this entry alone,
-            // unless it is one that comes again and again.
+            // Its request is at this entry alone, unless the caller keeps repeating it, so the
+            // start need not be spread over the entries.
             Self::Suspect { is_local: true, settled_at } => settled_at,
             Self::Suspect { is_local: false, settled_at } => {
                 let wait_ms = SPREAD_TIME.as_millis() as usize * rank / entries.max(1);
@@ -117,7 +118,7 @@
 }
 
 impl RecordedEvent {
-    /// Whether `event` is of the same endpoint's end.
+    /// Whether `event` reports a crash of the same endpoint process.
     fn is_same_crash(&self, event: CrashEvent) -> bool {
         self.event.endpoint() == event.endpoint()
     }
@@ -133,7 +134,7 @@
 }
 
 impl SuspectRequest {
-    /// Takes in a fact; true if it is new.
+    /// Applies an event; true if it changed anything.
     fn apply(&mut self, record: RecordedEvent) -> bool {
         match record.event {
             CrashEvent::Begun => replace_if_later(&mut self.begun, record),
@@ -162,7 +163,7 @@
         true
     }
 
-    /// Ends that no whole answer has cleared.
+    /// Crashes that no complete answer has cleared.
     fn counted_crashes(&self) -> impl Iterator<Item = &RecordedEvent> {
         let answered_at = self.answered.map_or(Timestamp(0), |answered| answered.at);
         self.crashes.iter().filter(move |crash| crash.at > answered_at)
@@ -176,11 +177,11 @@
         self.counted_crashes().map(|crash| crash.at).max().unwrap_or(Timestamp(0))
     }
 
-    /// When what the last run does is known here.
+    /// When the outcome of the last run is known here.
     fn settled_at(&self) -> Deadline {
         let last = self.last_crash();
         let settled_at = last.deadline_after(PROPAGATION_TIME);
-        // The own run has ended, or another one could not begin here.
+        // A run of this entry has ended already, or another one could not start here.
         let remote_run = self.begun.filter(|begun| begun.at > last && begun.source.is_some());
         remote_run.map_or(settled_at, |begun| begun.at.deadline_after(RUN_TIME).max(settled_at))
     }
@@ -203,7 +204,7 @@
     }
 }
 
-/// Replaces `known` by a fact that differs from it by more than the time of a message.
+/// Replaces `known` by a record that is later by more than the propagation time.
 fn replace_if_later(known: &mut Option<RecordedEvent>, record: RecordedEvent) -> bool {
     let is_later =
         known.is_none_or(|known| known.at.deadline_after(PROPAGATION_TIME).is_past(record.at));
@@ -214,10 +215,9 @@
 }
 
 impl CrashTracker {
-    /// Takes in what an entry has seen; true if it was not known.
+    /// Records an event seen by this or another entry; true if it was new.
     ///
-    /// Beginnings and whole answers are of use only for a request under which endpoints
-    /// have ended.
+    /// Starts and complete answers matter only for requests during which endpoints crashed.
     pub fn record(&mut self, row: CrashRow, source: Option<LinkId>, now: Timestamp) -> bool {
         let at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
         if at.deadline_after(BAR_DURATION).is_past(now) {
@@ -246,19 +246,19 @@
         }
     }
 
-    /// What is known of a request.
+    /// Assessment of one request.
     pub fn verdict(&self, digest: RequestDigest) -> CrashVerdict {
         self.requests.get(&digest).map_or(CrashVerdict::Clear, SuspectRequest::verdict)
     }
 
-    /// What is known of each request under which an endpoint has ended.
+    /// Assessment of every tracked request.
     pub fn verdicts(&self) -> HashMap<RequestDigest, CrashVerdict> {
         let requests = self.requests.iter();
         requests.map(|(digest, request)| (*digest, request.verdict())).collect()
     }
 
-    /// Adds the bars that are not in `kept` to it and drops those that are over; none if
-    /// there is nothing to add.
+    /// Returns `stored` with the missing bars added and the expired ones removed; `None` if there
+    /// is nothing to add.
     pub fn bars_to_persist(
         &self,
         stored: &[BarredRequest],
@@ -285,7 +285,7 @@
         Some(bars)
     }
 
-    /// Facts that `link` has to be sent, and up to which change it has all of them then.
+    /// Events to send over `link`, and the change number up to which it is current afterwards.
     pub fn rows_since(&self, cursor: u64, link: LinkId, now: Timestamp) -> (Vec<CrashRow>, u64) {
         if cursor == self.changes {
             return (Vec::new(), cursor);
@@ -308,7 +308,7 @@
         (rows.collect(), if is_truncated { last } else { self.changes })
     }
 
-    /// Forgets requests under which no endpoint has ended for long; true if there were any.
+    /// Removes requests whose last crash is too old to count; true if there were any.
     pub fn expire(&mut self, now: Timestamp) -> bool {
         let before = self.requests.len();
         let is_old = |record: &RecordedEvent| record.at.deadline_after(BAR_DURATION).is_past(now);
--- a/crates/decide/src/endpoint_tracker.rs
+++ b/crates/decide/src/endpoint_tracker.rs
@@ -1,79 +1,78 @@
-//! What one entry knows of one endpoint's load and health, in atomics.
+//! Load and health of one endpoint as one entry sees them, in atomics.
 //!
-//! Requests read and change it without a lock; it outlives the snapshots that
-//! point to it, so that a change of the roster loses nothing.
+//! Requests read and update a tracker without a lock. It outlives the route snapshots that refer to
+//! it, so that a membership change keeps the measured state.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
 use cassiawheel_model::{LoadReport, Timestamp};
 
-/// Age up to which a load report counts in full where no gate stands before the
-/// endpoint, in milliseconds.
+/// Age up to which a load report counts in full where no gate protects the endpoint, in
+/// milliseconds.
 ///
-/// Under overload what one entry takes for free another takes as well. A report
-/// that fades at once lets all of them together send more than fits, and every
-/// answer comes late.
+/// Under overload, all entries take the capacity that one of them sees as free. If the weight of a
+/// report decayed at once, they would together send more than fits, and every answer would be late.
 const FRESH_MS: u64 = 800;
 
-/// Age at which a load report no longer counts, in milliseconds.
+/// Age at which a load report stops counting, in milliseconds.
 const REPORT_TTL_MS: u64 = 2_000;
 
-/// Weight of a new delay in the mean, as a negative power of two.
+/// Weight of a new sample in the moving average of the delay: two to the power of minus this.
 const DELAY_SHIFT: u32 = 1;
 
-/// Age at which measured delays no longer count, in milliseconds.
+/// Age at which measured delays stop counting, in milliseconds.
 const DELAY_TTL_MS: u64 = 3_000;
 
-/// Time until an answer begins beyond which an endpoint counts as slow, in milliseconds.
+/// Time until an answer begins from which an endpoint counts as slow, in milliseconds.
 ///
-/// At full load 99 of 100 answers begin within 800 ms. Callers leave after some
-/// two seconds, and what waits at a slow endpoint then is work for nobody.
+/// At full load, 99 of 100 answers begin within 800 ms. Callers give up after about two seconds, so
+/// requests queued at a slow endpoint are wasted work.
 const SLOW_MS: u32 = 1_000;
 
-/// Sixteenths of a request, in which the adaptive limit is kept.
+/// Fixed-point scale of the adaptive limit: it is stored in sixteenths of a request.
 const LIMIT_SCALE: u32 = 16;
 
-/// Time in which refusals lower the limit only once, in milliseconds.
+/// Minimum time between two decreases of the limit, in milliseconds.
 ///
-/// A full endpoint refuses all that is on its way; one overload counts once.
+/// A full endpoint refuses all requests that are on the way; one overload counts once.
 const CUT_INTERVAL_MS: u64 = 50;
 
-/// Failures in a row after which an endpoint is ejected.
+/// Consecutive failures after which an endpoint is ejected.
 const EJECT_FAILURES: u32 = 3;
 
-/// First time of an ejection, in milliseconds; doubled each time.
+/// Duration of the first ejection, in milliseconds; each further one doubles it.
 const MIN_EJECT_MS: u64 = 1_000;
 
-/// Longest time of an ejection, in milliseconds.
+/// Maximum duration of an ejection, in milliseconds.
 const MAX_EJECT_MS: u64 = 30_000;
 
-/// Time after a request was due from which on it is overdue, in microseconds.
+/// Time past its due time at which a request counts as overdue, in microseconds.
 const OVERDUE_US: u64 = 1_000_000;
 
-/// Bits of a packed report that hold its moment.
+/// Bits of a packed report that hold its timestamp; the rest holds the request count.
 const TIME_BITS: u32 = 48;
 
-/// How fast an entry may send to an endpoint.
+/// Interval at which an entry may send to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndpointPace {
     /// Time between two requests, in microseconds.
     interval_us: u64,
-    /// Time until the first of an entry that has sent none, in microseconds.
+    /// Delay of the first request of an entry that has not sent yet, in microseconds.
     first_us: u64,
 }
 
 impl EndpointPace {
-    /// No request at all.
+    /// Allows no request.
     pub const ZERO: Self = Self { interval_us: u64::MAX, first_us: u64::MAX };
 
-    /// `rate` requests a second.
+    /// Pace of `rate` requests per second.
     pub fn from_rate(rate: f64) -> Self {
-        // Conversion saturates: a rate near zero gives no request at all.
+        // The cast saturates: a rate close to zero allows no request.
         let interval_us = ((1e6 / rate) as u64).max(1);
         Self { interval_us, first_us: interval_us }
     }
 
-    /// The same pace with a first request after `part` of the time between two.
+    /// The same pace, with the first request after `part` of an interval.
     pub fn with_first_delay(self, part: f64) -> Self {
         Self { first_us: (self.interval_us as f64 * part) as u64, ..self }
     }
@@ -89,48 +88,47 @@
     cut_at: AtomicU64,
     failures: AtomicU32,
     ejected_until: AtomicU64,
-    /// Mean time until an answer begins, in milliseconds.
+    /// Moving average of the time until an answer begins, in milliseconds.
     delay_ms: AtomicU32,
     delay_updated_at: AtomicU64,
-    /// Requests of which no answer has begun yet.
+    /// Requests whose answer has not begun.
     unanswered: AtomicU32,
-    /// When an answer began last, or the first of those requests was sent.
+    /// When an answer last began, or when a request was sent while none was unanswered.
     progress_at: AtomicU64,
-    /// Time between two requests, in microseconds; zero if the endpoint names no limit.
+    /// Time between two requests, in microseconds; zero if the endpoint advertises no rate limit.
     interval_us: AtomicU64,
     /// When the next request may be sent, in microseconds.
     next_at_us: AtomicU64,
 }
 
 impl EndpointTracker {
-    /// Requests that this entry has in progress there.
+    /// Requests that this entry has in flight at the endpoint.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Counts a request.
+    /// Counts a request unconditionally.
     pub fn acquire(&self) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request if fewer than `most` are in progress; false if not.
+    /// Counts a request if fewer than `max_in_flight` are in flight; false if not.
     ///
-    /// Looked at and counted in one step: between the two another thread could
-    /// take the same last place.
+    /// Check and increment are one atomic step, or two threads could take the same last slot.
     pub fn try_acquire(&self, max_in_flight: u32) -> bool {
         let next = |count: u32| (count < max_in_flight).then(|| count + 1);
         self.in_flight.fetch_update(Ordering::Relaxed, Ordering::Relaxed, next).is_ok()
     }
 
-    /// Counts a request no more.
+    /// Ends the count of one request.
     pub fn release(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Sets how fast this entry may send; none as fast as there is room.
+    /// Sets the interval at which this entry may send; `None` lifts the restriction.
     ///
-    /// An entry that may send from now on waits first: what another one sent until now
-    /// counts against the same limit.
+    /// An entry that starts to send waits first, because requests that another entry has just sent
+    /// count against the same limit.
     pub fn set_pace(&self, pace: Option<EndpointPace>, now: Timestamp) {
         let (interval_us, first_us) = pace.map_or((0, 0), |p| (p.interval_us, p.first_us));
         let before = self.interval_us.swap(interval_us, Ordering::Relaxed);
@@ -141,8 +139,8 @@
         let wait_us = match before {
             _ if interval_us == u64::MAX => u64::MAX,
             0 | u64::MAX => first_us,
-            // What is left of the wait changes with the pace, and with it the order in
-            // which entries send that change theirs at the same moment.
+            // The remaining wait is scaled with the interval, which keeps the send order of entries
+            // whose pace changes at the same time.
             _ => {
                 let left_us = self.next_at_us.load(Ordering::Relaxed).saturating_sub(now_us);
                 (left_us as f64 / before as f64 * interval_us as f64) as u64
@@ -151,23 +149,25 @@
         self.next_at_us.store(now_us.saturating_add(wait_us), Ordering::Relaxed);
     }
 
-    /// Whether the endpoint names a limit, or did so a moment ago.
+    /// Whether the entry's rate is restricted: the endpoint advertises a rate limit or did so
+    /// recently.
     pub fn is_paced(&self) -> bool {
         self.interval_us.load(Ordering::Relaxed) != 0
     }
 
-    /// Whether the pace lets a request be sent now.
+    /// Whether the pace allows a request now.
     pub fn is_due(&self, now: Timestamp) -> bool {
         !self.is_paced() || micros(now) >= self.next_at_us.load(Ordering::Relaxed)
     }
 
-    /// Whether a request has been due for so long that nobody would learn of the limit's end.
+    /// Whether a request has been due for so long that one has to be sent to detect the end of the
+    /// limit.
     pub fn is_overdue(&self, now: Timestamp) -> bool {
         let next_at_us = self.next_at_us.load(Ordering::Relaxed);
         self.is_paced() && micros(now) >= next_at_us.saturating_add(OVERDUE_US)
     }
 
-    /// Takes the place of a request in the pace; false if it is not due.
+    /// Takes the next send slot of the pace; false if it is not due.
     fn take_slot(&self, now: Timestamp) -> bool {
         let interval_us = self.interval_us.load(Ordering::Relaxed);
         if interval_us == 0 {
@@ -175,15 +175,16 @@
         }
         let now_us = micros(now);
         let next = |next_at_us: u64| {
-            // Half an interval late is made up for, or a rate would never be reached.
+            // Up to half an interval of lateness is carried over, or the configured rate would
+            // never be reached.
             let from_us = next_at_us.max(now_us.saturating_sub(interval_us / 2));
             (now_us >= next_at_us).then(|| from_us.saturating_add(interval_us))
         };
         self.next_at_us.fetch_update(Ordering::Relaxed, Ordering::Relaxed, next).is_ok()
     }
 
-    /// Counts a request if fewer than `most` are in progress and the pace lets it be sent;
-    /// false if not.
+    /// Counts a request if fewer than `max_in_flight` are in flight and the pace allows it; false
+    /// if not.
     pub fn try_acquire_paced(&self, max_in_flight: u32, now: Timestamp) -> bool {
         if !self.try_acquire(max_in_flight) {
             return false;
@@ -195,9 +196,9 @@
         is_taken
     }
 
-    /// Takes the endpoint's own report of its load and the limit of its gate.
+    /// Applies a load report of the endpoint and the limit of its gate.
     pub fn apply_report(&self, load: &LoadReport, limit: u32) {
-        // The report counts our own requests too; what is left is the others'.
+        // The report includes this entry's requests; the rest belongs to other entries.
         let others = (load.in_flight + load.queued).saturating_sub(self.in_flight());
         let measured_at = load.measured_at.0 & ((1 << TIME_BITS) - 1);
         let others = u64::from(others.min(u32::from(u16::MAX)));
@@ -205,34 +206,34 @@
         self.set_hard_limit(limit);
     }
 
-    /// Most requests that the endpoint takes, as it told.
+    /// Maximum of requests that the endpoint accepts, by its own report.
     pub fn hard_limit(&self) -> u32 {
         self.hard_limit.load(Ordering::Relaxed)
     }
 
-    /// Takes the most requests that the endpoint takes, without a word of its load.
+    /// Sets the maximum of requests that the endpoint accepts, without a load report.
     pub fn set_hard_limit(&self, limit: u32) {
         if self.hard_limit.swap(limit, Ordering::Relaxed) != limit {
             self.limit.store(limit.saturating_mul(LIMIT_SCALE), Ordering::Relaxed);
         }
     }
 
-    /// Requests that this entry may have in progress there.
+    /// Adaptive limit of the requests that this entry may have in flight at the endpoint.
     pub fn limit(&self) -> u32 {
         self.limit.load(Ordering::Relaxed) / LIMIT_SCALE
     }
 
-    /// Own requests, and others' by the last report, discounted by its age.
+    /// Requests of this entry plus those of others by the last report, weighted by its age.
     pub fn load(&self, now: Timestamp) -> u32 {
         self.in_flight() + self.others_in_flight(now)
     }
 
-    /// Requests of others by the last report, discounted by its age.
+    /// Requests of other entries by the last report, weighted by its age.
     pub fn others_in_flight(&self, now: Timestamp) -> u32 {
         self.weighted_others(now, 0)
     }
 
-    /// Requests of others by the last report, which counts in full while it is fresh.
+    /// Requests of other entries by the last report, which counts in full while it is fresh.
     pub fn recent_others(&self, now: Timestamp) -> u32 {
         self.weighted_others(now, FRESH_MS)
     }
@@ -245,15 +246,14 @@
         ((report >> TIME_BITS) * weight / (REPORT_TTL_MS - fresh_ms)) as u32
     }
 
-    /// Notes that a request was sent, of which [`Self::record_delay`] tells more.
+    /// Records that a request was sent. [`Self::record_delay`] must follow.
     pub fn record_sent(&self, now: Timestamp) {
         if self.unanswered.fetch_add(1, Ordering::Relaxed) == 0 {
             self.progress_at.store(now.0, Ordering::Relaxed);
         }
     }
 
-    /// Notes how long a request waited for the beginning of its answer, or has
-    /// waited so far when it was given up.
+    /// Records how long a request waited until its answer began, or until it was abandoned.
     pub fn record_delay(&self, delay_ms: u64, answered: bool, now: Timestamp) {
         self.unanswered.fetch_sub(1, Ordering::Relaxed);
         if answered {
@@ -270,11 +270,11 @@
         self.delay_updated_at.store(now.0, Ordering::Relaxed);
     }
 
-    /// Time until an answer begins here, in milliseconds; zero if not known.
+    /// Expected time until an answer begins, in milliseconds; zero if unknown.
     ///
-    /// The mean of late, or the time for which nothing was heard while requests
-    /// wait, whichever is longer: an endpoint that fell silent would else get
-    /// more and more until the first of them is given up.
+    /// This is the longer of the moving average and the time without any answer while requests are
+    /// pending. Otherwise an endpoint that stops answering would get more and more requests until
+    /// the first of them timed out.
     pub fn delay_ms(&self, now: Timestamp) -> u32 {
         let silence_ms = match self.unanswered.load(Ordering::Relaxed) {
             0 => 0,
@@ -283,10 +283,10 @@
         self.mean_delay(now).max(u32::try_from(silence_ms).unwrap_or(u32::MAX))
     }
 
-    /// Whether the endpoint takes so long to answer that others should be asked.
+    /// Whether the endpoint answers so slowly that other endpoints are preferred.
     ///
-    /// After a while it gets one request at a time, by which it shows whether it
-    /// has recovered.
+    /// Once the measured delay has expired, the endpoint counts as slow again while a request is
+    /// unanswered. That lets one request at a time probe whether it has recovered.
     pub fn is_slow(&self, now: Timestamp) -> bool {
         if self.delay_ms(now) >= SLOW_MS {
             return true;
@@ -300,7 +300,7 @@
         if age > DELAY_TTL_MS { 0 } else { self.delay_ms.load(Ordering::Relaxed) }
     }
 
-    /// Notes an answer: raises the limit by one per round of full use.
+    /// Records an answer: additive increase of the limit by one per round of full use.
     pub fn record_success(&self) {
         if self.failures.load(Ordering::Relaxed) != 0 {
             self.failures.store(0, Ordering::Relaxed);
@@ -314,7 +314,7 @@
         }
     }
 
-    /// Notes a refusal for overload: lowers the limit by an eighth.
+    /// Records a refusal for overload: multiplicative decrease of the limit by an eighth.
     pub fn record_refusal(&self, now: Timestamp) {
         let cut_at = self.cut_at.load(Ordering::Relaxed);
         if now.0 < cut_at + CUT_INTERVAL_MS {
@@ -327,19 +327,19 @@
         }
     }
 
-    /// Notes a failure; true if there were enough in a row for an ejection.
+    /// Records a failure; true if enough consecutive ones make an ejection due.
     pub fn record_failure(&self) -> bool {
         self.failures.fetch_add(1, Ordering::Relaxed) + 1 >= EJECT_FAILURES
     }
 
-    /// Keeps requests away for a while that doubles with each further failure.
+    /// Ejects the endpoint; the duration doubles with each further failure.
     pub fn eject(&self, now: Timestamp) {
         let excess = self.failures.load(Ordering::Relaxed).saturating_sub(EJECT_FAILURES);
         let duration_ms = (MIN_EJECT_MS << excess.min(5)).min(MAX_EJECT_MS);
         self.ejected_until.store(now.0 + duration_ms, Ordering::Relaxed);
     }
 
-    /// Whether requests are kept away.
+    /// Whether the endpoint is ejected and gets no requests.
     pub fn is_ejected(&self, now: Timestamp) -> bool {
         now.0 < self.ejected_until.load(Ordering::Relaxed)
     }
--- a/crates/decide/src/entry_selector.rs
+++ b/crates/decide/src/entry_selector.rs
@@ -1,9 +1,8 @@
-//! Which entries an agent is connected to.
+//! Selection of the entries that an agent connects to.
 //!
-//! An agent keeps connections to a few of the candidates that entries send it, by
-//! rendezvous rank, so that the agents spread evenly over the entries and make
-//! the same choice after a restart. Entries that cannot be reached are left
-//! out for a while; the next in rank take their places.
+//! An agent connects to a few of the candidates received from entries, by rendezvous rank. Agents
+//! thus spread evenly over the entries and repeat the same selection after a restart. Entries that
+//! cannot be reached are skipped for a while, and the next in rank replace them.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -11,10 +10,10 @@
 
 use crate::rank::first_ranked;
 
-/// Time for which an entry that could not be reached is left out of the choice.
+/// Time for which an unreachable entry is skipped.
 const AVOID_TIME: Duration = Duration::from_secs(2);
 
-/// The entries that an agent may connect to.
+/// Candidate entries for an agent's connections.
 #[derive(Debug, Clone, Default)]
 pub struct EntrySelector {
     candidates: Vec<SocketAddr>,
@@ -34,17 +33,17 @@
         self.candidates.is_empty()
     }
 
-    /// Drops all candidates, as when none of them can be reached.
+    /// Removes all candidates, for use when none of them can be reached.
     pub fn clear(&mut self) {
         self.candidates.clear();
     }
 
-    /// Leaves the entry at `addr` out of the choice for a while.
+    /// Skips the entry at `addr` for a while.
     pub fn avoid(&mut self, addr: SocketAddr, now: Timestamp) {
         self.avoided.insert(addr, now.deadline_after(AVOID_TIME));
     }
 
-    /// The `count` entries to be connected to.
+    /// Selects the `count` entries to connect to.
     pub fn select(&mut self, subject: u64, count: usize, now: Timestamp) -> Vec<SocketAddr> {
         self.avoided.retain(|_, until| !until.is_past(now));
         let available = self.candidates.iter().filter(|addr| !self.avoided.contains_key(addr));
--- a/crates/decide/src/events.rs
+++ b/crates/decide/src/events.rs
@@ -1,17 +1,16 @@
-//! Joining the event streams of several runs into one answer.
+//! Joins the event streams of several runs into one answer.
 //!
-//! Only whole events are passed on. An endpoint that dies in the middle of an
-//! event would else leave its caller with half a line, and the events of the
-//! endpoint that goes on would be glued to it. Events that the caller has
-//! already are dropped, since an endpoint may repeat the last ones.
+//! Only complete events are passed on. If an endpoint failed in the middle of an event, the caller
+//! would otherwise get half a line, directly followed by the events of the endpoint that resumes.
+//! Events that the caller already has are dropped, since an endpoint may repeat the last ones.
 
-/// Largest event, in bytes; a longer one is no event stream.
+/// Maximum size of an event, in bytes; anything longer is not an event stream.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// What is wrong with a stream.
+/// Error in an event stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum EventError {
-    /// An event is longer than any real one.
+    /// An event exceeds the maximum size.
     #[error("an event has more than {MAX_EVENT_BYTES} bytes")]
     TooLong,
     /// The stream ended within an event.
@@ -19,29 +18,29 @@
     Unfinished,
 }
 
-/// Takes in the bytes of event streams and gives out whole events.
+/// Splits the bytes of event streams into complete events and drops duplicates.
 #[derive(Debug, Clone, Default)]
 pub struct EventSplicer {
-    /// The event that has begun.
+    /// Bytes of the incomplete event.
     pending: Vec<u8>,
-    /// Bytes of it that were searched for its end.
+    /// Number of pending bytes already searched for the end of the event.
     searched: usize,
-    /// The last event that was given out.
+    /// Id of the last event that was passed on.
     last_id: Option<u64>,
 }
 
 impl EventSplicer {
-    /// A splicer for a caller that has all events up to `last_id`.
+    /// Creates a splicer for a caller that has all events up to `last_id`.
     pub fn new(last_id: Option<u64>) -> Self {
         Self { last_id, ..Self::default() }
     }
 
-    /// The last event that was given out.
+    /// Id of the last event that was passed on.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Takes `bytes` in; the whole events that the caller does not have yet.
+    /// Appends `bytes`; returns the complete events that are new to the caller.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<u8>, EventError> {
         self.pending.extend_from_slice(bytes);
         let mut ready = Vec::new();
@@ -56,12 +55,12 @@
         Ok(ready)
     }
 
-    /// Notes that a stream ended as a whole.
+    /// Checks at a regular end of the stream that no event is incomplete.
     pub fn finish(&self) -> Result<(), EventError> {
         if self.pending.is_empty() { Ok(()) } else { Err(EventError::Unfinished) }
     }
 
-    /// Forgets the event that a broken stream has begun.
+    /// Discards the incomplete event of a broken stream.
     pub fn discard_partial(&mut self) {
         self.pending.clear();
         self.searched = 0;
@@ -69,7 +68,7 @@
 
     fn emit(&mut self, event: &[u8], ready: &mut Vec<u8>) {
         let id = event_id(event);
-        // Without an id there is no telling whether the caller has it.
+        // Events without an id cannot be matched, so they are always passed on.
         if id.is_some_and(|id| self.last_id.is_some_and(|last| id <= last)) {
             return;
         }
@@ -77,7 +76,7 @@
         ready.extend_from_slice(event);
     }
 
-    /// Length of the first event with the empty line that ends it.
+    /// Length of the first complete event, including the blank line that ends it.
     fn event_length(&mut self) -> Option<usize> {
         let start = self.searched.saturating_sub(3);
         let found = (start..self.pending.len()).find_map(|at| {
@@ -92,7 +91,7 @@
     }
 }
 
-/// The number after `id:` in an event.
+/// Value of the `id:` line of an event.
 fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
     let text = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/decide/src/flood.rs
+++ b/crates/decide/src/flood.rs
@@ -1,13 +1,13 @@
-//! Which messages that go to every entry have been seen already.
+//! Duplicate detection for messages that are flooded to every entry.
 
 use std::collections::HashMap;
 
 use cassiawheel_model::InstanceId;
 
-/// Messages before the newest of a process for which duplicates are detected.
+/// Size of the window in which duplicates are detected, in messages per process.
 const WINDOW: u64 = 64;
 
-/// The messages of each process that this one has passed on.
+/// Recently seen message numbers of each process.
 #[derive(Debug, Default)]
 pub struct FloodFilter {
     seen: HashMap<InstanceId, SeenNumbers>,
@@ -17,14 +17,14 @@
 struct SeenNumbers {
     incarnation: u64,
     newest: u64,
-    /// Bit `n` is set if the message `n` numbers before the newest was seen.
+    /// Bit `n` is set if the message `n` before the newest was seen.
     bits: u64,
 }
 
 impl FloodFilter {
-    /// Notes a message; true if it is seen for the first time.
+    /// Records a message; true if it is seen for the first time.
     ///
-    /// A message that lies further behind the newest than the window counts as a duplicate.
+    /// A message older than the window counts as a duplicate.
     pub fn insert(&mut self, origin: &InstanceId, incarnation: u64, number: u64) -> bool {
         let fresh = SeenNumbers { incarnation, newest: number, bits: 1 };
         let Some(seen) = self.seen.get_mut(origin) else {
@@ -52,7 +52,7 @@
         is_new
     }
 
-    /// Forgets processes that are gone.
+    /// Removes the processes for which `is_present` is false.
     pub fn keep_only(&mut self, is_present: impl Fn(&InstanceId) -> bool) {
         self.seen.retain(|origin, _| is_present(origin));
     }
--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -1,9 +1,8 @@
-//! Records, reports and loads that an entry keeps and passes on to its neighbours.
+//! State that entries exchange by gossip: records, reports and loads.
 //!
-//! Every item that is newer than the known one gets the next number of a count
-//! of changes. A link remembers the number up to which its other end was sent
-//! everything, so that a new link gets the whole state and an old one only what
-//! changed, and nothing goes back over the link that it came from.
+//! Each item that is newer than the known one gets the next change number. A link keeps the number
+//! up to which its peer is current. A new link thus receives the whole state and an existing one
+//! only changes, and no item is sent back over the link that delivered it.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,31 +13,31 @@
 
 use crate::rank::subject_of;
 
-/// Most records, and most reports, that are kept.
+/// Maximum number of records, and of reports.
 const MAX_ITEMS: usize = 16_384;
 
-/// Most loads in one message.
+/// Maximum number of loads in one message.
 const MAX_LOADS: usize = 512;
 
-/// Time for which an item is kept that no reachable process stands for.
+/// Time for which an item without a reachable process is kept.
 ///
-/// Longer than any message can be delayed, so that a late copy of it is known to be old.
+/// Longer than any message can be delayed, so that a late copy is recognised as old.
 const RETENTION_TIME: Duration = Duration::from_secs(60);
 
-/// Age at which a load is of no use to anyone, in milliseconds.
+/// Age from which a load is outdated, in milliseconds.
 const MAX_LOAD_AGE_MS: u64 = 2_000;
 
-/// Number of a link within its process.
+/// Identifier of a link within its process.
 pub type LinkId = u64;
 
-/// Up to which change the other end of a link has been sent everything.
+/// Change numbers up to which the peer of a link has received everything.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LinkCursor {
     state: u64,
     loads: u64,
 }
 
-/// Records, reports and loads as one entry has them.
+/// Records, reports and loads known to one entry.
 #[derive(Debug, Default)]
 pub struct GossipStore {
     records: BTreeMap<InstanceId, StoredItem<EntryRecord>>,
@@ -47,7 +46,7 @@
     changes: u64,
 }
 
-/// An item with its change and the links over which it has come.
+/// An item with its change number and the links that delivered it.
 #[derive(Debug)]
 struct StoredItem<T> {
     item: T,
@@ -64,7 +63,7 @@
     source: Option<LinkId>,
 }
 
-/// How an item has come, and the number that it gets if it is new.
+/// Source and time of an arriving item, and its change number if it is new.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
     change: u64,
@@ -77,7 +76,7 @@
         Self { item, change, sources: source.into_iter().collect(), received_at: now }
     }
 
-    /// Replaces the item if `item` is newer; the sender of an equal copy is a further source.
+    /// Replaces the item if `item` is newer; the sender of an equal copy becomes another source.
     fn merge(&mut self, item: T, is_newer: fn(&T, &T) -> bool, arrival: Arrival) -> bool {
         if is_newer(&item, &self.item) {
             *self = Self::new(item, arrival);
@@ -109,7 +108,7 @@
 }
 
 impl GossipStore {
-    /// Takes in a record; true if it is newer than the known one.
+    /// Merges a record; true if it is newer than the known one.
     pub fn merge_record(
         &mut self,
         record: EntryRecord,
@@ -125,7 +124,7 @@
         is_new
     }
 
-    /// Takes in a report; true if it is newer than the known one.
+    /// Merges a report; true if it is newer than the known one.
     pub fn merge_report(
         &mut self,
         report: EndpointReport,
@@ -141,7 +140,7 @@
         is_new
     }
 
-    /// Takes in a load; true if it was measured more than `step_ms` after the known one.
+    /// Merges a load; true if it was measured more than `step_ms` after the known one.
     pub fn merge_load(
         &mut self,
         row: LoadRow,
@@ -164,14 +163,14 @@
         is_new
     }
 
-    /// The load of a process, if it is recent.
+    /// Load of a process, if it is recent.
     pub fn load_of(&self, instance: &InstanceId, now: Timestamp) -> Option<u32> {
         let known = self.loads.get(&subject_of(instance.as_str()))?;
         let age_ms = now.0.saturating_sub(known.measured_at.0);
         (age_ms < MAX_LOAD_AGE_MS).then_some(known.load)
     }
 
-    /// Records and reports that `link` has to be sent, and its mark after that.
+    /// Records and reports to send over `link`, and its cursor afterwards.
     pub fn state_since(
         &self,
         cursor: LinkCursor,
@@ -187,9 +186,9 @@
         (records, reports, LinkCursor { state: self.changes, ..cursor })
     }
 
-    /// Loads that `link` has to be sent, and its mark after that.
+    /// Loads to send over `link`, and its cursor afterwards.
     ///
-    /// Those that have waited longest go first if one message cannot hold them all.
+    /// If one message cannot hold them all, the oldest changes go first.
     pub fn loads_since(
         &self,
         cursor: LinkCursor,
@@ -214,27 +213,27 @@
         (rows.collect(), LinkCursor { loads, ..cursor })
     }
 
-    /// All records.
+    /// All known records.
     pub fn records(&self) -> impl Iterator<Item = &EntryRecord> {
         self.records.values().map(|stored| &stored.item)
     }
 
-    /// The record of one entry.
+    /// Record of one entry.
     pub fn record(&self, instance: &InstanceId) -> Option<&EntryRecord> {
         self.records.get(instance).map(|stored| &stored.item)
     }
 
-    /// All reports.
+    /// All known reports.
     pub fn reports(&self) -> impl Iterator<Item = &EndpointReport> {
         self.reports.values().map(|stored| &stored.item)
     }
 
-    /// The report of one endpoint.
+    /// Report of one endpoint.
     pub fn report(&self, instance: &InstanceId) -> Option<&EndpointReport> {
         self.reports.get(instance).map(|stored| &stored.item)
     }
 
-    /// Drops what is old and stands for no process that `is_present`.
+    /// Removes outdated loads, and old items of processes for which `is_present` is false.
     pub fn expire(&mut self, now: Timestamp, is_present: impl Fn(&InstanceId) -> bool) {
         let is_old = |received_at: Timestamp| now.since(received_at) > RETENTION_TIME;
         self.records.retain(|name, stored| is_present(name) || !is_old(stored.received_at));
--- a/crates/decide/src/heartbeat.rs
+++ b/crates/decide/src/heartbeat.rs
@@ -1,19 +1,19 @@
-//! What an agent tells the entries at a heartbeat.
+//! Content of an agent's heartbeats to the entries.
 //!
-//! A whole report is some four hundred bytes. While a version is fetched its
-//! progress changes at every heartbeat; told as a whole to every entry each
-//! time, it was most of the traffic between regions of a large deployment.
+//! A full report has about 400 bytes. While a version is fetched, its progress changes at every
+//! heartbeat; sending the full report to every entry each time made up most of the traffic between
+//! the regions of a large deployment.
 
 use std::time::Duration;
 
 use cassiawheel_model::{Deadline, EndpointReport, StagedWeights, Timestamp};
 
-/// Time between whole reports that tell nothing but progress.
+/// Minimum time between full reports that differ only in fetch progress.
 ///
-/// Forecasts and the choice among endpoints that hold a part need no more.
+/// Forecasts and the choice among endpoints that hold a part need no finer resolution.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The last whole report, and when progress alone is worth another one.
+/// Last full report, and when progress alone justifies another one.
 #[derive(Debug, Clone)]
 pub struct SentReport {
     report: EndpointReport,
@@ -21,12 +21,12 @@
 }
 
 impl SentReport {
-    /// A report that every entry has got.
+    /// Creates the state after `report` was sent to every entry.
     pub fn new(report: EndpointReport, now: Timestamp) -> Self {
         Self { report, progress_at: now.deadline_after(PROGRESS_INTERVAL) }
     }
 
-    /// Whether a load is all that has to be told now.
+    /// Whether sending the load is enough for now.
     pub fn covers(&self, report: &EndpointReport, now: Timestamp) -> bool {
         let mut sent = EndpointReport { load: report.load, ..self.report.clone() };
         if sent == *report {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Whether both are parts of the same weights.
+/// Whether both are partial states of the same weights.
 fn is_under_way(sent: &Option<StagedWeights>, staged: &Option<StagedWeights>) -> bool {
     let (Some(sent), Some(staged)) = (sent, staged) else {
         return false;
@@ -49,10 +49,10 @@
     sent.manifest == staged.manifest && is_partial(sent) && is_partial(staged)
 }
 
-/// When an entry wants to hear the load.
+/// Schedule of the load reports to one entry.
 ///
-/// Entries of other regions send an endpoint little, and each word to them
-/// crosses a shared link; they ask for fewer.
+/// Entries of other regions send an endpoint few requests, and messages to them cross a shared
+/// link, so they request fewer reports.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadSchedule {
     every_ms: u64,
@@ -60,17 +60,17 @@
 }
 
 impl LoadSchedule {
-    /// A load with every heartbeat.
+    /// One load report per heartbeat.
     pub fn every_heartbeat() -> Self {
         Self { every_ms: 0, due_at: Deadline(0) }
     }
 
-    /// A load every `every_ms` milliseconds, from `now` on.
+    /// One load report every `every_ms` milliseconds, starting at `now`.
     pub fn every(every_ms: u64, now: Timestamp) -> Self {
         Self { every_ms, due_at: Deadline(now.0 + every_ms) }
     }
 
-    /// Whether a load is due; starts the next span if so.
+    /// Whether a load report is due; starts the next interval if so.
     pub fn take_due(&mut self, now: Timestamp) -> bool {
         let is_due = self.due_at.is_past(now);
         if is_due {
--- a/crates/decide/src/latch.rs
+++ b/crates/decide/src/latch.rs
@@ -1,7 +1,7 @@
-//! Whether an attempt has begun its run or was cancelled before.
+//! Arbitration between the start of a run and its cancellation.
 //!
-//! The cancel and the beginning of the run race on two threads. Exactly one of
-//! them wins, so an attempt that was told apart as cancelled never runs.
+//! Start and cancellation race on two threads, and exactly one of them succeeds. An attempt that
+//! was reported as cancelled therefore never runs.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
@@ -9,19 +9,19 @@
 const RUNNING: u8 = 1;
 const CANCELLED: u8 = 2;
 
-/// The latch of one attempt.
+/// State of one attempt: waiting, running or cancelled.
 #[derive(Debug, Default)]
 pub struct RunLatch {
     state: AtomicU8,
 }
 
 impl RunLatch {
-    /// Begins the run; false if the attempt was cancelled before.
+    /// Starts the run; false if the attempt was cancelled before.
     pub fn begin(&self) -> bool {
         self.transition(RUNNING)
     }
 
-    /// Cancels the attempt; false if its run has begun.
+    /// Cancels the attempt; false if its run has started.
     pub fn cancel(&self) -> bool {
         self.transition(CANCELLED)
     }
--- a/crates/decide/src/overlay.rs
+++ b/crates/decide/src/overlay.rs
@@ -1,15 +1,14 @@
-//! Which entries are linked to which, and which of them can be reached.
+//! Overlay network of the entries: which links exist and which entries are reachable.
 //!
-//! The entries of a region form a ring in the order of their hashes, with chords
-//! to those 3, 9, 27, … places on, so that a message passes few links to reach
-//! all of them and each entry has a number of links that grows with the
-//! logarithm of their number. Each two regions are joined by a few links between
-//! the entries that rank first for this pair. Every entry computes its links
-//! from its own view of the membership; there is no agreement protocol.
+//! The entries of a region form a ring ordered by hash, with chords to the entries 3, 9, 27, …
+//! positions further. A message reaches all of them over few links, and the number of links per
+//! entry grows with the logarithm of the number of entries. Every two regions are joined by a few
+//! links between the entries that rank first for the pair. Each entry computes its links from its
+//! own view of the membership; there is no agreement protocol.
 //!
-//! An entry counts as present while a path of links leads to it that both ends
-//! of each link confirm. Who stops, or is cut off, is so gone for all others as
-//! soon as its neighbours have noticed.
+//! An entry counts as present while a path of links leads to it that both ends of each link
+//! confirm. An entry that stops or is cut off therefore disappears for all others once its
+//! neighbours notice.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -20,22 +19,22 @@
 
 use crate::rank::{rendezvous_weight, subject_of};
 
-/// Entries that read the operators' rows, where there are fewer regions.
+/// Minimum number of entries that follow the operators' rows, used where there are fewer regions.
 const MIN_FOLLOWERS: usize = 3;
 
-/// Links between each two regions.
+/// Number of links between every two regions.
 const LINKS_PER_REGION_PAIR: usize = 3;
 
-/// Address and region of an entry, the input of the choice of links.
+/// Address and region of an entry, from which the links are computed.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EntryLocation {
-    /// Where our own processes reach it.
+    /// Address for connections from our own processes.
     pub inner_addr: SocketAddr,
-    /// Its region.
+    /// Region of the entry.
     pub region: RegionName,
 }
 
-/// The entries that the one at `own` dials, of `others` that seem to run.
+/// Addresses that the entry at `own` dials, given the other live entries.
 pub fn links_to_dial(own: &EntryLocation, others: &[EntryLocation]) -> BTreeSet<SocketAddr> {
     let mut regions: BTreeMap<&RegionName, Vec<SocketAddr>> = BTreeMap::new();
     for place in others.iter().filter(|place| place.inner_addr != own.inner_addr).chain([own]) {
@@ -44,7 +43,7 @@
     let near = regions.remove(&own.region).unwrap_or_default();
     let mut chosen = ring_links(own.inner_addr, &near);
     for (region, far) in regions {
-        // One end dials, or each of these links would be made twice.
+        // Only one side dials, or each of these links would exist twice.
         if own.region < *region {
             chosen.extend(bridge_link(own, &near, region, &far));
         }
@@ -52,17 +51,17 @@
     chosen
 }
 
-/// The entries 1, 3, 9, … places after `own` in the ring of its region.
+/// Entries 1, 3, 9, … positions after `own` in the ring of its region.
 fn ring_links(own: SocketAddr, near: &[SocketAddr]) -> BTreeSet<SocketAddr> {
     let ring = ranked(subject_of("ring"), near);
     let position = ring.iter().position(|addr| *addr == own).unwrap_or_default();
     let steps = std::iter::successors(Some(1), |step| Some(step * 3));
-    // A chord of more than half of the ring is one of its other end.
+    // A chord across more than half of the ring equals one from its other end.
     let steps = steps.take_while(|step| step * 2 <= ring.len());
     steps.map(|step| ring[(position + step) % ring.len()]).collect()
 }
 
-/// The entry of `region` that `own` is joined to, if it is one of the first of its own.
+/// Entry of `region` that `own` links to, if `own` is among the first ranked of its region.
 fn bridge_link(
     own: &EntryLocation,
     near: &[SocketAddr],
@@ -72,7 +71,7 @@
     let subject = subject_of(&format!("{}/{region}", own.region));
     let rank = ranked(subject, near).iter().position(|addr| *addr == own.inner_addr)?;
     let far = ranked(subject, far);
-    // A region with fewer entries joins each of them to more than one.
+    // In a smaller region, an entry gets more than one of the links.
     (rank < LINKS_PER_REGION_PAIR).then(|| far[rank % far.len()])
 }
 
@@ -83,7 +82,7 @@
     ranked.into_iter().map(|(_, addr)| addr).collect()
 }
 
-/// The entries of `region` among `places`; all of them where it has none.
+/// Addresses of the entries of `region`, or all addresses if it has none.
 pub fn same_region_or_all<'a>(
     region: &RegionName,
     places: impl Iterator<Item = (SocketAddr, Option<&'a RegionName>)> + Clone,
@@ -96,22 +95,23 @@
     }
 }
 
-/// What an entry does about the operators' rows.
+/// Role of an entry in reading the operators' rows from the table service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FeedRole {
-    /// It follows them for all.
+    /// Reads the rows and passes them on to the other entries.
     Follow,
-    /// The table service rejects its calls but not those of others; it retries at intervals.
+    /// The table service rejects this entry's calls but not those of others; it retries at
+    /// intervals.
     Probe,
-    /// Others follow them.
+    /// Other entries read the rows.
     Standby,
 }
 
-/// What the entry at `own` does about the operators' rows.
+/// Role of the entry `own` in reading the operators' rows.
 ///
-/// They are followed by the first entry of each region and by the first of all, among
-/// those that the table service answers; where it answers nobody, among all. `present`
-/// are the records of the entries that can be reached, its own among them.
+/// The rows are read by the first entry of each region and by the first entries overall, among
+/// those that the table service answers; if it answers none, among all. `present` holds the records
+/// of the reachable entries, including `own`.
 pub fn feed_role(own: &InstanceId, present: &[&EntryRecord]) -> FeedRole {
     let Some(record) = present.iter().find(|record| record.instance == *own) else {
         return FeedRole::Follow;
@@ -132,7 +132,7 @@
     }
 }
 
-/// The entries that can be reached from `own` over links that both ends confirm.
+/// Entries reachable from `own` over links that both ends confirm.
 pub fn reachable_entries<'a>(
     own: &'a InstanceId,
     records: impl Iterator<Item = &'a EntryRecord>,
--- a/crates/decide/src/peering.rs
+++ b/crates/decide/src/peering.rs
@@ -1,10 +1,9 @@
-//! Which agents swap chunks with which.
+//! Selection of the agents that exchange chunks with each other.
 //!
-//! All agents of a region know each other: who draws a chunk from the origin and
-//! who imports it is worked out by each of them from the same names. Of each
-//! other region an agent knows a few. Their words cross links that are shared
-//! and dear, and with all of them they would grow with the square of the number
-//! of agents.
+//! Within a region, every agent has all others as peers: each one computes from the same names
+//! which agent fetches a chunk from the origin and which imports it. From every other region an
+//! agent has only a few peers, because messages to them cross shared and expensive links and would
+//! otherwise grow with the square of the number of agents.
 
 use std::collections::BTreeMap;
 
@@ -12,26 +11,26 @@
 
 use crate::rank::{first_ranked, subject_of};
 
-/// Most agents of its own region that an agent knows.
+/// Maximum number of peers in the agent's own region.
 const MAX_SAME_REGION: usize = 256;
 
-/// Agents of each other region that an agent knows.
+/// Number of peers in each other region.
 ///
-/// A chunk is offered to a region once one of these holds it. Chunks double
-/// their holders about every 150 ms, so with six known agents the wait is a few
-/// tens of milliseconds, and all six gone at once is not expected.
+/// A chunk is offered to a region once one of these peers holds it. The number of holders doubles
+/// about every 150 ms, so with six peers the delay is a few tens of milliseconds, and a
+/// simultaneous loss of all six is not expected.
 const MAX_PER_OTHER_REGION: usize = 6;
 
-/// An agent as far as this choice needs to know it.
+/// Name and region of an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AgentLocation<'a> {
-    /// Its instance.
+    /// Instance id of the agent.
     pub instance: &'a str,
-    /// Where it stands.
+    /// Region of the agent.
     pub region: &'a RegionName,
 }
 
-/// The agents among `others` that `agent` knows; the same at every entry.
+/// Peers of `agent` among `others`; every entry computes the same ones.
 pub fn chunk_peers<'a>(agent: AgentLocation<'_>, others: &[AgentLocation<'a>]) -> Vec<&'a str> {
     let mut regions: BTreeMap<&RegionName, Vec<&'a str>> = BTreeMap::new();
     for other in others.iter().filter(|other| other.instance != agent.instance) {
--- a/crates/decide/src/rank.rs
+++ b/crates/decide/src/rank.rs
@@ -1,10 +1,9 @@
-//! Rendezvous ranks: who goes first, decided without talk.
+//! Rendezvous hashing: a ranking that every process computes without communication.
 //!
-//! Every process computes the same order from the same names, so that for each
-//! chunk one agent is first to draw it from the origin and for each agent the
-//! same entries are first to be dialled.
+//! All processes derive the same order from the same names. For each chunk the same agent is thus
+//! first to fetch it from the origin, and for each agent the same entries are first to be dialled.
 
-/// Weight of `name` for `subject`; the highest weight ranks first.
+/// Weight of `name` for the key `subject`; the highest weight ranks first.
 pub fn rendezvous_weight(subject: u64, name: &str) -> u64 {
     // FNV-1a over the name, then a finaliser with good avalanche (splitmix64).
     let mut hash = 0xcbf2_9ce4_8422_2325_u64 ^ mix(subject);
@@ -21,25 +20,25 @@
     value ^ (value >> 31)
 }
 
-/// Part of a chunk's weight that depends on the chunk alone.
+/// Part of a chunk's weight that depends only on the chunk.
 pub(crate) fn chunk_salt(index: u64) -> u64 {
     mix(index)
 }
 
-/// Part of a chunk's weight that depends on the agent's name alone.
+/// Part of a chunk's weight that depends only on the agent's name.
 pub(crate) fn name_salt(name: &str) -> u64 {
     rendezvous_weight(0, name)
 }
 
 /// Weight of an agent for a chunk, from the salts of both.
 ///
-/// The same choice as [`rendezvous_weight`] makes, but without reading the
-/// name for every chunk: a join would else cost milliseconds.
+/// It serves the same purpose as [`rendezvous_weight`] but does not hash the name for every chunk,
+/// which would cost milliseconds per join.
 pub(crate) fn salted_weight(chunk_salt: u64, name_salt: u64) -> u64 {
     mix(chunk_salt ^ name_salt)
 }
 
-/// The `count` first of `names` for `subject`.
+/// The `count` highest ranked of `names` for `subject`.
 pub fn first_ranked<'a>(
     subject: u64,
     names: impl Iterator<Item = &'a str>,
@@ -50,7 +49,7 @@
     ranked.into_iter().take(count).map(|(_, name)| name).collect()
 }
 
-/// A stable number for a text, to be used as a subject.
+/// Stable hash of a text, for use as a subject.
 pub fn subject_of(text: &str) -> u64 {
     rendezvous_weight(0, text)
 }
--- a/crates/decide/src/rate_limits.rs
+++ b/crates/decide/src/rate_limits.rs
@@ -1,18 +1,17 @@
-//! Limits that endpoints name, and each entry's part of them.
+//! Rate limits advertised by endpoints, and the share of each entry.
 //!
-//! An endpoint in need names the requests a second that it takes from all entries
-//! together. A few entries, the same by everybody's reckoning, send it that much between
-//! them, and all others nothing: a limit of two a second among fifteen entries is less
-//! than a request of each in the time in which it has to hold, so that equal parts would
-//! either break it or leave it unused. The holders stand in the endpoint's failure domain
-//! where entries do, so that they see the requests that are nearest to it.
+//! An overloaded endpoint advertises the request rate that it accepts from all entries together. A
+//! few entries, the holders, send at this rate between them, and all others send nothing. Equal
+//! shares would not work: two requests per second among fifteen entries is less than one request of
+//! each within the time in which the limit has to hold, so that it would be exceeded or left
+//! unused. All entries compute the same holders, in the endpoint's failure domain if it has
+//! entries, because those see the requests closest to it.
 //!
-//! A limit ends when an answer names none any more. All entries then return together,
-//! from the limit on, at twice the rate every second: an endpoint that has been idle
-//! would else draw the requests of all of them.
+//! A limit ends when an answer no longer advertises one. All entries then resume together from the
+//! limited rate, which doubles every second. Otherwise the idle endpoint would attract the requests
+//! of all of them at once.
 //!
-//! Answers load: more requests than an endpoint takes, from entries of which each sees
-//! only its own.
+//! This keeps an endpoint within its limit although each entry sees only its own requests.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -20,47 +19,48 @@
 
 use crate::{endpoint_tracker::EndpointPace, gossip::LinkId};
 
-/// Most entries that share a limit: each may be half a request ahead of its rate.
+/// Maximum number of holders of a limit; each may be half a request ahead of its rate.
 const MAX_HOLDERS: usize = 3;
 
-/// Requests a second of a limit for each of its holders at least.
+/// Minimum rate per holder, in requests per second; slower limits get fewer holders.
 const MIN_HOLDER_RATE: f64 = 1.0;
 
-/// Requests a second that an endpoint gets at least, or the end of its limit would not be
-/// noticed.
+/// Minimum rate at which an endpoint is sent requests, in requests per second. Without it, the end
+/// of a limit of zero would go unnoticed.
 const MIN_RATE: f64 = 0.1;
 
-/// Time after the last answer with a limit within which one without it may be older.
+/// Time within which messages can arrive out of order: an answer without a limit this soon after
+/// one with a limit may be the older one.
 const GRACE_TIME: Duration = Duration::from_millis(250);
 
-/// Time after which neighbours are sent a limit again that still holds.
+/// Interval at which an unchanged limit is sent to the neighbours again.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time in which holders confirm a limit; three of their repeats.
+/// Minimum time for the holders to confirm a limit: three refresh intervals.
 const MIN_CONFIRM_TIME: Duration = Duration::from_secs(3);
 
-/// Requests that holders send in that time at least.
+/// Requests that the holders send at least before a limit counts as unconfirmed.
 const CONFIRM_REQUESTS: f64 = 4.0;
 
-/// Relative change of a limit that neighbours are sent at once, as a divisor.
+/// Divisor of a limit: a change above this fraction of it is sent to the neighbours at once.
 const CHANGE_DIVISOR: u32 = 20;
 
 /// Time in which the rate doubles after a limit has ended.
 const DOUBLING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Doublings after which an endpoint is used as before.
+/// Number of doublings after which an endpoint is used without restriction.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// Rate from which entries return to an endpoint that took nothing, in requests a second.
+/// Minimum rate from which entries resume after a limit, in requests per second.
 const MIN_RECOVERY_RATE: f64 = 1.0;
 
-/// Time for which a limit is kept of an endpoint that is not listed.
+/// Time for which the limit of an endpoint that is not listed is kept.
 const RETENTION_TIME: Duration = Duration::from_secs(60);
 
-/// Most limits that are kept.
+/// Maximum number of limits.
 const MAX_LIMITS: usize = 16_384;
 
-/// Limits by the hash of the endpoint's process.
+/// Rate limits by the hash of the endpoint's instance id.
 #[derive(Debug, Default)]
 pub struct RateLimits {
     limits: HashMap<u64, KnownLimit>,
@@ -70,25 +70,25 @@
 #[derive(Debug, Clone, Copy)]
 struct KnownLimit {
     state: LimitState,
-    /// When an answer showed this, as neighbours know it.
+    /// When an answer showed this state, as sent to the neighbours.
     observed_at: Timestamp,
-    /// When an answer showed it last.
+    /// When an answer last showed this state.
     confirmed_at: Timestamp,
     change: u64,
     source: Option<LinkId>,
 }
 
-/// An entry's place among those that may hold a limit.
+/// Position of an entry among those that may hold a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HolderRank {
-    /// Rank for the endpoint; zero goes first.
+    /// Rank of the entry for the endpoint; the lowest ranks are the holders.
     pub rank: usize,
-    /// Entries that may hold it.
+    /// Number of entries that may hold the limit.
     pub candidates: usize,
-    /// All entries.
+    /// Number of all entries.
     pub entries: usize,
-    /// Part of the time between two requests after which it begins; entries that begin at
-    /// the same moment would else send at the same moments.
+    /// Fraction of an interval before the first request after a limit has ended, which spreads the
+    /// requests of entries that resume at the same time.
     pub phase: f64,
 }
 
@@ -98,18 +98,18 @@
         self.limits.is_empty()
     }
 
-    /// Endpoints that name a limit.
+    /// Number of endpoints that advertise a limit.
     pub fn advertised_count(&self) -> usize {
         let named = |known: &&KnownLimit| matches!(known.state, LimitState::Named(_));
         self.limits.values().filter(named).count()
     }
 
-    /// Whether `endpoint` names a limit, or did so a moment ago.
+    /// Whether `endpoint` advertises a limit or did so recently.
     pub fn contains(&self, endpoint: u64) -> bool {
         self.limits.contains_key(&endpoint)
     }
 
-    /// Takes in the limit of an answer; true if neighbours have to be sent it.
+    /// Records the limit in an answer of `endpoint`; true if the neighbours need an update.
     pub fn observe(&mut self, endpoint: u64, limit: Option<NamedLimit>, now: Timestamp) -> bool {
         let state = match (limit, self.limits.get_mut(&endpoint)) {
             (None, None) => return false,
@@ -134,11 +134,11 @@
         self.insert(endpoint, state, now, None)
     }
 
-    /// Takes in a row of a neighbour; true if it is newer than what is known.
+    /// Merges a row of a neighbour; true if it is newer than the known state.
     pub fn merge(&mut self, row: LimitRow, source: LinkId, now: Timestamp) -> bool {
         let observed_at = Timestamp(now.0.saturating_sub(u64::from(row.age_ms)));
         let known = self.limits.get(&row.endpoint);
-        // Copies that come another way seem to be some milliseconds younger or older.
+        // Copies over other paths appear a few milliseconds younger or older.
         let is_later = known
             .is_none_or(|known| known.observed_at.deadline_after(GRACE_TIME).is_past(observed_at));
         let is_different = known.is_none_or(|known| known.state != row.state);
@@ -165,7 +165,7 @@
         has_room
     }
 
-    /// How fast an entry may send to an endpoint; none if it names no limit.
+    /// Pace at which an entry may send to an endpoint; `None` if it advertises no limit.
     pub fn pace(&self, endpoint: u64, holder: HolderRank, now: Timestamp) -> Option<EndpointPace> {
         let known = self.limits.get(&endpoint)?;
         match known.state {
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Limits that `link` has to be sent, and up to which change it has all of them then.
+    /// Rows to send over `link`, and the change number up to which it is current afterwards.
     pub fn rows_since(&self, cursor: u64, link: LinkId, now: Timestamp) -> (Vec<LimitRow>, u64) {
         if cursor == self.changes {
             return (Vec::new(), cursor);
@@ -207,7 +207,7 @@
         (rows.collect(), self.changes)
     }
 
-    /// Forgets limits that have ended long ago, and those of endpoints that are gone.
+    /// Removes limits that ended long ago and those of endpoints that are no longer listed.
     pub fn expire(&mut self, is_listed: impl Fn(u64) -> bool, now: Timestamp) {
         self.limits.retain(|endpoint, known| {
             let is_old = known.confirmed_at.deadline_after(RETENTION_TIME).is_past(now);
@@ -220,16 +220,17 @@
 }
 
 impl KnownLimit {
-    /// How often the holders have had time to confirm the limit, and did not.
+    /// Number of confirmation periods that have passed without a confirmation by the holders.
     ///
-    /// They may have lost the connection to the endpoint; the next in rank then use it too.
+    /// Holders may have lost the connection to the endpoint, so each missed period adds the entry
+    /// next in rank as a holder.
     fn missed_confirmations(&self, limit: NamedLimit, now: Timestamp) -> usize {
         let interval = Duration::from_secs_f64(CONFIRM_REQUESTS / limit.rate().max(MIN_RATE));
         let confirm_time = interval.max(MIN_CONFIRM_TIME);
         (now.since(self.observed_at).as_millis() / confirm_time.as_millis()) as usize
     }
 
-    /// Whether `limit` differs little from the one that neighbours know.
+    /// Whether `limit` differs little from the one sent to the neighbours.
     fn is_close_to(&self, limit: NamedLimit) -> bool {
         let LimitState::Named(known) = self.state else {
             return false;
--- a/crates/decide/src/resync.rs
+++ b/crates/decide/src/resync.rs
@@ -1,21 +1,20 @@
-//! When an agent repeats to another one what it holds.
+//! Schedule on which an agent resends its full chunk list to a peer.
 //!
-//! Each chunk that an agent gains is told at once. The whole list is repeated
-//! for two reasons only: a full queue may have swallowed a word, and an agent of
-//! which nothing is heard counts as gone. A repeat to every other agent at every
-//! heartbeat filled the links between regions of a hundred agents: their number
-//! enters as its square.
+//! Each chunk that an agent gains is announced at once. The full list is resent for two reasons
+//! only: a full queue may have dropped an announcement, and an agent that sends nothing counts as
+//! gone. Resending it to every peer at every heartbeat saturated the links between the regions of a
+//! hundred agents, because the traffic grows with the square of their number.
 
 use std::time::Duration;
 
 use cassiawheel_model::{Deadline, Timestamp};
 
-/// Time between repeats to an agent that has missed nothing.
+/// Time between resends to a peer that has missed nothing.
 ///
 /// A third of the two seconds after which a silent agent counts as gone.
 const RESYNC_INTERVAL: Duration = Duration::from_millis(650);
 
-/// What one other agent has been told.
+/// Resend state of one peer.
 #[derive(Debug, Clone, Copy)]
 pub struct ResyncSchedule {
     has_dropped: bool,
@@ -23,17 +22,17 @@
 }
 
 impl ResyncSchedule {
-    /// An agent that has just been told everything.
+    /// Creates the state of a peer that has just received the full list.
     pub fn new(now: Timestamp) -> Self {
         Self { has_dropped: false, resync_at: now.deadline_after(RESYNC_INTERVAL) }
     }
 
-    /// Notes that a word to it went out, or that its queue was full.
+    /// Records whether a message to the peer was queued or dropped by a full queue.
     pub fn record_send(&mut self, queued: bool) {
         self.has_dropped |= !queued;
     }
 
-    /// Whether all has to be repeated now; starts the next span if so.
+    /// Whether the full list is due; starts the next interval if so.
     pub fn take_due(&mut self, now: Timestamp) -> bool {
         if !self.has_dropped && !self.resync_at.is_past(now) {
             return false;
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a failed attempt may be followed by another.
+//! Retry policy: whether and when a failed attempt is followed by another.
 
 use std::{
     sync::atomic::{AtomicU32, Ordering},
@@ -8,43 +8,44 @@
 use cassiawheel_model::{Deadline, NotRunReason, Repeatability, RequestHead, Timestamp};
 use rand::Rng;
 
-/// How an attempt ended without a whole answer.
+/// How an attempt failed to give a complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// It is known not to have run.
+    /// The request certainly did not run.
     NotRun(NotRunReason),
-    /// It may have run.
+    /// The request may have run.
     Unknown(String),
-    /// It may have run; the connection to the endpoint ended before the answer did.
+    /// The request may have run; the connection to the endpoint broke before the answer was
+    /// complete.
     Lost(String),
-    /// It may have run, and the claim on its key lets no other attempt run.
+    /// The request may have run, and the claim on its key blocks all other attempts.
     Unanswered(String),
 }
 
-/// What to do next.
+/// Next step after a failed attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RetryStep {
-    /// Try another endpoint at this moment.
+    /// Try another endpoint at this time.
     Retry(Deadline),
-    /// Try again under the newer preset; the endpoint itself is fine.
+    /// Try again under the newer preset at this time; the endpoint itself is healthy.
     Reroute(Deadline),
-    /// Tell the caller how the attempt ended.
+    /// Give up and report this failure to the caller.
     Stop(AttemptFailure),
 }
 
-/// What protects a request from a second run.
+/// Protection of a request against a second run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RepeatGuard {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// The claim on its key lets one attempt run, whoever sends others.
+    /// The claim on the request's key lets only one attempt run, whichever process sends others.
     Claimed,
-    /// Nothing does: it is not sent again after a possible run.
+    /// No protection: the request is not sent again if it may have run.
     None,
 }
 
 impl RepeatGuard {
-    /// The guard of a request.
+    /// Guard that applies to a request.
     pub fn of(head: &RequestHead) -> Self {
         match (head.repeat, &head.key) {
             (Repeatability::Idempotent, _) => Self::Idempotent,
@@ -54,13 +55,13 @@
     }
 }
 
-/// First wait before another attempt, in milliseconds; doubled each time.
+/// Maximum of the first backoff, in milliseconds; doubles with each attempt.
 const MIN_BACKOFF_MS: u64 = 10;
 
-/// Longest wait before another attempt, in milliseconds.
+/// Upper bound of the backoff, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 200;
 
-/// The attempts of one request.
+/// Retry state of one request.
 #[derive(Debug, Clone)]
 pub struct RetryTracker {
     guard: RepeatGuard,
@@ -72,22 +73,22 @@
 }
 
 impl RetryTracker {
-    /// A request that has not been tried yet.
+    /// Creates the state of a request without attempts.
     pub fn new(guard: RepeatGuard, deadline: Deadline, max_attempts: u32) -> Self {
         Self { guard, deadline, attempts: 0, max_attempts, unknown: None, refused: None }
     }
 
-    /// Notes that an attempt starts.
+    /// Counts the start of an attempt.
     pub fn begin_attempt(&mut self) {
         self.attempts += 1;
     }
 
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// Decides after an attempt that gave no whole answer.
+    /// Decides how to continue after a failed attempt.
     pub fn next_step(
         &mut self,
         end: AttemptFailure,
@@ -117,8 +118,8 @@
             | AttemptFailure::Unanswered(detail) => {
                 self.unknown = Some(detail);
             }
-            // That no other endpoint is left says less than why the last one
-            // refused, which is what its caller can act on.
+            // "No endpoint left" is less useful to the caller than the reason of the last refusal,
+            // so it does not replace that one.
             AttemptFailure::NotRun(NotRunReason::NoEndpoint) => {}
             AttemptFailure::NotRun(reason) => self.refused = Some(reason),
         }
@@ -127,13 +128,13 @@
     fn next_at(&self, now: Timestamp, rng: &mut impl Rng) -> Deadline {
         let doublings = self.attempts.saturating_sub(1).min(8);
         let max_wait_ms = (MIN_BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
-        // Full jitter: entries that were refused together do not come back together.
+        // Full jitter keeps entries that were refused together from retrying together.
         now.deadline_after(Duration::from_millis(rng.random_range(0..=max_wait_ms)))
     }
 
     fn stop(&self, end: AttemptFailure) -> RetryStep {
-        // An earlier attempt may have run, so "not run" would be a lie even if
-        // the last attempt was refused.
+        // If an earlier attempt may have run, the outcome stays unknown even if the last attempt
+        // was refused.
         if let Some(detail) = &self.unknown {
             return RetryStep::Stop(AttemptFailure::Unknown(detail.clone()));
         }
@@ -147,26 +148,24 @@
     }
 }
 
-/// Price of a retry, in thousandths.
+/// Cost of a retry, in thousandths of a token.
 const RETRY_COST: u32 = 1_000;
 
-/// Retries for each request, unless a deployment states another ratio.
+/// Default number of retries that each request earns.
 const DEFAULT_RATIO: f64 = 0.1;
 
-/// Retries that an idle entry may make at once, unless a deployment states another number.
+/// Default number of retries that an idle entry may send at once.
 const DEFAULT_BURST: f64 = 100.0;
 
-/// Retries that one entry may make: a share of its requests, and a few at once.
+/// Retry budget of one entry: a token bucket that requests fill.
 ///
-/// When most endpoints refuse, retries would multiply the load that made them
-/// refuse. One would notice attempts at a multiple of the requests; a budget
-/// that requests earn bounds them. In any window of time an entry makes at most
-/// its savings and its share of the requests in that window.
+/// When most endpoints refuse, unbounded retries would multiply the load that made them refuse. In
+/// any period, an entry sends at most its burst plus a fixed ratio of its requests as retries.
 #[derive(Debug)]
 pub struct RetryBudget {
-    /// Share of a retry that each request earns, in thousandths.
+    /// Tokens that each request adds, in thousandths.
     deposit: u32,
-    /// Most retries that are saved up, in thousandths.
+    /// Maximum number of saved tokens, in thousandths.
     burst: AtomicU32,
     balance: AtomicU32,
 }
@@ -178,7 +177,7 @@
 }
 
 impl RetryBudget {
-    /// A budget of `ratio` retries for each request and `savings` at once.
+    /// Creates a full budget of `ratio` retries per request and at most `burst` at once.
     pub fn new(ratio: f64, burst: f64) -> Self {
         let burst = (burst * f64::from(RETRY_COST)) as u32;
         Self {
@@ -188,8 +187,8 @@
         }
     }
 
-    /// Changes the retries that are saved up at most, as entries come and go that share
-    /// them with this one. What is saved beyond that is lost.
+    /// Changes the maximum number of saved retries, which entries share and which is adjusted as
+    /// their number changes. Tokens above it are lost.
     pub fn set_burst(&self, burst: f64) {
         let burst = (burst * f64::from(RETRY_COST)) as u32;
         if self.burst.swap(burst, Ordering::Relaxed) > burst {
@@ -197,14 +196,14 @@
         }
     }
 
-    /// Notes a request.
+    /// Adds the tokens of one request.
     pub fn deposit(&self) {
         let limit = self.burst.load(Ordering::Relaxed);
         let next = |balance: u32| (balance < limit).then(|| (balance + self.deposit).min(limit));
         let _ = self.balance.fetch_update(Ordering::Relaxed, Ordering::Relaxed, next);
     }
 
-    /// Takes one retry; false if there is none.
+    /// Takes one retry; false if the budget is exhausted.
     pub fn withdraw(&self) -> bool {
         let next = |balance: u32| balance.checked_sub(RETRY_COST);
         self.balance.fetch_update(Ordering::Relaxed, Ordering::Relaxed, next).is_ok()
--- a/crates/decide/src/roster.rs
+++ b/crates/decide/src/roster.rs
@@ -1,9 +1,9 @@
-//! Which endpoints and entries exist, as far as one entry knows.
+//! Membership: which endpoints and entries one entry knows.
 //!
-//! Soft state: built from heartbeats, dropped when they stop. A word of leaving
-//! wins at once, whoever gives it, so that a leaving process gets no new work.
-//! It holds for one incarnation: a process that starts later at the same
-//! instance is a member like any other.
+//! This is soft state, built from heartbeats and dropped when they stop. A leave notice takes
+//! effect at once, from the process or from the platform, so that a leaving process gets no new
+//! work. It applies to one incarnation: a process that later starts as the same instance is a
+//! regular member.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -11,62 +11,62 @@
 
 use crate::advice::EntryCandidate;
 
-/// Time for which a word of leaving is kept after its process was last heard, in milliseconds.
+/// Time for which a leave notice is kept after its process was last seen, in milliseconds.
 ///
-/// Longer than any message can be delayed between our processes, so that a
-/// heartbeat that was overtaken cannot bring a process back.
+/// Longer than any message between our processes can be delayed, so that a reordered heartbeat
+/// cannot restore a process that has left.
 const MARK_TTL_MS: u64 = 60_000;
 
-/// The endpoints that one entry knows.
+/// Endpoints known to one entry.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointRoster {
     members: BTreeMap<InstanceId, RosterMember>,
     marks: LeavingMarks,
-    /// Endpoints whose agents are connected to some entry; none if each agent is
-    /// connected to this one.
+    /// Endpoints whose agents are connected to any entry; `None` if every agent connects to this
+    /// one.
     attached: Option<HashSet<InstanceId>>,
     changes: u64,
 }
 
-/// One endpoint.
+/// A known endpoint.
 #[derive(Debug, Clone)]
 pub struct RosterMember {
-    /// Its last report.
+    /// Last report of the endpoint, with the load from its latest heartbeat.
     pub report: EndpointReport,
-    /// When the report arrived.
+    /// When the last report or load arrived.
     pub last_seen: Timestamp,
 }
 
-/// The other entries that one entry knows.
+/// Other entries known to one entry.
 #[derive(Debug, Clone, Default)]
 pub struct EntryRoster {
     peers: BTreeMap<InstanceId, PeerEntry>,
     marks: LeavingMarks,
 }
 
-/// Another entry, as its heartbeats tell.
+/// Another entry, as described by its heartbeats.
 #[derive(Debug, Clone)]
 pub struct PeerEntry {
-    /// What callers may be advised.
+    /// Data from which callers are advised.
     pub advice: EntryCandidate,
-    /// Distinguishes processes that run one after another at the same instance.
+    /// Distinguishes successive processes of the same instance.
     pub incarnation: u64,
-    /// The highest revision that it has adopted.
+    /// Highest preset revision that the entry has adopted.
     pub revision: PresetRevision,
-    /// Whether it has what it needs to serve callers.
+    /// Whether the entry is ready to serve callers.
     pub advised: bool,
-    /// When it was last heard.
+    /// When the last heartbeat arrived.
     pub last_seen: Timestamp,
 }
 
-/// Who leaves, by its own word or the platform's.
+/// Leaving processes, by their own notice or by the platform's list.
 #[derive(Debug, Clone, Default)]
 struct LeavingMarks {
     reported: BTreeMap<InstanceId, LeavingMark>,
     listed: HashSet<InstanceId>,
 }
 
-/// A process' own word that it leaves.
+/// Leave notice sent by a process itself.
 #[derive(Debug, Clone, Copy)]
 struct LeavingMark {
     incarnation: u64,
@@ -74,7 +74,7 @@
 }
 
 impl LeavingMarks {
-    /// Notes a process' own word, which may come before its first heartbeat.
+    /// Records a leave notice, which may arrive before the first heartbeat of its process.
     fn record(&mut self, instance: &InstanceId, incarnation: u64, now: Timestamp) {
         let mark = LeavingMark { incarnation, noted_at: now };
         let known = self.reported.entry(instance.clone()).or_insert(mark);
@@ -89,7 +89,7 @@
         reported || self.listed.contains(instance)
     }
 
-    /// Forgets words that are old, of processes for which `is_member` does not hold.
+    /// Removes old notices of processes for which `is_member` is false.
     fn expire(&mut self, now: Timestamp, is_member: impl Fn(&InstanceId) -> bool) {
         let oldest = Timestamp(now.0.saturating_sub(MARK_TTL_MS));
         self.reported.retain(|instance, mark| mark.noted_at >= oldest || is_member(instance));
@@ -97,7 +97,7 @@
 }
 
 impl EndpointRoster {
-    /// Takes a heartbeat; false if a later process at the instance is known.
+    /// Applies a full report; false if a later incarnation is known.
     pub fn apply_report(&mut self, report: EndpointReport, now: Timestamp) -> bool {
         let known = self.members.get(&report.instance).map(|member| member.report.incarnation);
         if known.is_some_and(|incarnation| incarnation > report.incarnation) {
@@ -111,7 +111,7 @@
         true
     }
 
-    /// Takes the endpoints whose agents are connected to some entry; true if they changed.
+    /// Sets the endpoints whose agents are connected to any entry; true if they changed.
     pub fn set_attached(&mut self, instances: HashSet<InstanceId>) -> bool {
         let changed = self.attached.as_ref() != Some(&instances);
         if changed {
@@ -121,14 +121,14 @@
         changed
     }
 
-    /// Drops the reports of endpoints that `is_known` does not hold for, and old marks.
+    /// Keeps only the endpoints for which `is_known` is true, and drops expired leave notices.
     pub fn keep_only(&mut self, is_known: impl Fn(&InstanceId) -> bool, now: Timestamp) {
         self.members.retain(|instance, _| is_known(instance));
         let members = &self.members;
         self.marks.expire(now, |instance| members.contains_key(instance));
     }
 
-    /// Counts the changes of who is a member.
+    /// Number of membership changes so far.
     pub fn changes(&self) -> u64 {
         self.changes
     }
@@ -137,10 +137,10 @@
         self.attached.as_ref().is_none_or(|attached| attached.contains(instance))
     }
 
-    /// Takes a beat: the last report of this process holds but for its load.
+    /// Applies a heartbeat that carries only the load; the last full report stays valid otherwise.
     ///
-    /// `None` if there is no such report, as after a pause in which the
-    /// endpoint was dropped; only a whole report makes it a member again.
+    /// `None` if there is no such report of this incarnation, as after an expiry: only a full
+    /// report makes the endpoint a member again.
     pub fn apply_load(
         &mut self,
         instance: &InstanceId,
@@ -157,22 +157,21 @@
         Some(&member.report)
     }
 
-    /// Notes an endpoint's own word that it leaves.
+    /// Records that an endpoint has announced its departure.
     pub fn mark_leaving(&mut self, instance: &InstanceId, incarnation: u64, now: Timestamp) {
         self.marks.record(instance, incarnation, now);
     }
 
-    /// Takes the platform's list of leaving instances; true if it changed.
+    /// Sets the platform's list of leaving instances; true if it changed.
     pub fn set_platform_leaving(&mut self, instances: HashSet<InstanceId>) -> bool {
         let changed = self.marks.listed != instances;
         self.marks.listed = instances;
         changed
     }
 
-    /// Forgets an endpoint whose connection ended, unless a newer process reported since.
+    /// Removes an endpoint whose connection ended, unless a newer incarnation has reported since.
     ///
-    /// Its word of leaving stays: the same process may report over another
-    /// connection a moment later.
+    /// Its leave notice stays, because the same process may soon report over another connection.
     pub fn remove(&mut self, instance: &InstanceId, incarnation: u64) {
         let known = self.members.get(instance).map(|member| member.report.incarnation);
         if known == Some(incarnation) {
@@ -181,7 +180,7 @@
         }
     }
 
-    /// Forgets endpoints that have not been heard since `oldest`.
+    /// Removes and returns the endpoints that were last seen before `oldest`.
     pub fn expire(&mut self, oldest: Timestamp, now: Timestamp) -> Vec<InstanceId> {
         let silent: Vec<_> = self
             .members
@@ -198,24 +197,24 @@
         silent
     }
 
-    /// Whether the endpoint leaves, by its own word or the platform's.
+    /// Whether the endpoint is leaving, by its own notice or the platform's list.
     pub fn is_leaving(&self, member: &RosterMember) -> bool {
         self.marks.contains(&member.report.instance, member.report.incarnation)
     }
 
-    /// One endpoint.
+    /// Endpoint of this name, if its agent is connected to an entry.
     pub fn member(&self, instance: &InstanceId) -> Option<&RosterMember> {
         self.members.get(instance).filter(|_| self.is_attached(instance))
     }
 
-    /// All endpoints in the order of their names.
+    /// All connected endpoints, ordered by name.
     pub fn members(&self) -> impl Iterator<Item = &RosterMember> {
         self.members.values().filter(|member| self.is_attached(&member.report.instance))
     }
 }
 
 impl EntryRoster {
-    /// Takes a heartbeat; one of an earlier process at the instance is ignored.
+    /// Applies a full heartbeat; one of an earlier incarnation is ignored.
     pub fn apply_heartbeat(&mut self, instance: &InstanceId, mut peer: PeerEntry) {
         let known = self.peers.get(instance).map(|known| known.incarnation);
         if known.is_some_and(|incarnation| incarnation > peer.incarnation) {
@@ -228,7 +227,7 @@
         self.peers.insert(instance.clone(), peer);
     }
 
-    /// Takes the entries that can be reached; all others are forgotten.
+    /// Replaces all entries by the reachable ones.
     pub fn replace(&mut self, peers: Vec<(InstanceId, PeerEntry)>, now: Timestamp) {
         self.peers.clear();
         for (instance, peer) in peers {
@@ -238,9 +237,8 @@
         self.marks.expire(now, |instance| peers.contains_key(instance));
     }
 
-    /// Takes a short heartbeat: the last whole one of this process holds but for
-    /// the requests in progress. The revision in that one, or `None` if there is
-    /// no such heartbeat.
+    /// Applies a short heartbeat, which carries only the number of in-flight requests. Returns the
+    /// revision of the last full heartbeat of this incarnation, or `None` if there is none.
     pub fn touch(
         &mut self,
         instance: &InstanceId,
@@ -257,31 +255,31 @@
         Some(peer.revision)
     }
 
-    /// Notes an entry's own word that it leaves.
+    /// Records that an entry has announced its departure.
     pub fn mark_leaving(&mut self, instance: &InstanceId, incarnation: u64, now: Timestamp) {
         self.marks.record(instance, incarnation, now);
         self.refresh();
     }
 
-    /// Takes the platform's list of leaving instances.
+    /// Sets the platform's list of leaving instances.
     pub fn set_platform_leaving(&mut self, instances: HashSet<InstanceId>) {
         self.marks.listed = instances;
         self.refresh();
     }
 
-    /// Forgets entries that have not been heard since `oldest`.
+    /// Removes entries that were last seen before `oldest`.
     pub fn expire(&mut self, oldest: Timestamp, now: Timestamp) {
         self.peers.retain(|_, peer| peer.last_seen >= oldest);
         let peers = &self.peers;
         self.marks.expire(now, |instance| peers.contains_key(instance));
     }
 
-    /// All entries by name.
+    /// All entries with their names, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (&InstanceId, &PeerEntry)> {
         self.peers.iter()
     }
 
-    /// All entries in the order of their names.
+    /// All entries, ordered by name.
     pub fn values(&self) -> impl Iterator<Item = &PeerEntry> {
         self.peers.values()
     }
--- a/crates/decide/src/route.rs
+++ b/crates/decide/src/route.rs
@@ -1,13 +1,11 @@
-//! Which endpoint gets a request.
+//! Endpoint selection.
 //!
-//! Three endpoints are drawn at random, two of them near the entry, and the one
-//! with the lowest cost wins. Comparing all of them would
-//! send every entry to the same one, since reports lag. The cost counts
-//! requests that this entry has in progress there and the others' by the
-//! endpoint's last report, and how long answers have taken to begin lately. A
-//! prompt whose prefix an endpoint has probably cached goes there, as long as
-//! that endpoint's load stays near the mean. Endpoints that fail are passed
-//! over for a while.
+//! Three endpoints are sampled at random, two of them near the entry, and the one with the lowest
+//! cost is chosen. Load reports lag, so choosing the minimum over all endpoints would send every
+//! entry to the same one. The cost combines the requests that this entry has in flight at the
+//! endpoint, the requests of other entries by the endpoint's last report, and the recent time until
+//! an answer begins. A prompt whose prefix an endpoint has probably cached goes there while that
+//! endpoint's load stays close to the mean. Endpoints that fail repeatedly are ejected for a while.
 //!
 //! A choice reads one snapshot and atomics; it takes no lock and allocates nothing.
 
@@ -31,126 +29,127 @@
 /// How requests reach an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointPath {
-    /// Through its agent, whose gate limits what all entries send.
+    /// Through its agent, whose gate limits the requests of all entries together.
     Agent,
-    /// Directly; only the entries know what they send.
+    /// Directly; no gate limits the requests, so the entries have to.
     Direct(SocketAddr),
 }
 
-/// An endpoint that may be chosen.
+/// An endpoint that can be chosen.
 #[derive(Debug, Clone)]
 pub struct RouteCandidate {
-    /// The instance.
+    /// Instance id of the endpoint.
     pub instance: InstanceId,
-    /// The version it serves; none for plain services.
+    /// Version that it serves; `None` for plain services.
     pub version: Option<ModelVersion>,
-    /// Whether it stands near the entry: what passes between them crosses no
-    /// link that is shared and dear.
+    /// Whether it is close to the entry, so that traffic between them crosses no shared and
+    /// expensive link between regions.
     pub is_near: bool,
     /// How requests reach it.
     pub path: EndpointPath,
-    /// Its load and health.
+    /// Load and health of the endpoint as this entry sees them.
     pub tracker: Arc<EndpointTracker>,
 }
 
-/// The endpoints of one service.
+/// Endpoints of one service.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceRoutes {
     candidates: Vec<RouteCandidate>,
     near: Vec<u32>,
-    /// Those that name a limit.
+    /// Positions of the endpoints that advertise a rate limit.
     paced: Vec<u32>,
     positions: HashMap<InstanceId, usize>,
-    /// Made for the first prompt that asks for it; a service whose engines cache
-    /// no prefixes needs none, and a snapshot is made for every change of a state.
+    /// Built on the first prompt with a prefix: services without prefix caches need no ring, and
+    /// every state change creates a new snapshot.
     ring: OnceLock<PrefixRing>,
     in_flight: Arc<AtomicU32>,
 }
 
-/// Endpoints by service; replaced as a whole, never changed.
+/// Endpoints by service. Immutable; changes replace the whole snapshot.
 #[derive(Debug, Clone, Default)]
 pub struct RouteSnapshot {
     services: HashMap<ServiceName, ServiceRoutes>,
 }
 
-/// What is asked for.
+/// Requirements of one request.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteQuery<'a> {
-    /// The service.
+    /// Service that the request is for.
     pub service: &'a ServiceName,
-    /// Endpoints that have been tried.
+    /// Endpoints that were already tried.
     pub excluded: &'a [InstanceId],
-    /// Digest of the prompt's prefix.
+    /// Digest of the prompt's prefix, if the request has one.
     pub prefix: Option<u64>,
-    /// The only version that may answer, once a part of an answer was sent.
+    /// The only acceptable version, set once part of an answer was sent.
     pub version: Option<&'a ModelVersion>,
-    /// The only versions that may answer, where older ones may not any more.
+    /// The only acceptable versions, set where older ones must no longer answer.
     pub allowed: Option<&'a [ModelVersion]>,
-    /// Requests beyond its limit that an endpoint may get for the sake of this one.
+    /// Requests above an endpoint's limit that are allowed for this request.
     pub extra_capacity: u32,
-    /// Requests at one endpoint by the preset in force.
+    /// Limit of in-flight requests at one endpoint from the preset in force.
     pub max_in_flight: u32,
-    /// The present moment.
+    /// Current time.
     pub now: Timestamp,
 }
 
 /// Why an endpoint was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteReason {
-    /// It has probably cached the prompt's prefix.
+    /// The endpoint has probably cached the prompt's prefix.
     PrefixAffinity,
-    /// It has the lowest cost of those drawn.
+    /// The endpoint has the lowest cost of those sampled.
     LeastCost,
-    /// It names a limit and takes a request now.
+    /// The endpoint advertises a rate limit, and a request is due now.
     NamedLimit,
-    /// None of those drawn had room.
+    /// None of those sampled had capacity; this is the first one found that has.
     FirstWithRoom,
-    /// Every other endpoint is full or was ejected.
+    /// All other endpoints are full or ejected.
     LastResort,
 }
 
-/// A choice and what it was made from, for the decision log.
+/// A chosen endpoint and the basis of the choice, for the decision log.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteChoice<'a> {
-    /// The chosen endpoint.
+    /// Endpoint that was chosen.
     pub candidate: &'a RouteCandidate,
-    /// Why.
+    /// Rule that selected the endpoint.
     pub reason: RouteReason,
-    /// Its cost.
+    /// Cost of the endpoint at the time of the choice.
     pub cost: u32,
-    /// Endpoints that serve the service.
+    /// Number of endpoints that serve the service.
     pub candidates: usize,
 }
 
-/// Further draws from the near endpoints if none of the first has room.
+/// Additional samples from the near endpoints if none of the first ones has capacity.
 const EXTRA_NEAR_DRAWS: usize = 3;
 
-/// Draws from all endpoints before each is looked at in turn.
+/// Additional samples from all endpoints before a full scan.
 const EXTRA_DRAWS: usize = 6;
 
-/// Cost of one request in progress.
+/// Cost of one request in flight.
 const LOAD_COST: u32 = 4;
 
-/// Cost of an endpoint that is not near, in units of cost: two and a half requests.
+/// Extra cost of an endpoint that is not near: two and a half requests.
 ///
-/// An answer of 24 events is some 13 KB, and links between regions carry the
-/// weights as well. Two requests more delay an answer by some 50 ms, a sixth of
-/// the shortest aim; where a region is fuller than that by more, others help.
+/// An answer of 24 events is about 13 KB, and the links between regions also carry model weights.
+/// Two more requests at an endpoint delay an answer by about 50 ms, a sixth of the shortest latency
+/// target. Other regions are used when the near endpoints are busier than that.
 const FAR_COST: u32 = 10;
 
-/// Cost beyond that of a drawn endpoint at which one that names a limit is still used.
+/// An endpoint that advertises a rate limit is used if its cost exceeds that of the best sampled
+/// endpoint by at most this much.
 const PACED_COST_MARGIN: u32 = 12;
 
-/// Time until an answer begins that is usual at a busy endpoint, in milliseconds.
+/// Normal time until an answer begins at a busy endpoint, in milliseconds.
 const BASELINE_DELAY_MS: u32 = 450;
 
-/// Delay beyond the usual that costs as much as one unit of cost, in milliseconds.
+/// Delay above the baseline that counts as one unit of cost, in milliseconds.
 ///
-/// A request more in progress delays the next one by some 25 ms and costs four.
+/// One more request in flight delays the next one by about 25 ms and costs four units.
 const DELAY_UNIT_MS: u32 = 25;
 
 impl RouteReason {
-    /// The word in the decision log.
+    /// Name of the reason in the decision log.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::PrefixAffinity => "prefix-affinity",
@@ -163,10 +162,10 @@
 }
 
 impl RouteCandidate {
-    /// Requests that this entry may have in progress here.
+    /// Requests that this entry may have in flight at the endpoint.
     ///
-    /// No gate stands before an endpoint that is reached directly, so that what
-    /// the other entries have there is taken off.
+    /// An endpoint that is reached directly has no gate, so the requests of other entries are
+    /// subtracted.
     fn limit(&self, max_in_flight: u32, now: Timestamp) -> u32 {
         let limit = self.tracker.limit().min(max_in_flight);
         match self.path {
@@ -178,7 +177,7 @@
         }
     }
 
-    /// Whether a direct endpoint is slow; behind an agent the gate sees to that.
+    /// Whether an endpoint that is reached directly is slow. The agent's gate covers the others.
     fn is_slow(&self, now: Timestamp) -> bool {
         match self.path {
             EndpointPath::Agent => false,
@@ -192,7 +191,8 @@
         self.tracker.load(now) * LOAD_COST + distance + delay
     }
 
-    /// Requests that this entry may have in progress here for the sake of this one.
+    /// Requests that this entry may have in flight at the endpoint, including the extra capacity of
+    /// the query.
     fn capacity(&self, query: &RouteQuery<'_>) -> u32 {
         self.limit(query.max_in_flight, query.now).saturating_add(query.extra_capacity)
     }
@@ -215,7 +215,7 @@
 }
 
 impl ServiceRoutes {
-    /// The endpoints, and the count of this entry's requests at all of them.
+    /// Creates the routes; `in_flight` counts this entry's requests at all endpoints together.
     pub fn new(candidates: Vec<RouteCandidate>, in_flight: Arc<AtomicU32>) -> Self {
         let near = candidates.iter().enumerate().filter(|(_, c)| c.is_near);
         let near = near.map(|(position, _)| position as u32).collect();
@@ -226,19 +226,19 @@
         Self { candidates, near, paced, positions, ring: OnceLock::new(), in_flight }
     }
 
-    /// Counts this entry's requests at all endpoints.
+    /// Count of this entry's in-flight requests at all endpoints.
     pub fn in_flight(&self) -> &Arc<AtomicU32> {
         &self.in_flight
     }
 
-    /// Requests that this entry may have in progress at all endpoints.
+    /// Requests that this entry may have in flight at all endpoints together.
     pub fn capacity(&self, max_in_flight: u32, now: Timestamp) -> u32 {
         let usable = self.candidates.iter();
         let usable = usable.filter(|c| !c.tracker.is_ejected(now) && !c.is_slow(now));
         usable.map(|c| c.limit(max_in_flight, now)).sum()
     }
 
-    /// Notes a failed attempt at `instance`; true if it was ejected.
+    /// Records a failed attempt at `instance`; true if it was ejected.
     pub fn record_failure(&self, instance: &InstanceId, now: Timestamp) -> bool {
         let Some(position) = self.positions.get(instance) else {
             return false;
@@ -247,8 +247,8 @@
         if !cell.record_failure() || cell.is_ejected(now) {
             return false;
         }
-        // When most endpoints fail, the cause is elsewhere, and to send all
-        // requests to the few that are left would take these down as well.
+        // At most half of the endpoints are ejected. If more fail, the cause is elsewhere, and
+        // sending all requests to the few that are left would overload them as well.
         let ejected = self.candidates.iter().filter(|c| c.tracker.is_ejected(now)).count();
         if (ejected + 1) * 2 > self.candidates.len() {
             return false;
@@ -281,7 +281,7 @@
             return Some(self.choice(candidate, RouteReason::FirstWithRoom, query));
         }
         let slow = self.candidates.iter().filter(|c| c.is_slow(query.now)).count();
-        // If most are slow the cause is elsewhere, and they are all there is.
+        // If most endpoints are slow, the cause is elsewhere and no better choice exists.
         let may_be_slow = slow * 2 > self.candidates.len();
         let candidate =
             self.scan(rng, |c| c.is_eligible(query) && (may_be_slow || !c.is_slow(query.now)))?;
@@ -297,11 +297,11 @@
         owners.find(|c| c.tracker.in_flight() < bound && c.is_usable(query))
     }
 
-    /// An endpoint that names a limit and takes a request now, unless it costs much more
-    /// than the one that was drawn and has been asked of late.
+    /// An endpoint that advertises a rate limit and is due for a request, unless its cost exceeds
+    /// that of `drawn` by more than the margin and it is not overdue.
     ///
-    /// Draws alone would leave most of a limit unused: its few holders rarely draw the
-    /// endpoint.
+    /// Sampling alone would leave most of such a limit unused, because the few entries that share
+    /// it rarely sample the endpoint.
     fn paced_candidate(
         &self,
         query: &RouteQuery<'_>,
@@ -316,8 +316,8 @@
         })
     }
 
-    /// Two near endpoints and one of all; two of all if none is near, since more
-    /// draws would bring many entries to the same few.
+    /// Samples two near endpoints and one of all. If none is near, it samples only two of all: more
+    /// samples would let many entries converge on the same few endpoints.
     fn initial_draws(&self, rng: &mut impl Rng) -> [Option<&RouteCandidate>; 3] {
         match self.near.is_empty() {
             true => [Some(self.draw(rng)), Some(self.draw(rng)), None],
@@ -337,8 +337,8 @@
         &self.candidates[rng.random_range(0..self.candidates.len())]
     }
 
-    /// The first that fits, from a random one on, so that no endpoint is the
-    /// first of all entries.
+    /// First matching endpoint from a random start, so that entries do not all begin with the same
+    /// one.
     fn scan(
         &self,
         rng: &mut impl Rng,
@@ -361,17 +361,17 @@
 }
 
 impl RouteSnapshot {
-    /// The services with their endpoints.
+    /// Creates a snapshot of the endpoints by service.
     pub fn new(services: HashMap<ServiceName, ServiceRoutes>) -> Self {
         Self { services }
     }
 
-    /// The endpoints of one service.
+    /// Endpoints of one service.
     pub fn service(&self, service: &ServiceName) -> Option<&ServiceRoutes> {
         self.services.get(service)
     }
 
-    /// Whether `instance` is routed to for `service` as one that serves `version`.
+    /// Whether the snapshot routes `service` to `instance` and lists it with `version`.
     pub fn serves(
         &self,
         service: &ServiceName,
@@ -385,17 +385,16 @@
         position.is_some_and(|p| routes.candidates[*p].version.as_ref() == version)
     }
 
-    /// All endpoints.
+    /// All endpoints of all services.
     pub fn candidates(&self) -> impl Iterator<Item = &RouteCandidate> {
         self.services.values().flat_map(|service| &service.candidates)
     }
 
-    /// Chooses an endpoint and counts the request there.
+    /// Chooses an endpoint and counts the request there in one step.
     ///
-    /// Threads that choose at the same moment see the same last place. Were both
-    /// to send, the endpoint's gate would refuse one of them, its limit here would
-    /// be lowered for an overload that it never had, and the requests that were
-    /// admitted for the places so lost would find none.
+    /// Two threads may choose the same last free slot at once. If both sent, the endpoint's gate
+    /// would refuse one, this entry would lower its limit without a real overload, and requests
+    /// admitted for the lost slots would find no endpoint.
     pub fn acquire<'a>(
         &'a self,
         query: &RouteQuery<'_>,
@@ -413,7 +412,7 @@
         }
     }
 
-    /// Chooses an endpoint; the request is not counted there.
+    /// Chooses an endpoint without counting the request there.
     pub fn choose<'a>(
         &'a self,
         query: &RouteQuery<'_>,
