--- a/crates/decide/benches/route.rs
+++ b/crates/decide/benches/route.rs
@@ -13,30 +13,30 @@
 const SIZES: [usize; 3] = [16, 400, 7_300];
 const NOW: Timestamp = Timestamp(1_800_000_000_000);
 
-fn cells(count: usize) -> Vec<Arc<EndpointTracker>> {
+fn trackers(count: usize) -> Vec<Arc<EndpointTracker>> {
     let mut rng = SmallRng::seed_from_u64(7);
     (0..count)
         .map(|_| {
-            let cell = Arc::new(EndpointTracker::default());
+            let tracker = Arc::new(EndpointTracker::default());
             let measured_at = Timestamp(NOW.0 - rng.random_range(0..500));
             let load = LoadReport { in_flight: rng.random_range(0..20), queued: 0, measured_at };
-            cell.apply_report(&load, 32);
-            (0..rng.random_range(0..8)).for_each(|_| cell.acquire());
-            cell
+            tracker.apply_report(&load, 32);
+            (0..rng.random_range(0..8)).for_each(|_| tracker.acquire());
+            tracker
         })
         .collect()
 }
 
-fn snapshot(service: &ServiceName, cells: &[Arc<EndpointTracker>]) -> RouteSnapshot {
+fn snapshot(service: &ServiceName, trackers: &[Arc<EndpointTracker>]) -> RouteSnapshot {
     let version = ModelVersion::new("v1").expect("a version");
-    let candidate = |(index, cell): (usize, &Arc<EndpointTracker>)| RouteCandidate {
+    let candidate = |(index, tracker): (usize, &Arc<EndpointTracker>)| RouteCandidate {
         instance: InstanceId::new(&format!("endpoint-{index}")).expect("an instance"),
         version: Some(version.clone()),
         is_near: index % 8 == 0,
         path: EndpointPath::Agent,
-        tracker: cell.clone(),
+        tracker: tracker.clone(),
     };
-    let candidates = cells.iter().enumerate().map(candidate).collect();
+    let candidates = trackers.iter().enumerate().map(candidate).collect();
     let routes = ServiceRoutes::new(candidates, Arc::default());
     RouteSnapshot::new(HashMap::from([(service.clone(), routes)]))
 }
@@ -45,8 +45,8 @@
     let service = ServiceName::new("desk").expect("a service");
     let mut group = c.benchmark_group("route");
     for size in SIZES {
-        let cells = cells(size);
-        let snapshot = snapshot(&service, &cells);
+        let trackers = trackers(size);
+        let snapshot = snapshot(&service, &trackers);
         let query = RouteQuery {
             service: &service,
             excluded: &[],
@@ -70,13 +70,15 @@
             });
         });
         group.bench_function(BenchmarkId::new("least-outstanding", size), |b| {
-            b.iter(|| black_box(cells.iter().min_by_key(|cell| cell.in_flight())).is_some());
+            b.iter(|| {
+                black_box(trackers.iter().min_by_key(|tracker| tracker.in_flight())).is_some()
+            });
         });
         group.bench_function(BenchmarkId::new("round-robin", size), |b| {
             let mut next = 0;
             b.iter(|| {
-                next = (next + 1) % cells.len();
-                black_box(cells[next].in_flight())
+                next = (next + 1) % trackers.len();
+                black_box(trackers[next].in_flight())
             });
         });
     }
--- a/crates/decide/tests/admit.rs
+++ b/crates/decide/tests/admit.rs
@@ -17,7 +17,7 @@
 
 type Handle = SyncSender<AdmitVerdict>;
 
-fn tell(handle: Handle, verdict: AdmitVerdict) -> bool {
+fn notify(handle: Handle, verdict: AdmitVerdict) -> bool {
     handle.try_send(verdict).is_ok()
 }
 
@@ -27,13 +27,13 @@
     AdmitTicket { workspace, priority, deadline, tier: AdmitTier::Fresh }
 }
 
-fn wait(
+fn enqueue(
     admission: &ServiceAdmission<Handle>,
     workspace: &str,
     priority: PriorityClass,
 ) -> Receiver<AdmitVerdict> {
     let (handle, verdict) = sync_channel(1);
-    admission.enqueue(&ticket(workspace, priority), handle, CAPACITY, NOW, tell);
+    admission.enqueue(&ticket(workspace, priority), handle, CAPACITY, NOW, notify);
     verdict
 }
 
@@ -51,13 +51,13 @@
                 for _ in 0..2_000 {
                     if !admission.try_admit(AdmitTier::Fresh, CAPACITY) {
                         let verdict =
-                            wait(&admission, &format!("w{thread}"), PriorityClass::Normal);
+                            enqueue(&admission, &format!("w{thread}"), PriorityClass::Normal);
                         let verdict = verdict.recv_timeout(Duration::from_secs(30));
                         assert_eq!(verdict, Ok(AdmitVerdict::Admitted));
                     }
                     most.fetch_max(active.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
                     active.fetch_sub(1, Ordering::SeqCst);
-                    admission.release(CAPACITY, NOW, tell);
+                    admission.release(CAPACITY, NOW, notify);
                 }
             })
         })
@@ -70,20 +70,20 @@
 /// The queue is full. What is shed is the least urgent of the workspace that
 /// waits the most, not the one call of a small practice.
 #[test]
-fn a_full_queue_sheds_the_least_urgent_of_the_greediest() {
+fn a_full_queue_sheds_the_lowest_priority_of_the_longest_queue() {
     let admission = ServiceAdmission::<Handle>::new(4);
     (0..CAPACITY).for_each(|_| assert!(admission.try_admit(AdmitTier::Fresh, CAPACITY)));
-    let small = wait(&admission, "small", PriorityClass::Low);
-    let urgent = wait(&admission, "large", PriorityClass::High);
-    let low = wait(&admission, "large", PriorityClass::Low);
-    let normal = wait(&admission, "large", PriorityClass::Normal);
-    let last = wait(&admission, "large", PriorityClass::Normal);
+    let small = enqueue(&admission, "small", PriorityClass::Low);
+    let urgent = enqueue(&admission, "large", PriorityClass::High);
+    let low = enqueue(&admission, "large", PriorityClass::Low);
+    let normal = enqueue(&admission, "large", PriorityClass::Normal);
+    let last = enqueue(&admission, "large", PriorityClass::Normal);
     assert_eq!(low.try_recv(), Ok(AdmitVerdict::Refused(NotRunReason::Overloaded)));
     for waiting in [&small, &urgent, &normal, &last] {
         assert_eq!(waiting.try_recv(), Err(TryRecvError::Empty));
     }
-    admission.release(CAPACITY, NOW, tell);
-    admission.release(CAPACITY, NOW, tell);
+    admission.release(CAPACITY, NOW, notify);
+    admission.release(CAPACITY, NOW, notify);
     assert_eq!(small.try_recv(), Ok(AdmitVerdict::Admitted));
     assert_eq!(urgent.try_recv(), Ok(AdmitVerdict::Admitted));
 }
@@ -98,7 +98,7 @@
 /// Plays a minute in which a third more requests come than the places can take.
 /// Each holds its place for 100 ms; who is refused comes back once, two seconds
 /// later, and `tier_of` says what the admission is told of that.
-fn play_overload(tier_of: impl Fn(bool) -> AdmitTier) -> OverloadCount {
+fn simulate_overload(tier_of: impl Fn(bool) -> AdmitTier) -> OverloadCount {
     const PLACES: u32 = 16;
     const HELD_MS: u64 = 100;
     const BACK_MS: u64 = 2_000;
@@ -119,28 +119,28 @@
         let fresh = (ms + 1) * 213 / 1_000 - ms * 213 / 1_000;
         let mut arrivals = due.remove(&ms).unwrap_or_default();
         arrivals.extend((0..fresh).map(|_| false));
-        for is_back in arrivals {
-            let tier = tier_of(is_back);
+        for is_returning in arrivals {
+            let tier = tier_of(is_returning);
             if admission.try_admit(tier, PLACES) {
-                verdicts.push(((ms, is_back), AdmitVerdict::Admitted));
+                verdicts.push(((ms, is_returning), AdmitVerdict::Admitted));
                 continue;
             }
             let name = format!("w{}", ms % 5);
             let deadline = Deadline(now.0 + 200);
             let ticket = AdmitTicket { deadline, tier, ..ticket(&name, PriorityClass::Normal) };
-            admission.enqueue(&ticket, (ms, is_back), PLACES, now, |handle, verdict| {
+            admission.enqueue(&ticket, (ms, is_returning), PLACES, now, |handle, verdict| {
                 verdicts.push((handle, verdict));
                 true
             });
         }
-        for ((_, is_back), verdict) in verdicts {
+        for ((_, is_returning), verdict) in verdicts {
             match verdict {
                 AdmitVerdict::Admitted => {
                     *ends.entry(ms + HELD_MS).or_default() += 1;
-                    count.in_time += u32::from(!is_back);
-                    count.returned += u32::from(is_back);
+                    count.in_time += u32::from(!is_returning);
+                    count.returned += u32::from(is_returning);
                 }
-                AdmitVerdict::Refused(_) if !is_back => {
+                AdmitVerdict::Refused(_) if !is_returning => {
                     due.entry(ms + BACK_MS).or_default().push(true);
                 }
                 AdmitVerdict::Refused(_) => {}
@@ -156,13 +156,13 @@
 /// answered, and far more of them in time.
 #[test]
 fn fresh_requests_go_before_returning_ones_in_lasting_overload() {
-    let alike = play_overload(|_| AdmitTier::Fresh);
-    let told = play_overload(|is_back| match is_back {
+    let untiered = simulate_overload(|_| AdmitTier::Fresh);
+    let tiered = simulate_overload(|is_returning| match is_returning {
         true => AdmitTier::Returned,
         false => AdmitTier::Fresh,
     });
-    let all = |count: &OverloadCount| count.in_time + count.returned;
-    assert!(all(&told) * 100 >= all(&alike) * 98, "{told:?} {alike:?}");
-    assert!(told.in_time * 100 >= alike.in_time * 115, "{told:?} {alike:?}");
-    assert!(told.in_time * 100 >= all(&told) * 95, "{told:?}");
+    let total = |count: &OverloadCount| count.in_time + count.returned;
+    assert!(total(&tiered) * 100 >= total(&untiered) * 98, "{tiered:?} {untiered:?}");
+    assert!(tiered.in_time * 100 >= untiered.in_time * 115, "{tiered:?} {untiered:?}");
+    assert!(tiered.in_time * 100 >= total(&tiered) * 95, "{tiered:?}");
 }
--- a/crates/decide/tests/control_traffic.rs
+++ b/crates/decide/tests/control_traffic.rs
@@ -19,7 +19,7 @@
 fn staged(ready: u32) -> StagedWeights {
     StagedWeights {
         version: ModelVersion::new("v2").expect("valid"),
-        manifest: ManifestDigest::of(b"wanted"),
+        manifest: ManifestDigest::of(b"expected"),
         chunks_ready: ready,
         chunks_total: 48,
     }
@@ -51,31 +51,31 @@
 /// heartbeat. Told as a whole each time, a hundred endpoints fill the links on
 /// which the chunks themselves travel, and callers see slow answers.
 #[test]
-fn progress_alone_is_told_once_a_second() {
-    let told = SentReport::new(report(3, 0), START);
-    assert!(told.covers(&report(9, 5), at(200)));
-    assert!(told.covers(&report(40, 5), at(900)));
-    assert!(!told.covers(&report(44, 5), at(1_001)));
+fn progress_alone_is_sent_once_a_second() {
+    let sent = SentReport::new(report(3, 0), START);
+    assert!(sent.covers(&report(9, 5), at(200)));
+    assert!(sent.covers(&report(40, 5), at(900)));
+    assert!(!sent.covers(&report(44, 5), at(1_001)));
 }
 
 /// The last chunk arrives, or the state changes. Entries plan by that and route
 /// by it, so that it is told at the next heartbeat.
 #[test]
-fn changes_that_entries_act_on_are_told_at_once() {
-    let told = SentReport::new(report(47, 0), START);
-    assert!(!told.covers(&report(48, 0), at(200)));
+fn changes_that_entries_act_on_are_sent_at_once() {
+    let sent = SentReport::new(report(47, 0), START);
+    assert!(!sent.covers(&report(48, 0), at(200)));
     let state = EndpointState::Switching;
-    assert!(!told.covers(&EndpointReport { state, ..report(47, 0) }, at(200)));
-    assert!(!told.covers(&EndpointReport { order: 4, ..report(47, 0) }, at(200)));
+    assert!(!sent.covers(&EndpointReport { state, ..report(47, 0) }, at(200)));
+    assert!(!sent.covers(&EndpointReport { order: 4, ..report(47, 0) }, at(200)));
     let other = StagedWeights { manifest: ManifestDigest::of(b"other"), ..staged(2) };
-    assert!(!told.covers(&EndpointReport { staged: Some(other), ..report(47, 0) }, at(200)));
+    assert!(!sent.covers(&EndpointReport { staged: Some(other), ..report(47, 0) }, at(200)));
 }
 
 /// A load changes at every heartbeat and needs no whole report, however old.
 #[test]
 fn a_load_alone_needs_no_whole_report() {
-    let told = SentReport::new(report(48, 0), START);
-    assert!(told.covers(&report(48, 7), at(60_000)));
+    let sent = SentReport::new(report(48, 0), START);
+    assert!(sent.covers(&report(48, 7), at(60_000)));
 }
 
 /// An entry of another region asks for fewer loads; one that asked for nothing
@@ -83,12 +83,12 @@
 #[rstest]
 #[case(LoadSchedule::every_heartbeat(), 10)]
 #[case(LoadSchedule::every(600, START), 3)]
-fn loads_keep_the_pace_that_the_entry_asked_for(
-    #[case] mut pace: LoadSchedule,
-    #[case] wanted: usize,
+fn loads_follow_the_schedule_of_the_entry(
+    #[case] mut schedule: LoadSchedule,
+    #[case] expected: usize,
 ) {
     let heartbeats = (1..=10).map(|beat| at(beat * 200));
-    assert_eq!(heartbeats.filter(|now| pace.take_due(*now)).count(), wanted);
+    assert_eq!(heartbeats.filter(|now| schedule.take_due(*now)).count(), expected);
 }
 
 /// Nothing was lost. A hundred agents that repeat everything to each other at
@@ -127,9 +127,9 @@
         Self { agents: agents.collect() }
     }
 
-    fn places(&self) -> Vec<AgentLocation<'_>> {
-        let place = |(instance, region)| AgentLocation { instance, region };
-        self.agents.iter().map(|(instance, region)| place((instance.as_str(), region))).collect()
+    fn locations(&self) -> Vec<AgentLocation<'_>> {
+        let location = |(instance, region)| AgentLocation { instance, region };
+        self.agents.iter().map(|(instance, region)| location((instance.as_str(), region))).collect()
     }
 }
 
@@ -137,37 +137,37 @@
 /// from the names it knows. If two agents of a region knew different names of
 /// it, both or neither would fetch the chunk.
 #[test]
-fn all_agents_of_a_region_know_each_other() {
+fn all_agents_of_a_region_are_peers() {
     let fleet = Fleet::new(33, 3);
-    let places = fleet.places();
-    for agent in &places {
-        let known: BTreeSet<_> = chunk_peers(*agent, &places).into_iter().collect();
-        let near = places.iter().filter(|other| other.region == agent.region);
+    let locations = fleet.locations();
+    for agent in &locations {
+        let peers: BTreeSet<_> = chunk_peers(*agent, &locations).into_iter().collect();
+        let near = locations.iter().filter(|other| other.region == agent.region);
         for other in near.filter(|other| other.instance != agent.instance) {
-            assert!(known.contains(other.instance));
+            assert!(peers.contains(other.instance));
         }
-        assert!(!known.contains(agent.instance));
+        assert!(!peers.contains(agent.instance));
     }
 }
 
 /// Words between regions grow with the number of agents and not with its
 /// square, and no agent of another region is known by nobody or by all.
 #[test]
-fn few_agents_of_other_regions_are_known() {
+fn few_agents_of_other_regions_are_peers() {
     let fleet = Fleet::new(33, 3);
-    let places = fleet.places();
-    let mut known_by: BTreeMap<&str, usize> = BTreeMap::new();
-    for agent in &places {
-        let known = chunk_peers(*agent, &places);
-        let far = known
-            .iter()
-            .filter(|name| places.iter().any(|p| p.instance == **name && p.region != agent.region));
+    let locations = fleet.locations();
+    let mut peer_of: BTreeMap<&str, usize> = BTreeMap::new();
+    for agent in &locations {
+        let peers = chunk_peers(*agent, &locations);
+        let far = peers.iter().filter(|name| {
+            locations.iter().any(|p| p.instance == **name && p.region != agent.region)
+        });
         let far: Vec<_> = far.collect();
         assert_eq!(far.len(), 12);
         for name in far {
-            *known_by.entry(name).or_default() += 1;
+            *peer_of.entry(name).or_default() += 1;
         }
     }
-    assert_eq!(known_by.len(), places.len());
-    assert!(known_by.values().all(|count| *count <= 30), "{known_by:?}");
+    assert_eq!(peer_of.len(), locations.len());
+    assert!(peer_of.values().all(|count| *count <= 30), "{peer_of:?}");
 }
--- a/crates/decide/tests/crash_book.rs
+++ b/crates/decide/tests/crash_book.rs
@@ -46,8 +46,8 @@
     CrashRow { digest: digest(body), event, age_ms }
 }
 
-fn is_barred(book: &CrashTracker, body: u64) -> bool {
-    matches!(book.verdict(digest(body)), CrashVerdict::Barred { .. })
+fn is_barred(tracker: &CrashTracker, body: u64) -> bool {
+    matches!(tracker.verdict(digest(body)), CrashVerdict::Barred { .. })
 }
 
 /// Guards against one caller's request being barred for what another one has sent.
@@ -73,56 +73,56 @@
     #[case] event: fn(u64) -> CrashEvent,
     #[case] ends: u64,
 ) {
-    let mut book = CrashTracker::default();
+    let mut tracker = CrashTracker::default();
     for endpoint in 1..=ends {
-        assert!(!is_barred(&book, 7), "barred after {} ends", endpoint - 1);
-        assert!(book.record(row(7, event(endpoint), 0), None, NOW));
-        assert!(!book.record(row(7, event(endpoint), 50), Some(1), NOW), "one end counts once");
+        assert!(!is_barred(&tracker, 7), "barred after {} ends", endpoint - 1);
+        assert!(tracker.record(row(7, event(endpoint), 0), None, NOW));
+        assert!(!tracker.record(row(7, event(endpoint), 50), Some(1), NOW), "one end counts once");
     }
-    assert!(is_barred(&book, 7));
-    assert!(!is_barred(&book, 8));
+    assert!(is_barred(&tracker, 7));
+    assert!(!is_barred(&tracker, 8));
 }
 
 /// Guards against a bar that outlasts what it was made from.
 #[test]
 fn a_bar_ends() {
-    let mut book = CrashTracker::default();
+    let mut tracker = CrashTracker::default();
     for endpoint in 0..3 {
-        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
+        tracker.record(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
     }
-    let CrashVerdict::Barred { until } = book.verdict(digest(7)) else { panic!("barred") };
+    let CrashVerdict::Barred { until } = tracker.verdict(digest(7)) else { panic!("barred") };
     assert_eq!(until, NOW.deadline_after(BAR_DURATION));
     let later = Timestamp(NOW.0 + BAR_DURATION.as_millis() as u64 + 1);
-    assert!(book.expire(later));
-    assert_eq!(book.verdict(digest(7)), CrashVerdict::Clear);
+    assert!(tracker.expire(later));
+    assert_eq!(tracker.verdict(digest(7)), CrashVerdict::Clear);
 }
 
 /// Guards against barring a request that endpoints answer, for the ends of some of them.
 #[test]
 fn a_whole_answer_clears_the_ends_before_it() {
-    let mut book = CrashTracker::default();
+    let mut tracker = CrashTracker::default();
     for endpoint in 0..3 {
-        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 500), None, NOW);
+        tracker.record(row(7, CrashEvent::EndedAtStart(endpoint), 500), None, NOW);
     }
-    assert!(book.record(row(7, CrashEvent::Answered, 0), Some(2), NOW));
-    assert_eq!(book.verdict(digest(7)), CrashVerdict::Clear);
-    assert!(!book.record(row(7, CrashEvent::EndedAtStart(1), 495), Some(3), NOW), "a late copy");
-    assert_eq!(book.verdict(digest(7)), CrashVerdict::Clear);
+    assert!(tracker.record(row(7, CrashEvent::Answered, 0), Some(2), NOW));
+    assert_eq!(tracker.verdict(digest(7)), CrashVerdict::Clear);
+    assert!(!tracker.record(row(7, CrashEvent::EndedAtStart(1), 495), Some(3), NOW), "a late copy");
+    assert_eq!(tracker.verdict(digest(7)), CrashVerdict::Clear);
     let later = Timestamp(NOW.0 + 100);
     for endpoint in 5..8 {
-        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, later);
+        tracker.record(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, later);
     }
-    assert!(is_barred(&book, 7), "ends after the answer count");
+    assert!(is_barred(&tracker, 7), "ends after the answer count");
 }
 
 /// Guards against a message for each answer to a request that is often asked for.
 #[test]
 fn only_an_answer_that_clears_something_is_passed_on() {
-    let mut book = CrashTracker::default();
-    book.record(row(7, CrashEvent::EndedInAnswer(1), 0), None, NOW);
+    let mut tracker = CrashTracker::default();
+    tracker.record(row(7, CrashEvent::EndedInAnswer(1), 0), None, NOW);
     let answers = (1..50).filter(|step| {
         let now = Timestamp(NOW.0 + step * 100);
-        book.record(row(7, CrashEvent::Answered, 0), None, now)
+        tracker.record(row(7, CrashEvent::Answered, 0), None, now)
     });
     assert_eq!(answers.count(), 1);
 }
@@ -130,10 +130,10 @@
 /// Guards against a retry that waits for the run that it follows.
 #[test]
 fn an_own_run_keeps_other_entries_waiting_and_not_this_one() {
-    let mut book = CrashTracker::default();
-    book.record(row(7, CrashEvent::EndedAtStart(1), 500), None, NOW);
-    book.record(row(7, CrashEvent::Begun, 100), None, NOW);
-    assert!(book.verdict(digest(7)).not_before(0, 15).is_past(NOW));
+    let mut tracker = CrashTracker::default();
+    tracker.record(row(7, CrashEvent::EndedAtStart(1), 500), None, NOW);
+    tracker.record(row(7, CrashEvent::Begun, 100), None, NOW);
+    assert!(tracker.verdict(digest(7)).not_before(0, 15).is_past(NOW));
     let mut other = CrashTracker::default();
     other.record(row(7, CrashEvent::EndedAtStart(1), 500), Some(1), NOW);
     other.record(row(7, CrashEvent::Begun, 100), Some(1), NOW);
@@ -142,35 +142,35 @@
 
 /// Guards against a book that a caller fills with different bodies, or empties of its bars.
 #[test]
-fn many_bodies_neither_fill_the_book_nor_free_a_barred_request() {
-    let mut book = CrashTracker::default();
+fn many_bodies_neither_fill_the_memory_nor_free_a_barred_request() {
+    let mut tracker = CrashTracker::default();
     for endpoint in 0..3 {
-        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
+        tracker.record(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
     }
     for body in 100..20_000 {
-        book.record(row(body, CrashEvent::EndedAtStart(body), 0), None, NOW);
+        tracker.record(row(body, CrashEvent::EndedAtStart(body), 0), None, NOW);
     }
-    assert!(book.verdicts().len() <= 4_096);
-    assert!(is_barred(&book, 7));
+    assert!(tracker.verdicts().len() <= 4_096);
+    assert!(is_barred(&tracker, 7));
 }
 
 /// Guards against bars that are lost or kept for ever where all entries have lost power.
 #[test]
 fn kept_bars_are_taken_up_again_until_they_are_over() {
-    let mut book = CrashTracker::default();
+    let mut tracker = CrashTracker::default();
     for endpoint in 0..3 {
-        book.record(row(7, CrashEvent::EndedAtStart(endpoint), 1_000), None, NOW);
-        book.record(row(8, CrashEvent::EndedInAnswer(endpoint), 0), None, NOW);
+        tracker.record(row(7, CrashEvent::EndedAtStart(endpoint), 1_000), None, NOW);
+        tracker.record(row(8, CrashEvent::EndedInAnswer(endpoint), 0), None, NOW);
     }
     let ended_at = Timestamp(NOW.0 - 1_000);
     let over_at = Timestamp(NOW.0 - BAR_DURATION.as_millis() as u64);
     let over = BarredRequest { digest: digest(9), ended_at: over_at };
-    let bars = book.bars_to_persist(&[over], NOW).expect("one is to be added");
+    let bars = tracker.bars_to_persist(&[over], NOW).expect("one is to be added");
     assert_eq!(bars, [BarredRequest { digest: digest(7), ended_at }]);
-    assert_eq!(book.bars_to_persist(&bars, NOW), None);
+    assert_eq!(tracker.bars_to_persist(&bars, NOW), None);
     let mut started = CrashTracker::default();
     assert!(started.record(row(7, CrashEvent::Barred, 1_000), None, NOW));
-    assert_eq!(started.verdict(digest(7)), book.verdict(digest(7)));
+    assert_eq!(started.verdict(digest(7)), tracker.verdict(digest(7)));
     assert!(!started.record(
         row(9, CrashEvent::Barred, BAR_DURATION.as_millis() as u32),
         None,
@@ -181,21 +181,21 @@
 /// Guards against an entry that starts or returns and does not learn what the others know.
 #[test]
 fn a_new_link_brings_every_fact_and_an_old_one_only_news() {
-    let mut book = CrashTracker::default();
+    let mut tracker = CrashTracker::default();
     for body in 0..600 {
-        book.record(row(body, CrashEvent::EndedAtStart(body), 0), Some(4), NOW);
+        tracker.record(row(body, CrashEvent::EndedAtStart(body), 0), Some(4), NOW);
     }
     let mut other = CrashTracker::default();
-    let mut mark = 0;
+    let mut cursor = 0;
     for _ in 0..3 {
-        let (rows, next) = book.rows_since(mark, 5, NOW);
+        let (rows, next) = tracker.rows_since(cursor, 5, NOW);
         assert!(rows.len() <= 256, "a message of bounded size");
         rows.into_iter().for_each(|row| assert!(other.record(row, Some(1), NOW)));
-        mark = next;
+        cursor = next;
     }
     assert_eq!(other.verdicts().len(), 600);
-    assert_eq!(book.rows_since(mark, 5, NOW).0, []);
-    assert_eq!(book.rows_since(0, 4, NOW).0, [], "nothing goes back to where it came from");
+    assert_eq!(tracker.rows_since(cursor, 5, NOW).0, []);
+    assert_eq!(tracker.rows_since(0, 4, NOW).0, [], "nothing goes back to where it came from");
 }
 
 /// Time of one message over a link, in milliseconds.
@@ -217,9 +217,9 @@
 }
 
 /// Entries with their books, and callers with one request that ends endpoints.
-struct CrashDay {
+struct CrashSimulation {
     now: Timestamp,
-    books: Vec<CrashTracker>,
+    trackers: Vec<CrashTracker>,
     links: Vec<BTreeMap<usize, u64>>,
     cut: BTreeSet<usize>,
     attempts: Vec<CallerAttempt>,
@@ -227,27 +227,27 @@
     sends: Vec<Timestamp>,
 }
 
-impl CrashDay {
+impl CrashSimulation {
     fn new(entries: usize, regions: usize) -> Self {
         let addr = |index: usize| {
             let ip = Ipv4Addr::new(10, 1, (index / 200) as u8, (index % 200) as u8);
             SocketAddr::from((ip, 8_000))
         };
         let region = |index: usize| RegionName::new(&format!("region-{index}")).expect("valid");
-        let places: Vec<_> = (0..entries)
+        let locations: Vec<_> = (0..entries)
             .map(|index| EntryLocation { inner_addr: addr(index), region: region(index % regions) })
             .collect();
         let mut links = vec![BTreeMap::new(); entries];
-        for (index, place) in places.iter().enumerate() {
-            for chosen in links_to_dial(place, &places) {
-                let other = places.iter().position(|p| p.inner_addr == chosen).expect("known");
+        for (index, location) in locations.iter().enumerate() {
+            for chosen in links_to_dial(location, &locations) {
+                let other = locations.iter().position(|p| p.inner_addr == chosen).expect("known");
                 links[index].insert(other, 0);
                 links[other].insert(index, 0);
             }
         }
         Self {
             now: NOW,
-            books: (0..entries).map(|_| CrashTracker::default()).collect(),
+            trackers: (0..entries).map(|_| CrashTracker::default()).collect(),
             links,
             cut: BTreeSet::new(),
             attempts: Vec::new(),
@@ -267,16 +267,16 @@
             cassiawheel_decide::rank::rendezvous_weight(digest(7).subject(), name.as_str())
         };
         let own = weight(entry);
-        (0..self.books.len()).filter(|index| weight(*index) > own).count()
+        (0..self.trackers.len()).filter(|index| weight(*index) > own).count()
     }
 
     fn may_begin(&self, entry: usize) -> bool {
         let others = self.attempts.iter().filter(|a| a.entry == entry && a.ends_at.is_some());
-        match self.books[entry].verdict(digest(7)) {
+        match self.trackers[entry].verdict(digest(7)) {
             CrashVerdict::Clear => true,
             CrashVerdict::Barred { .. } => false,
             verdict => {
-                let not_before = verdict.not_before(self.rank(entry), self.books.len());
+                let not_before = verdict.not_before(self.rank(entry), self.trackers.len());
                 not_before.is_past(self.now) && others.count() == 0
             }
         }
@@ -289,7 +289,7 @@
                 self.attempts[index].ends_at = None;
                 self.ends.push(self.now);
                 let event = CrashEvent::EndedAtStart(self.ends.len() as u64);
-                self.books[entry].record(row(7, event, 0), None, self.now);
+                self.trackers[entry].record(row(7, event, 0), None, self.now);
             }
             let attempt = &self.attempts[index];
             let is_idle = attempt.ends_at.is_none() && attempt.runs < MAX_ATTEMPTS;
@@ -298,32 +298,33 @@
                 attempt.runs += 1;
                 attempt.ends_at = Some(Timestamp(self.now.0 + RUN_MS));
                 self.sends.push(self.now);
-                self.books[entry].record(row(7, CrashEvent::Begun, 0), None, self.now);
+                self.trackers[entry].record(row(7, CrashEvent::Begun, 0), None, self.now);
             }
         }
-        self.pass_on();
+        self.deliver();
         self.now = Timestamp(self.now.0 + ROUND_MS);
     }
 
-    fn pass_on(&mut self) {
+    fn deliver(&mut self) {
         let mut messages = Vec::new();
         for (index, links) in self.links.iter_mut().enumerate() {
-            for (other, mark) in links {
+            for (other, cursor) in links {
                 if self.cut.contains(&index) || self.cut.contains(other) {
                     continue;
                 }
-                let (rows, next) = self.books[index].rows_since(*mark, *other as LinkId, self.now);
-                *mark = next;
+                let (rows, next) =
+                    self.trackers[index].rows_since(*cursor, *other as LinkId, self.now);
+                *cursor = next;
                 messages.extend(rows.into_iter().map(|row| (index, *other, row)));
             }
         }
         for (from, to, row) in messages {
-            self.books[to].record(row, Some(from as LinkId), self.now);
+            self.trackers[to].record(row, Some(from as LinkId), self.now);
         }
     }
 
-    fn knowing(&self) -> usize {
-        self.books.iter().filter(|book| is_barred(book, 7)).count()
+    fn barred_count(&self) -> usize {
+        self.trackers.iter().filter(|tracker| is_barred(tracker, 7)).count()
     }
 }
 
@@ -338,19 +339,23 @@
 ) {
     for seed in 0..50 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut day = CrashDay::new(entries, regions);
+        let mut simulation = CrashSimulation::new(entries, regions);
         for _ in 0..200 {
             if rng.random_bool(0.1) {
-                day.arrive(rng.random_range(0..entries));
+                simulation.arrive(rng.random_range(0..entries));
             }
-            day.step();
+            simulation.step();
         }
-        let third = day.ends[2];
-        let last = day.sends.last().expect("sent").0.saturating_sub(third.0);
+        let third = simulation.ends[2];
+        let last = simulation.sends.last().expect("sent").0.saturating_sub(third.0);
         assert!(last <= 1_000, "seed {seed}: sent {last} ms after the third end");
         let most = if entries == 15 { 6 } else { 7 };
-        assert!(day.ends.len() <= most, "seed {seed}: {} endpoints ended", day.ends.len());
-        assert_eq!(day.knowing(), entries, "seed {seed}: known everywhere");
+        assert!(
+            simulation.ends.len() <= most,
+            "seed {seed}: {} endpoints ended",
+            simulation.ends.len()
+        );
+        assert_eq!(simulation.barred_count(), entries, "seed {seed}: known everywhere");
     }
 }
 
@@ -359,18 +364,22 @@
 fn a_request_at_all_entries_at_once_ends_one_endpoint_each_at_most() {
     for seed in 0..50 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut day = CrashDay::new(15, 3);
+        let mut simulation = CrashSimulation::new(15, 3);
         let mut order: Vec<usize> = (0..15).collect();
         order.shuffle(&mut rng);
         for step in 0..200 {
             if step % 20 == 0 {
-                order.iter().for_each(|entry| day.arrive(*entry));
+                order.iter().for_each(|entry| simulation.arrive(*entry));
             }
-            day.step();
+            simulation.step();
         }
-        assert!(day.ends.len() <= 15, "seed {seed}: {} endpoints ended", day.ends.len());
-        let third = day.ends[2];
-        let last = day.sends.last().expect("sent").0.saturating_sub(third.0);
+        assert!(
+            simulation.ends.len() <= 15,
+            "seed {seed}: {} endpoints ended",
+            simulation.ends.len()
+        );
+        let third = simulation.ends[2];
+        let last = simulation.sends.last().expect("sent").0.saturating_sub(third.0);
         assert!(last <= 1_000, "seed {seed}: sent {last} ms after the third end");
     }
 }
@@ -378,17 +387,17 @@
 /// Guards against an entry that was cut off and goes on as if nothing were known.
 #[test]
 fn an_entry_that_was_cut_off_learns_of_a_bar_on_its_return() {
-    let mut day = CrashDay::new(15, 3);
-    day.cut.insert(4);
+    let mut simulation = CrashSimulation::new(15, 3);
+    simulation.cut.insert(4);
     for step in 0..80 {
         if step % 10 == 0 {
-            day.arrive(step % 3);
+            simulation.arrive(step % 3);
         }
-        day.step();
+        simulation.step();
     }
-    assert_eq!(day.knowing(), 14);
-    day.cut.clear();
-    day.step();
-    day.step();
-    assert_eq!(day.knowing(), 15);
+    assert_eq!(simulation.barred_count(), 14);
+    simulation.cut.clear();
+    simulation.step();
+    simulation.step();
+    assert_eq!(simulation.barred_count(), 15);
 }
--- a/crates/decide/tests/direct_routing.rs
+++ b/crates/decide/tests/direct_routing.rs
@@ -18,7 +18,7 @@
 
 struct Endpoints {
     service: ServiceName,
-    cells: Vec<Arc<EndpointTracker>>,
+    trackers: Vec<Arc<EndpointTracker>>,
     routes: RouteSnapshot,
 }
 
@@ -30,21 +30,22 @@
     /// Endpoints that serve the versions with these numbers.
     fn serving(numbers: &[usize]) -> Self {
         let service = ServiceName::new("guide").expect("valid");
-        let cells: Vec<_> = numbers.iter().map(|_| Arc::new(EndpointTracker::default())).collect();
-        let candidate = |(index, cell): (usize, &Arc<EndpointTracker>)| {
-            cell.set_hard_limit(SLOTS);
+        let trackers: Vec<_> =
+            numbers.iter().map(|_| Arc::new(EndpointTracker::default())).collect();
+        let candidate = |(index, tracker): (usize, &Arc<EndpointTracker>)| {
+            tracker.set_hard_limit(SLOTS);
             RouteCandidate {
                 instance: InstanceId::new(&format!("i-{index}")).expect("valid"),
                 version: Some(version(numbers[index])),
                 is_near: index % 2 == 0,
                 path: EndpointPath::Direct("10.0.0.1:8001".parse().expect("valid")),
-                tracker: cell.clone(),
+                tracker: tracker.clone(),
             }
         };
-        let candidates = cells.iter().enumerate().map(candidate).collect();
+        let candidates = trackers.iter().enumerate().map(candidate).collect();
         let routes = ServiceRoutes::new(candidates, Arc::new(AtomicU32::new(0)));
         let routes = RouteSnapshot::new(HashMap::from([(service.clone(), routes)]));
-        Self { service, cells, routes }
+        Self { service, trackers, routes }
     }
 
     fn query(&self, now: Timestamp) -> RouteQuery<'_> {
@@ -63,7 +64,7 @@
     /// How many of a hundred requests each endpoint gets.
     fn choices(&self, query: &RouteQuery<'_>) -> Vec<u32> {
         let mut rng = SmallRng::seed_from_u64(3);
-        let mut chosen = vec![0; self.cells.len()];
+        let mut chosen = vec![0; self.trackers.len()];
         for _ in 0..100 {
             if let Some(choice) = self.routes.choose(query, &mut rng) {
                 let name = choice.candidate.instance.as_str().trim_start_matches("i-");
@@ -75,7 +76,7 @@
 
     fn report(&self, index: usize, in_flight: u32, measured_at: Timestamp) {
         let load = LoadReport { in_flight, queued: 0, measured_at };
-        self.cells[index].apply_report(&load, SLOTS);
+        self.trackers[index].apply_report(&load, SLOTS);
     }
 }
 
@@ -113,7 +114,7 @@
 #[test]
 fn a_slow_endpoint_is_passed_over() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
-    let slow = &endpoints.cells[1];
+    let slow = &endpoints.trackers[1];
     slow.record_sent(NOW);
     slow.record_delay(1_400, true, at(1_400));
     assert_eq!(endpoints.choices(&endpoints.query(at(1_500)))[1], 0);
@@ -124,7 +125,7 @@
 #[test]
 fn silence_counts_as_delay() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
-    endpoints.cells[2].record_sent(NOW);
+    endpoints.trackers[2].record_sent(NOW);
     assert!(endpoints.choices(&endpoints.query(at(300)))[2] > 0);
     assert_eq!(endpoints.choices(&endpoints.query(at(1_100)))[2], 0);
 }
@@ -134,7 +135,7 @@
 #[test]
 fn a_slow_endpoint_is_tried_again_by_one_request() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
-    let slow = &endpoints.cells[1];
+    let slow = &endpoints.trackers[1];
     slow.record_sent(NOW);
     slow.record_delay(1_400, true, at(1_400));
     let later = at(5_000);
@@ -150,9 +151,9 @@
 #[test]
 fn slow_endpoints_are_used_if_most_are_slow() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
-    for cell in &endpoints.cells[..3] {
-        cell.record_sent(NOW);
-        cell.record_delay(1_400, true, at(1_400));
+    for tracker in &endpoints.trackers[..3] {
+        tracker.record_sent(NOW);
+        tracker.record_delay(1_400, true, at(1_400));
     }
     endpoints.report(3, SLOTS, at(1_400));
     let chosen = endpoints.choices(&endpoints.query(at(1_500)));
@@ -205,11 +206,11 @@
 #[test]
 fn a_slow_endpoint_with_a_limit_is_asked_now_and_then() {
     let service = Endpoints::serving(&[1, 1, 1]);
-    let cell = &service.cells[0];
-    cell.set_pace(Some(EndpointPace::from_rate(1.0)), NOW);
+    let tracker = &service.trackers[0];
+    tracker.set_pace(Some(EndpointPace::from_rate(1.0)), NOW);
     for _ in 0..8 {
-        cell.record_sent(NOW);
-        cell.record_delay(3_000, true, NOW);
+        tracker.record_sent(NOW);
+        tracker.record_delay(3_000, true, NOW);
     }
     let candidates = service.routes.candidates().cloned().collect();
     let routes = ServiceRoutes::new(candidates, Arc::new(AtomicU32::new(0)));
--- a/crates/decide/tests/last_place.rs
+++ b/crates/decide/tests/last_place.rs
@@ -26,14 +26,14 @@
 const BURSTS: usize = 2_000;
 
 fn endpoint(index: usize) -> RouteCandidate {
-    let cell = EndpointTracker::default();
-    cell.set_hard_limit(GATE);
+    let tracker = EndpointTracker::default();
+    tracker.set_hard_limit(GATE);
     RouteCandidate {
         instance: InstanceId::new(&format!("i-{index}")).expect("valid"),
         version: None,
         is_near: index == 0,
         path: EndpointPath::Agent,
-        tracker: Arc::new(cell),
+        tracker: Arc::new(tracker),
     }
 }
 
@@ -64,14 +64,14 @@
 fn two_threads_do_not_take_the_same_last_place() {
     let service = ServiceName::new("ledger").expect("valid");
     let candidates: Vec<_> = (0..2).map(endpoint).collect();
-    let cells: Vec<_> = candidates.iter().map(|c| c.tracker.clone()).collect();
+    let trackers: Vec<_> = candidates.iter().map(|c| c.tracker.clone()).collect();
     let routes = ServiceRoutes::new(candidates, Arc::new(AtomicU32::new(0)));
     let routes = RouteSnapshot::new(HashMap::from([(service.clone(), routes)]));
     let (begin, end) = (Barrier::new(THREADS as usize), Barrier::new(THREADS as usize));
     let overfull = AtomicBool::new(false);
     thread::scope(|scope| {
         for seed in 0..THREADS {
-            let (service, routes, cells) = (&service, &routes, &cells);
+            let (service, routes, trackers) = (&service, &routes, &trackers);
             let (begin, end, overfull) = (&begin, &end, &overfull);
             scope.spawn(move || {
                 let mut rng = SmallRng::seed_from_u64(seed);
@@ -82,11 +82,11 @@
                         taken.push(choice.candidate.tracker.clone());
                     }
                     end.wait();
-                    if cells.iter().any(|cell| cell.in_flight() != GATE) {
+                    if trackers.iter().any(|tracker| tracker.in_flight() != GATE) {
                         overfull.store(true, Ordering::Relaxed);
                     }
                     begin.wait();
-                    taken.iter().for_each(|cell| cell.release());
+                    taken.iter().for_each(|tracker| tracker.release());
                     end.wait();
                 }
             });
--- a/crates/decide/tests/limit_book.rs
+++ b/crates/decide/tests/limit_book.rs
@@ -21,7 +21,7 @@
     Timestamp(NOW.0 + ms)
 }
 
-fn place(rank: usize) -> HolderRank {
+fn holder(rank: usize) -> HolderRank {
     HolderRank { rank, candidates: 5, entries: 15, phase: 0.5 }
 }
 
@@ -33,18 +33,18 @@
 #[case(3.7)]
 #[case(60.0)]
 fn the_parts_of_a_limit_add_up_to_it(#[case] rate: f64) {
-    let mut book = RateLimits::default();
-    book.observe(ENDPOINT, Some(limit(rate)), NOW);
-    let cells: Vec<_> = (0..15).map(|_| EndpointTracker::default()).collect();
+    let mut limits = RateLimits::default();
+    limits.observe(ENDPOINT, Some(limit(rate)), NOW);
+    let trackers: Vec<_> = (0..15).map(|_| EndpointTracker::default()).collect();
     let mut sent = 0;
-    for (rank, cell) in cells.iter().enumerate() {
-        cell.set_hard_limit(16);
-        cell.set_pace(book.pace(ENDPOINT, place(rank), NOW), NOW);
+    for (rank, tracker) in trackers.iter().enumerate() {
+        tracker.set_hard_limit(16);
+        tracker.set_pace(limits.pace(ENDPOINT, holder(rank), NOW), NOW);
     }
     for ms in 0..10_000 {
-        for cell in &cells {
-            if cell.try_acquire_paced(16, later(ms)) {
-                cell.release();
+        for tracker in &trackers {
+            if tracker.try_acquire_paced(16, later(ms)) {
+                tracker.release();
                 sent += 1;
             }
         }
@@ -57,111 +57,114 @@
 /// Guards against an endpoint that took nothing for a while and is never asked again.
 #[test]
 fn an_endpoint_that_takes_nothing_is_asked_now_and_then() {
-    let mut book = RateLimits::default();
-    book.observe(ENDPOINT, Some(limit(0.0)), NOW);
-    let cell = EndpointTracker::default();
-    cell.set_hard_limit(16);
-    cell.set_pace(book.pace(ENDPOINT, place(0), NOW), NOW);
-    let sent = (0..60_000).filter(|ms| cell.try_acquire_paced(16, later(*ms))).count();
+    let mut limits = RateLimits::default();
+    limits.observe(ENDPOINT, Some(limit(0.0)), NOW);
+    let tracker = EndpointTracker::default();
+    tracker.set_hard_limit(16);
+    tracker.set_pace(limits.pace(ENDPOINT, holder(0), NOW), NOW);
+    let sent = (0..60_000).filter(|ms| tracker.try_acquire_paced(16, later(*ms))).count();
     assert!((1..=6).contains(&sent), "{sent} sent in a minute");
 }
 
 /// Guards against a limit that never ends since its holder has lost the way to the endpoint.
 #[test]
-fn the_next_in_rank_ask_where_the_holders_are_silent() {
-    let mut book = RateLimits::default();
-    book.observe(ENDPOINT, Some(limit(2.0)), NOW);
-    let sends = |book: &RateLimits, rank, ms| {
-        book.pace(ENDPOINT, place(rank), later(ms)) != Some(EndpointPace::ZERO)
+fn the_next_in_rank_send_where_the_holders_do_not_confirm() {
+    let mut limits = RateLimits::default();
+    limits.observe(ENDPOINT, Some(limit(2.0)), NOW);
+    let sends = |limits: &RateLimits, rank, ms| {
+        limits.pace(ENDPOINT, holder(rank), later(ms)) != Some(EndpointPace::ZERO)
     };
-    assert!(sends(&book, 1, 0) && !sends(&book, 2, 0) && !sends(&book, 2, 2_900));
-    assert!(sends(&book, 2, 3_100) && !sends(&book, 3, 3_100) && sends(&book, 3, 6_100));
-    book.observe(ENDPOINT, Some(limit(2.0)), later(6_200));
-    assert!(!sends(&book, 2, 6_300), "the holders have been heard");
+    assert!(sends(&limits, 1, 0) && !sends(&limits, 2, 0) && !sends(&limits, 2, 2_900));
+    assert!(sends(&limits, 2, 3_100) && !sends(&limits, 3, 3_100) && sends(&limits, 3, 6_100));
+    limits.observe(ENDPOINT, Some(limit(2.0)), later(6_200));
+    assert!(!sends(&limits, 2, 6_300), "the holders have been heard");
 }
 
 /// Guards against an answer from before the naming that ends a limit, and against one that
 /// never ends it.
 #[test]
 fn only_a_later_answer_without_a_limit_ends_it() {
-    let mut book = RateLimits::default();
-    assert!(!book.observe(ENDPOINT, None, NOW));
-    assert!(book.observe(ENDPOINT, Some(limit(2.0)), NOW));
-    assert!(!book.observe(ENDPOINT, None, later(100)), "crossed");
-    assert_eq!(book.pace(ENDPOINT, place(9), later(100)), Some(EndpointPace::ZERO));
-    assert!(book.observe(ENDPOINT, None, later(600)));
-    let returns = book.pace(ENDPOINT, place(9), later(600)).expect("step by step");
+    let mut limits = RateLimits::default();
+    assert!(!limits.observe(ENDPOINT, None, NOW));
+    assert!(limits.observe(ENDPOINT, Some(limit(2.0)), NOW));
+    assert!(!limits.observe(ENDPOINT, None, later(100)), "crossed");
+    assert_eq!(limits.pace(ENDPOINT, holder(9), later(100)), Some(EndpointPace::ZERO));
+    assert!(limits.observe(ENDPOINT, None, later(600)));
+    let returns = limits.pace(ENDPOINT, holder(9), later(600)).expect("step by step");
     assert_ne!(returns, EndpointPace::ZERO);
-    assert_ne!(book.pace(ENDPOINT, place(9), later(1_700)), Some(returns), "faster");
-    assert_eq!(book.pace(ENDPOINT, place(9), later(5_000)), None);
-    assert!(book.observe(ENDPOINT, Some(limit(1.0)), later(700)), "named again");
-    assert_eq!(book.pace(ENDPOINT, place(9), later(700)), Some(EndpointPace::ZERO));
+    assert_ne!(limits.pace(ENDPOINT, holder(9), later(1_700)), Some(returns), "faster");
+    assert_eq!(limits.pace(ENDPOINT, holder(9), later(5_000)), None);
+    assert!(limits.observe(ENDPOINT, Some(limit(1.0)), later(700)), "named again");
+    assert_eq!(limits.pace(ENDPOINT, holder(9), later(700)), Some(EndpointPace::ZERO));
 }
 
 /// Guards against one more request of every entry where a limit is named anew.
 #[test]
 fn an_entry_that_holds_a_limit_no_more_sends_nothing() {
-    let cell = EndpointTracker::default();
-    cell.set_hard_limit(16);
-    cell.set_pace(Some(EndpointPace::from_rate(4.0)), NOW);
-    assert!(cell.try_acquire_paced(16, later(250)));
-    cell.set_pace(Some(EndpointPace::ZERO), later(400));
-    assert!(!(400..20_000).any(|ms| cell.try_acquire_paced(16, later(ms))));
-    cell.set_pace(Some(EndpointPace::from_rate(1.0)), later(20_000));
-    assert!(!(20_000..21_000).any(|ms| cell.try_acquire_paced(16, later(ms))), "an interval first");
-    assert!(cell.try_acquire_paced(16, later(21_000)));
-    cell.set_pace(Some(EndpointPace::from_rate(0.5)), later(21_500));
-    assert!(!(21_500..22_500).any(|ms| cell.try_acquire_paced(16, later(ms))), "half is left");
-    assert!(cell.try_acquire_paced(16, later(22_500)));
+    let tracker = EndpointTracker::default();
+    tracker.set_hard_limit(16);
+    tracker.set_pace(Some(EndpointPace::from_rate(4.0)), NOW);
+    assert!(tracker.try_acquire_paced(16, later(250)));
+    tracker.set_pace(Some(EndpointPace::ZERO), later(400));
+    assert!(!(400..20_000).any(|ms| tracker.try_acquire_paced(16, later(ms))));
+    tracker.set_pace(Some(EndpointPace::from_rate(1.0)), later(20_000));
+    assert!(
+        !(20_000..21_000).any(|ms| tracker.try_acquire_paced(16, later(ms))),
+        "an interval first"
+    );
+    assert!(tracker.try_acquire_paced(16, later(21_000)));
+    tracker.set_pace(Some(EndpointPace::from_rate(0.5)), later(21_500));
+    assert!(!(21_500..22_500).any(|ms| tracker.try_acquire_paced(16, later(ms))), "half is left");
+    assert!(tracker.try_acquire_paced(16, later(22_500)));
 }
 
 /// Guards against a message for each answer, and against a change that nobody is told.
 #[test]
-fn neighbours_are_told_changes_and_now_and_then_that_a_limit_holds() {
-    let mut book = RateLimits::default();
-    let mut told = 0;
+fn neighbours_get_changes_and_periodic_refreshes() {
+    let mut limits = RateLimits::default();
+    let mut updates = 0;
     for step in 0..100 {
-        told += u32::from(book.observe(ENDPOINT, Some(limit(2.0)), later(step * 50)));
+        updates += u32::from(limits.observe(ENDPOINT, Some(limit(2.0)), later(step * 50)));
     }
-    assert!((3..=6).contains(&told), "told {told} times in 5 s");
-    assert!(book.observe(ENDPOINT, Some(limit(1.0)), later(5_010)));
-    let (rows, mark) = book.rows_since(0, 3, later(5_020));
+    assert!((3..=6).contains(&updates), "updates {updates} times in 5 s");
+    assert!(limits.observe(ENDPOINT, Some(limit(1.0)), later(5_010)));
+    let (rows, cursor) = limits.rows_since(0, 3, later(5_020));
     let state = LimitState::Named(limit(1.0));
     assert_eq!(rows, [LimitRow { endpoint: ENDPOINT, state, age_ms: 10 }]);
-    assert_eq!(book.rows_since(mark, 3, later(5_020)).0, []);
+    assert_eq!(limits.rows_since(cursor, 3, later(5_020)).0, []);
 }
 
 /// Guards against late copies that bring an ended limit back or end one that holds.
 #[test]
-fn the_later_word_holds_whatever_way_it_comes() {
+fn the_later_state_wins_on_every_path() {
     let row = |state, age_ms| LimitRow { endpoint: ENDPOINT, state, age_ms };
     let (named, ended) = (LimitState::Named(limit(2.0)), LimitState::Ended(limit(2.0)));
-    let mut book = RateLimits::default();
-    assert!(book.merge(row(named, 0), 1, NOW));
-    assert!(!book.merge(row(named, 0), 2, later(30)), "a copy");
-    assert!(book.merge(row(ended, 0), 1, later(1_000)));
-    assert!(!book.merge(row(named, 1_100), 2, later(1_100)), "an old word");
-    assert!(book.merge(row(named, 0), 2, later(1_500)));
-    assert!(!book.merge(row(ended, 600), 3, later(1_510)), "an old word");
-    assert_eq!(book.pace(ENDPOINT, place(9), later(1_510)), Some(EndpointPace::ZERO));
+    let mut limits = RateLimits::default();
+    assert!(limits.merge(row(named, 0), 1, NOW));
+    assert!(!limits.merge(row(named, 0), 2, later(30)), "a copy");
+    assert!(limits.merge(row(ended, 0), 1, later(1_000)));
+    assert!(!limits.merge(row(named, 1_100), 2, later(1_100)), "an old word");
+    assert!(limits.merge(row(named, 0), 2, later(1_500)));
+    assert!(!limits.merge(row(ended, 600), 3, later(1_510)), "an old word");
+    assert_eq!(limits.pace(ENDPOINT, holder(9), later(1_510)), Some(EndpointPace::ZERO));
 }
 
 /// Guards against entries that return to an endpoint all at the same moments.
 #[test]
 fn entries_that_return_together_do_not_send_at_the_same_moments() {
-    let mut book = RateLimits::default();
-    book.observe(ENDPOINT, Some(limit(2.0)), NOW);
-    book.observe(ENDPOINT, None, later(600));
-    let cells: Vec<_> = (0..149).map(|_| EndpointTracker::default()).collect();
+    let mut limits = RateLimits::default();
+    limits.observe(ENDPOINT, Some(limit(2.0)), NOW);
+    limits.observe(ENDPOINT, None, later(600));
+    let trackers: Vec<_> = (0..149).map(|_| EndpointTracker::default()).collect();
     let mut sent = Vec::new();
     for ms in 600..2_600 {
-        for (index, cell) in cells.iter().enumerate() {
-            cell.set_hard_limit(16);
+        for (index, tracker) in trackers.iter().enumerate() {
+            tracker.set_hard_limit(16);
             let phase = f64::from(index as u32 + 1) / 149.0;
-            let place = HolderRank { rank: index, candidates: 149, entries: 149, phase };
-            cell.set_pace(book.pace(ENDPOINT, place, later(ms)), later(ms));
-            if cell.try_acquire_paced(16, later(ms)) {
-                cell.release();
+            let holder = HolderRank { rank: index, candidates: 149, entries: 149, phase };
+            tracker.set_pace(limits.pace(ENDPOINT, holder, later(ms)), later(ms));
+            if tracker.try_acquire_paced(16, later(ms)) {
+                tracker.release();
                 sent.push(ms);
             }
         }
@@ -174,14 +177,14 @@
 /// Guards against limits of endpoints that are gone filling the memory.
 #[test]
 fn limits_of_endpoints_that_are_gone_are_forgotten() {
-    let mut book = RateLimits::default();
-    book.observe(1, Some(limit(2.0)), NOW);
-    book.observe(2, Some(limit(2.0)), NOW);
-    book.expire(|_| false, later(1_000));
-    assert!(!book.is_empty());
-    book.expire(|endpoint| endpoint == 1, later(70_000));
-    assert!(book.pace(1, place(0), later(70_000)).is_some());
-    assert!(book.pace(2, place(0), later(70_000)).is_none());
+    let mut limits = RateLimits::default();
+    limits.observe(1, Some(limit(2.0)), NOW);
+    limits.observe(2, Some(limit(2.0)), NOW);
+    limits.expire(|_| false, later(1_000));
+    assert!(!limits.is_empty());
+    limits.expire(|endpoint| endpoint == 1, later(70_000));
+    assert!(limits.pace(1, holder(0), later(70_000)).is_some());
+    assert!(limits.pace(2, holder(0), later(70_000)).is_none());
 }
 
 /// Time of one message over a link, in milliseconds.
@@ -194,10 +197,10 @@
 const NOTICE_MS: u64 = 1_500;
 
 /// Entries in a ring with chords, in front of one endpoint that names a limit.
-struct LimitDay {
+struct LimitSimulation {
     now: Timestamp,
-    books: Vec<RateLimits>,
-    cells: Vec<EndpointTracker>,
+    limits: Vec<RateLimits>,
+    trackers: Vec<EndpointTracker>,
     links: Vec<BTreeMap<usize, u64>>,
     /// Until when an entry stands still.
     frozen: Vec<Timestamp>,
@@ -210,7 +213,7 @@
     sent: Vec<Timestamp>,
 }
 
-impl LimitDay {
+impl LimitSimulation {
     fn new(entries: usize) -> Self {
         let mut links = vec![BTreeMap::new(); entries];
         for index in 0..entries {
@@ -223,15 +226,15 @@
         let weight = |index: &usize| rendezvous_weight(ENDPOINT, &format!("entry-{index}"));
         let mut order: Vec<_> = (0..entries).collect();
         order.sort_by_key(|index| std::cmp::Reverse(weight(index)));
-        let cell = |_| {
-            let cell = EndpointTracker::default();
-            cell.set_hard_limit(16);
-            cell
+        let tracker = |_| {
+            let tracker = EndpointTracker::default();
+            tracker.set_hard_limit(16);
+            tracker
         };
         Self {
             now: NOW,
-            books: (0..entries).map(|_| RateLimits::default()).collect(),
-            cells: (0..entries).map(cell).collect(),
+            limits: (0..entries).map(|_| RateLimits::default()).collect(),
+            trackers: (0..entries).map(tracker).collect(),
             links,
             frozen: vec![Timestamp(0); entries],
             frozen_at: vec![Timestamp(0); entries],
@@ -264,9 +267,9 @@
     fn step(&mut self, load: f64, rng: &mut SmallRng) {
         let due: Vec<_> = self.answers.extract_if(.., |(at, _)| *at <= self.now).collect();
         for (_, entry) in due {
-            self.cells[entry].release();
+            self.trackers[entry].release();
             if self.runs(entry) {
-                self.books[entry].observe(ENDPOINT, self.named, self.now);
+                self.limits[entry].observe(ENDPOINT, self.named, self.now);
             }
         }
         let ranked = self.ranked();
@@ -275,35 +278,36 @@
             if !self.runs(entry) {
                 continue;
             }
-            let place = HolderRank { rank, candidates: count, entries: count, phase: 1.0 };
-            let pace = self.books[entry].pace(ENDPOINT, place, self.now);
-            self.cells[entry].set_pace(pace, self.now);
-            if rng.random_bool(load) && self.cells[entry].try_acquire_paced(16, self.now) {
+            let holder = HolderRank { rank, candidates: count, entries: count, phase: 1.0 };
+            let pace = self.limits[entry].pace(ENDPOINT, holder, self.now);
+            self.trackers[entry].set_pace(pace, self.now);
+            if rng.random_bool(load) && self.trackers[entry].try_acquire_paced(16, self.now) {
                 self.sent.push(self.now);
                 self.answers.push((Timestamp(self.now.0 + ANSWER_MS), entry));
             }
         }
-        self.pass_on();
+        self.deliver();
         self.now = Timestamp(self.now.0 + ROUND_MS);
     }
 
-    fn pass_on(&mut self) {
+    fn deliver(&mut self) {
         let mut messages = Vec::new();
-        for index in 0..self.books.len() {
+        for index in 0..self.limits.len() {
             if !self.runs(index) {
                 continue;
             }
-            for (other, mark) in &mut self.links[index] {
+            for (other, cursor) in &mut self.links[index] {
                 if self.now < self.frozen[*other] {
                     continue;
                 }
-                let (rows, next) = self.books[index].rows_since(*mark, *other as LinkId, self.now);
-                *mark = next;
+                let (rows, next) =
+                    self.limits[index].rows_since(*cursor, *other as LinkId, self.now);
+                *cursor = next;
                 messages.extend(rows.into_iter().map(|row| (index, *other, row)));
             }
         }
         for (from, to, row) in messages {
-            self.books[to].merge(row, from as LinkId, self.now);
+            self.limits[to].merge(row, from as LinkId, self.now);
         }
     }
 
@@ -328,28 +332,28 @@
 fn a_limit_is_kept_and_used_while_entries_come_and_go(#[case] entries: usize, #[case] rate: f64) {
     for seed in 0..10 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut day = LimitDay::new(entries);
+        let mut simulation = LimitSimulation::new(entries);
         for _ in 0..40 {
-            day.step(0.5, &mut rng);
+            simulation.step(0.5, &mut rng);
         }
-        day.named = Some(limit(rate));
+        simulation.named = Some(limit(rate));
         for _ in 0..40 {
-            day.step(0.5, &mut rng);
+            simulation.step(0.5, &mut rng);
         }
-        let from = day.now;
+        let from = simulation.now;
         let mut frozen_ms = 0;
         for step in 0..1_200 {
             if step % 200 == 100 {
                 // The first holder, which is the worst to lose.
-                let holder = day.ranked()[0];
-                day.freeze(holder, 3_000);
+                let holder = simulation.ranked()[0];
+                simulation.freeze(holder, 3_000);
                 frozen_ms += NOTICE_MS;
             }
-            day.step(0.5, &mut rng);
+            simulation.step(0.5, &mut rng);
         }
-        let most = day.most_since(from) as f64;
+        let most = simulation.most_since(from) as f64;
         assert!(most <= rate * 4.0 + 5.0, "seed {seed}: {most} in 4 s at {rate} a second");
-        let used = day.sent.iter().filter(|at| **at >= from).count() as f64;
+        let used = simulation.sent.iter().filter(|at| **at >= from).count() as f64;
         let span_s = (1_200 * ROUND_MS - frozen_ms) as f64 / 1_000.0;
         assert!(used >= 0.9 * rate * span_s, "seed {seed}: {used} used of {}", rate * span_s);
     }
--- a/crates/decide/tests/lives.rs
+++ b/crates/decide/tests/lives.rs
@@ -8,18 +8,21 @@
 /// process shows in its start alone. A late word of the former process must not
 /// count as one more start.
 #[test]
-fn a_later_start_under_the_same_name_is_a_new_life() {
+fn a_later_start_under_the_same_name_is_a_restart() {
     let engine = InstanceId::new("engine-1").expect("valid");
-    let mut lives = RestartDetector::default();
-    assert!(!lives.observe_start(&engine, Some(Timestamp(1_000))), "the first life ends none");
-    assert!(!lives.observe_start(&engine, Some(Timestamp(1_000))));
-    assert!(lives.observe_start(&engine, Some(Timestamp(5_000))));
+    let mut detector = RestartDetector::default();
+    assert!(!detector.observe_start(&engine, Some(Timestamp(1_000))), "the first life ends none");
+    assert!(!detector.observe_start(&engine, Some(Timestamp(1_000))));
+    assert!(detector.observe_start(&engine, Some(Timestamp(5_000))));
     assert!(
-        !lives.observe_start(&engine, Some(Timestamp(1_000))),
+        !detector.observe_start(&engine, Some(Timestamp(1_000))),
         "a late word of the former life"
     );
-    assert!(!lives.observe_start(&engine, Some(Timestamp(5_000))));
-    assert!(!lives.observe_start(&engine, None), "a list that tells no start");
-    lives.keep_only(|_| false);
-    assert!(!lives.observe_start(&engine, Some(Timestamp(9_000))), "it was not listed in between");
+    assert!(!detector.observe_start(&engine, Some(Timestamp(5_000))));
+    assert!(!detector.observe_start(&engine, None), "a list that tells no start");
+    detector.keep_only(|_| false);
+    assert!(
+        !detector.observe_start(&engine, Some(Timestamp(9_000))),
+        "it was not listed in between"
+    );
 }
--- a/crates/decide/tests/overlay.rs
+++ b/crates/decide/tests/overlay.rs
@@ -42,7 +42,7 @@
 
 /// All entries and the messages that are on their way.
 struct Fleet {
-    places: Vec<EntryLocation>,
+    locations: Vec<EntryLocation>,
     processes: Vec<Process>,
     dead: BTreeSet<usize>,
     now: Timestamp,
@@ -53,7 +53,7 @@
 
 impl Fleet {
     fn new(entries: usize, regions: usize, seed: u64) -> Self {
-        let place =
+        let location =
             |index| EntryLocation { inner_addr: addr(index), region: region(index % regions) };
         let process = |_| Process {
             store: GossipStore::default(),
@@ -62,7 +62,7 @@
             sent: 0,
         };
         let mut fleet = Self {
-            places: (0..entries).map(place).collect(),
+            locations: (0..entries).map(location).collect(),
             processes: (0..entries).map(process).collect(),
             dead: BTreeSet::new(),
             now: Timestamp(10_000),
@@ -76,34 +76,35 @@
     /// Makes the links that the living entries choose, as once they know each other.
     fn relink(&mut self) {
         let living: Vec<_> =
-            (0..self.places.len()).filter(|index| !self.dead.contains(index)).collect();
-        let places: Vec<_> = living.iter().map(|index| self.places[*index].clone()).collect();
+            (0..self.locations.len()).filter(|index| !self.dead.contains(index)).collect();
+        let locations: Vec<_> = living.iter().map(|index| self.locations[*index].clone()).collect();
         for index in living {
-            for chosen in links_to_dial(&self.places[index], &places) {
-                let other = self.places.iter().position(|p| p.inner_addr == chosen).expect("known");
+            for chosen in links_to_dial(&self.locations[index], &locations) {
+                let other =
+                    self.locations.iter().position(|p| p.inner_addr == chosen).expect("known");
                 self.processes[index].links.entry(other).or_default();
                 self.processes[other].links.entry(index).or_default();
             }
         }
-        self.renew_records();
+        self.refresh_records();
     }
 
-    fn renew_records(&mut self) {
+    fn refresh_records(&mut self) {
         for index in 0..self.processes.len() {
             if !self.dead.contains(&index) {
-                self.renew_record(index);
+                self.refresh_record(index);
             }
         }
     }
 
-    fn renew_record(&mut self, index: usize) {
+    fn refresh_record(&mut self, index: usize) {
         let process = &mut self.processes[index];
         process.sequence += 1;
         let record = EntryRecord {
             instance: name(index),
             incarnation: 1,
             sequence: process.sequence,
-            region: self.places[index].region.clone(),
+            region: self.locations[index].region.clone(),
             failure_domain: FailureDomain::new("hall").expect("valid"),
             inner_addr: addr(index),
             caller_addr: addr(index),
@@ -125,14 +126,14 @@
             }
             let full = self.full;
             let process = &mut self.processes[index];
-            for (other, mark) in &mut process.links {
+            for (other, cursor) in &mut process.links {
                 let link = *other as LinkId;
-                let (records, _, next) = process.store.state_since(*mark, link);
+                let (records, _, next) = process.store.state_since(*cursor, link);
                 let (loads, next) = process.store.loads_since(next, link, self.now);
                 if self.rng.random_bool(full) {
                     continue;
                 }
-                *mark = next;
+                *cursor = next;
                 if !records.is_empty() || !loads.is_empty() {
                     process.sent += 1;
                     messages.push((index, *other, records, loads));
@@ -171,7 +172,7 @@
             let dead = &self.dead;
             self.processes[index].links.retain(|other, _| !dead.contains(other));
         }
-        self.renew_records();
+        self.refresh_records();
     }
 
     fn degrees(&self) -> impl Iterator<Item = usize> {
@@ -179,10 +180,10 @@
     }
 
     fn living(&self) -> BTreeSet<InstanceId> {
-        (0..self.places.len()).filter(|index| !self.dead.contains(index)).map(name).collect()
+        (0..self.locations.len()).filter(|index| !self.dead.contains(index)).map(name).collect()
     }
 
-    fn assert_all_know(&self, living: &BTreeSet<InstanceId>) {
+    fn assert_all_see(&self, living: &BTreeSet<InstanceId>) {
         for index in (0..self.processes.len()).filter(|index| !self.dead.contains(index)) {
             assert_eq!(&self.present(index), living, "as entry {index} sees it");
         }
@@ -197,7 +198,7 @@
 #[case::grown(45, 3, 8)]
 #[case::large(149, REGIONS, 10)]
 #[case::target(370, 2, 12)]
-fn every_entry_is_known_to_all_over_few_links(
+fn every_entry_is_seen_by_all_over_few_links(
     #[case] entries: usize,
     #[case] regions: usize,
     #[case] most_links: usize,
@@ -207,7 +208,7 @@
         let most = fleet.degrees().max().expect("some");
         assert!(most <= most_links, "{most} links at one of {entries} entries");
         (0..KNOWN_ROUNDS).for_each(|_| fleet.round());
-        fleet.assert_all_know(&fleet.living());
+        fleet.assert_all_see(&fleet.living());
     }
 }
 
@@ -225,7 +226,7 @@
         fleet.kill(&killed);
         fleet.relink();
         (0..KNOWN_ROUNDS).for_each(|_| fleet.round());
-        fleet.assert_all_know(&fleet.living());
+        fleet.assert_all_see(&fleet.living());
     }
 }
 
@@ -239,7 +240,7 @@
     for index in 0..45 {
         fleet.processes[index].links.retain(|other, _| cut(*other) == cut(index));
     }
-    fleet.renew_records();
+    fleet.refresh_records();
     (0..KNOWN_ROUNDS).for_each(|_| fleet.round());
     for index in 0..45 {
         let side = (0..45).filter(|other| cut(*other) == cut(index)).map(name).collect();
@@ -247,7 +248,7 @@
     }
     fleet.relink();
     (0..KNOWN_ROUNDS).for_each(|_| fleet.round());
-    fleet.assert_all_know(&fleet.living());
+    fleet.assert_all_see(&fleet.living());
 }
 
 /// Guards against control messages that grow with the number of processes.
@@ -312,21 +313,21 @@
 /// Guards against agents that all hold on to the same entries, or to lost ones.
 #[test]
 fn agents_spread_over_the_entries_and_pass_lost_ones_over() {
-    let mut held: BTreeMap<SocketAddr, usize> = BTreeMap::new();
+    let mut agent_counts: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for agent in 0..300 {
         let subject = subject_of(&format!("agent-{agent}"));
-        let mut choice = EntrySelector::default();
-        choice.set_candidates((0..30).map(addr).collect());
-        let chosen = choice.select(subject, 4, Timestamp(0));
+        let mut selector = EntrySelector::default();
+        selector.set_candidates((0..30).map(addr).collect());
+        let chosen = selector.select(subject, 4, Timestamp(0));
         assert_eq!(chosen.len(), 4);
-        choice.avoid(chosen[0], Timestamp(0));
-        let next = choice.select(subject, 4, Timestamp(10));
-        assert_eq!(next[..3], chosen[1..], "the next in rank takes the place");
-        assert_eq!(choice.select(subject, 4, Timestamp(9_000)), chosen, "it is tried again");
-        chosen.into_iter().for_each(|addr| *held.entry(addr).or_default() += 1);
+        selector.avoid(chosen[0], Timestamp(0));
+        let next = selector.select(subject, 4, Timestamp(10));
+        assert_eq!(next[..3], chosen[1..], "the next in rank takes the location");
+        assert_eq!(selector.select(subject, 4, Timestamp(9_000)), chosen, "it is tried again");
+        chosen.into_iter().for_each(|addr| *agent_counts.entry(addr).or_default() += 1);
     }
-    let most = held.values().max().expect("some");
-    assert!(held.len() == 30 && *most <= 80, "{most} of 300 agents at one entry");
+    let most = agent_counts.values().max().expect("some");
+    assert!(agent_counts.len() == 30 && *most <= 80, "{most} of 300 agents at one entry");
 }
 
 /// Guards against entries that all call the table service, and against rows that
@@ -336,18 +337,18 @@
     let mut fleet = Fleet::new(45, 3, 1);
     (0..KNOWN_ROUNDS).for_each(|_| fleet.round());
     let mut records: Vec<_> = fleet.processes[0].store.records().cloned().collect();
-    let duties = |records: &[EntryRecord]| -> Vec<_> {
+    let roles = |records: &[EntryRecord]| -> Vec<_> {
         let present: Vec<_> = records.iter().collect();
         records.iter().map(|record| feed_role(&record.instance, &present)).collect()
     };
-    let count = |duties: &[FeedRole], duty| duties.iter().filter(|other| **other == duty).count();
-    let calm = duties(&records);
-    assert!((3..=5).contains(&count(&calm, FeedRole::Follow)), "{calm:?}");
-    let first = calm.iter().position(|duty| *duty == FeedRole::Follow).expect("one");
+    let count = |roles: &[FeedRole], role| roles.iter().filter(|other| **other == role).count();
+    let initial = roles(&records);
+    assert!((3..=5).contains(&count(&initial, FeedRole::Follow)), "{initial:?}");
+    let first = initial.iter().position(|role| *role == FeedRole::Follow).expect("one");
     records[first].follows_rows = false;
-    let turned_away = duties(&records);
-    assert_eq!(turned_away[first], FeedRole::Probe);
-    assert!((3..=5).contains(&count(&turned_away, FeedRole::Follow)), "{turned_away:?}");
+    let rejected = roles(&records);
+    assert_eq!(rejected[first], FeedRole::Probe);
+    assert!((3..=5).contains(&count(&rejected, FeedRole::Follow)), "{rejected:?}");
     records.iter_mut().for_each(|record| record.follows_rows = false);
-    assert_eq!(duties(&records), calm, "nobody is answered, and the same entries go on");
+    assert_eq!(roles(&records), initial, "nobody is answered, and the same entries go on");
 }
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -68,7 +68,7 @@
     workspace: usize,
     priority: PriorityClass,
     arrived: u64,
-    tracker: RetryTracker,
+    retries: RetryTracker,
     excluded: Vec<InstanceId>,
 }
 
@@ -82,7 +82,7 @@
     admission: ServiceAdmission<usize>,
     budget: RetryBudget,
     snapshot: RouteSnapshot,
-    cells: Vec<Arc<EndpointTracker>>,
+    trackers: Vec<Arc<EndpointTracker>>,
     total: Arc<AtomicU32>,
 }
 
@@ -99,28 +99,28 @@
     outcome: Outcome,
 }
 
-fn stamp(now: u64) -> Timestamp {
+fn timestamp(now: u64) -> Timestamp {
     Timestamp(START + now)
 }
 
 impl Entry {
     fn new(service: &ServiceName, names: &[InstanceId]) -> Self {
-        let cells: Vec<_> = names.iter().map(|_| Arc::new(EndpointTracker::default())).collect();
-        let candidate = |(name, cell): (&InstanceId, &Arc<EndpointTracker>)| RouteCandidate {
+        let trackers: Vec<_> = names.iter().map(|_| Arc::new(EndpointTracker::default())).collect();
+        let candidate = |(name, tracker): (&InstanceId, &Arc<EndpointTracker>)| RouteCandidate {
             instance: name.clone(),
             version: None,
             is_near: false,
             path: EndpointPath::Agent,
-            tracker: cell.clone(),
+            tracker: tracker.clone(),
         };
-        let candidates = names.iter().zip(&cells).map(candidate).collect();
+        let candidates = names.iter().zip(&trackers).map(candidate).collect();
         let total = Arc::new(AtomicU32::new(0));
         let routes = ServiceRoutes::new(candidates, total.clone());
         Self {
             admission: ServiceAdmission::new(1_024),
             budget: RetryBudget::default(),
             snapshot: RouteSnapshot::new(HashMap::from([(service.clone(), routes)])),
-            cells,
+            trackers,
             total,
         }
     }
@@ -185,9 +185,9 @@
     fn report(&mut self) {
         for (endpoint, gate) in self.gates.iter().enumerate() {
             let in_flight = gate.in_progress();
-            let load = LoadReport { in_flight, queued: 0, measured_at: stamp(self.now) };
+            let load = LoadReport { in_flight, queued: 0, measured_at: timestamp(self.now) };
             for entry in &self.entries {
-                entry.cells[endpoint].apply_report(&load, LIMIT);
+                entry.trackers[endpoint].apply_report(&load, LIMIT);
             }
         }
     }
@@ -200,19 +200,19 @@
             1..=6 => PriorityClass::Normal,
             _ => PriorityClass::Low,
         };
-        let deadline = Deadline(stamp(self.now).0 + DEADLINE_MS);
+        let deadline = Deadline(timestamp(self.now).0 + DEADLINE_MS);
         let entry = self.rng.random_range(0..ENTRIES);
         self.requests.push(Request {
             entry,
             workspace,
             priority,
             arrived: self.now,
-            tracker: RetryTracker::new(RepeatGuard::None, deadline, 3),
+            retries: RetryTracker::new(RepeatGuard::None, deadline, 3),
             excluded: Vec::new(),
         });
         self.count(self.requests.len() - 1, |counts| counts.arrived += 1.0);
         self.outcome.requests += 1;
-        let (request, now) = (self.requests.len() - 1, stamp(self.now));
+        let (request, now) = (self.requests.len() - 1, timestamp(self.now));
         let entry = &self.entries[entry];
         entry.budget.deposit();
         let capacity = entry.capacity(&self.service, now);
@@ -247,7 +247,7 @@
             allowed: None,
             extra_capacity: 0,
             max_in_flight: LIMIT,
-            now: stamp(self.now),
+            now: timestamp(self.now),
         };
         let Some(choice) = entry.snapshot.choose(&query, &mut self.rng) else {
             return self.after(number, NotRunReason::NoEndpoint);
@@ -255,18 +255,18 @@
         let name = choice.candidate.instance.clone();
         let endpoint = self.names.iter().position(|n| *n == name).expect("an endpoint");
         request.excluded.push(name);
-        request.tracker.begin_attempt();
+        request.retries.begin_attempt();
         self.outcome.attempts += 1;
         match self.gates[endpoint].enter(PresetRevision(1), None) {
             Ok(_) => {
-                entry.cells[endpoint].acquire();
+                entry.trackers[endpoint].acquire();
                 entry.total.fetch_add(1, Ordering::Relaxed);
                 let work = self.rng.random_range(WORK_MS - 80..=WORK_MS + 80);
                 let done = Event::Done { request: number, endpoint };
                 self.events.push(Reverse((self.now + work, done)));
             }
             Err(reason) => {
-                entry.cells[endpoint].record_refusal(stamp(self.now));
+                entry.trackers[endpoint].record_refusal(timestamp(self.now));
                 self.after(number, reason);
             }
         }
@@ -276,7 +276,7 @@
         let request = &mut self.requests[number];
         let budget = &self.entries[request.entry].budget;
         let end = AttemptFailure::NotRun(reason);
-        match request.tracker.next_step(end, budget, stamp(self.now), &mut self.rng) {
+        match request.retries.next_step(end, budget, timestamp(self.now), &mut self.rng) {
             RetryStep::Retry(at) | RetryStep::Reroute(at) => {
                 let at = (at.0 - START).max(self.now + 1);
                 self.events.push(Reverse((at, Event::Try { request: number })));
@@ -288,8 +288,8 @@
     fn done(&mut self, number: usize, endpoint: usize) {
         self.gates[endpoint].leave();
         let entry = &self.entries[self.requests[number].entry];
-        entry.cells[endpoint].record_success();
-        entry.cells[endpoint].release();
+        entry.trackers[endpoint].record_success();
+        entry.trackers[endpoint].release();
         entry.total.fetch_sub(1, Ordering::Relaxed);
         if self.now <= self.requests[number].arrived + DEADLINE_MS {
             self.count(number, |counts| counts.in_time += 1.0);
@@ -298,7 +298,7 @@
     }
 
     fn release(&mut self, number: usize) {
-        let (entry, now) = (&self.entries[self.requests[number].entry], stamp(self.now));
+        let (entry, now) = (&self.entries[self.requests[number].entry], timestamp(self.now));
         let capacity = entry.capacity(&self.service, now);
         let admitted = &mut self.admitted;
         entry.admission.release(capacity, now, |request, verdict| {
@@ -389,13 +389,13 @@
 /// One workspace sends ten times its share, so that all together exceed the
 /// capacity. The callers of the nine others must not notice.
 #[test]
-fn a_greedy_workspace_takes_nothing_from_the_others() {
+fn a_busy_workspace_takes_nothing_from_the_others() {
     let others = 0.9 * (WORKSPACES - 1) as f64 / WORKSPACES as f64;
-    let calm = run(Admission::Shipped, Load { offered: 0.9, first_weight: 1.0 });
-    let greedy = Load { offered: others + 0.9, first_weight: 10.0 };
-    let burst = run(Admission::Shipped, greedy);
-    let unlimited = run(Admission::Unlimited, greedy);
-    let lost = 1.0 - answered(&burst.others) / answered(&calm.others);
+    let normal = run(Admission::Shipped, Load { offered: 0.9, first_weight: 1.0 });
+    let busy = Load { offered: others + 0.9, first_weight: 10.0 };
+    let burst = run(Admission::Shipped, busy);
+    let unlimited = run(Admission::Unlimited, busy);
+    let lost = 1.0 - answered(&burst.others) / answered(&normal.others);
     println!(
         "others lose {lost:.4}; all answered {:.4}, unlimited {:.4}",
         answered(&burst.all),
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -8,13 +8,13 @@
 const NOW: Timestamp = Timestamp(1_000);
 const DEADLINE: Deadline = Deadline(9_000);
 
-struct Tries {
+struct TestRequest {
     tracker: RetryTracker,
     budget: RetryBudget,
     rng: SmallRng,
 }
 
-impl Tries {
+impl TestRequest {
     fn new(guard: RepeatGuard) -> Self {
         let rng = SmallRng::seed_from_u64(1);
         Self { tracker: RetryTracker::new(guard, DEADLINE, 3), budget: RetryBudget::default(), rng }
@@ -38,8 +38,8 @@
 /// card was charged. A second attempt could charge it twice.
 #[test]
 fn a_request_without_key_is_not_sent_again_after_a_possible_run() {
-    let mut tries = Tries::new(RepeatGuard::None);
-    assert_eq!(tries.after(unknown()), RetryStep::Stop(unknown()));
+    let mut request = TestRequest::new(RepeatGuard::None);
+    assert_eq!(request.after(unknown()), RetryStep::Stop(unknown()));
 }
 
 /// The first attempt may have run; the second was refused. Were the caller told
@@ -49,11 +49,11 @@
 #[case(NotRunReason::NoEndpoint)]
 #[case(NotRunReason::StoreUnavailable)]
 fn a_refusal_after_a_possible_run_stays_unknown(#[case] reason: NotRunReason) {
-    let mut tries = Tries::new(RepeatGuard::Claimed);
-    assert!(matches!(tries.after(unknown()), RetryStep::Retry(_)));
-    let mut step = tries.after(refused(reason));
+    let mut request = TestRequest::new(RepeatGuard::Claimed);
+    assert!(matches!(request.after(unknown()), RetryStep::Retry(_)));
+    let mut step = request.after(refused(reason));
     while let RetryStep::Retry(_) = step {
-        step = tries.after(refused(reason));
+        step = request.after(refused(reason));
     }
     assert_eq!(step, RetryStep::Stop(unknown()));
 }
@@ -62,18 +62,18 @@
 /// the same row and wait for it as long, and the caller would wait for all.
 #[test]
 fn a_claim_that_is_held_elsewhere_ends_the_attempts() {
-    let mut tries = Tries::new(RepeatGuard::Claimed);
-    let step = tries.after(AttemptFailure::Unanswered("held".to_owned()));
+    let mut request = TestRequest::new(RepeatGuard::Claimed);
+    let step = request.after(AttemptFailure::Unanswered("held".to_owned()));
     assert!(matches!(step, RetryStep::Stop(AttemptFailure::Unknown(_))));
 }
 
 /// The only endpoint is full. "No endpoint" would send the operator to look for
 /// a dead process.
 #[test]
-fn the_last_refusal_is_told_and_not_that_no_other_endpoint_is_left() {
-    let mut tries = Tries::new(RepeatGuard::Idempotent);
-    assert!(matches!(tries.after(refused(NotRunReason::Overloaded)), RetryStep::Retry(_)));
-    let step = tries.after(refused(NotRunReason::NoEndpoint));
+fn the_last_refusal_is_reported_and_not_that_no_endpoint_is_left() {
+    let mut request = TestRequest::new(RepeatGuard::Idempotent);
+    assert!(matches!(request.after(refused(NotRunReason::Overloaded)), RetryStep::Retry(_)));
+    let step = request.after(refused(NotRunReason::NoEndpoint));
     assert_eq!(step, RetryStep::Stop(refused(NotRunReason::Overloaded)));
 }
 
@@ -81,8 +81,8 @@
 /// healthy and may be the only one; it is asked again under the newer preset.
 #[test]
 fn a_stale_revision_is_routed_anew() {
-    let mut tries = Tries::new(RepeatGuard::None);
-    let step = tries.after(refused(NotRunReason::StaleRevision));
+    let mut request = TestRequest::new(RepeatGuard::None);
+    let step = request.after(refused(NotRunReason::StaleRevision));
     assert!(matches!(step, RetryStep::Reroute(_)));
 }
 
@@ -110,7 +110,7 @@
 
 /// Guards against entries that each keep the share that they had when they knew few others.
 #[test]
-fn the_savings_of_all_entries_stay_within_the_slack() {
+fn the_bursts_of_all_entries_stay_within_the_slack() {
     let (slack, entries) = (654.0, 149);
     let budgets: Vec<_> = (0..entries).map(|_| RetryBudget::new(0.2, slack / 9.0)).collect();
     budgets.iter().for_each(|budget| budget.set_burst(slack / f64::from(entries)));
--- a/crates/decide/tests/roster.rs
+++ b/crates/decide/tests/roster.rs
@@ -49,11 +49,11 @@
 /// What happens to a roster.
 #[derive(Debug, Clone)]
 enum RosterStep {
-    Hear { index: u8, incarnation: u64 },
+    Report { index: u8, incarnation: u64 },
     Leave { index: u8, incarnation: u64 },
-    Forget { index: u8, incarnation: u64 },
-    List(Vec<u8>),
-    Silence,
+    Remove { index: u8, incarnation: u64 },
+    PlatformList(Vec<u8>),
+    Expire,
 }
 
 /// What a roster must show: known processes, words of leaving, the platform's list.
@@ -75,18 +75,18 @@
     fn transitions(_: &Self) -> BoxedStrategy<RosterStep> {
         let process = (0_u8..3, 1_u64..4);
         prop_oneof![
-            4 => process.clone().prop_map(|(index, incarnation)| RosterStep::Hear { index, incarnation }),
+            4 => process.clone().prop_map(|(index, incarnation)| RosterStep::Report { index, incarnation }),
             2 => process.clone().prop_map(|(index, incarnation)| RosterStep::Leave { index, incarnation }),
-            1 => process.prop_map(|(index, incarnation)| RosterStep::Forget { index, incarnation }),
-            1 => prop::collection::vec(0_u8..3, 0..3).prop_map(RosterStep::List),
-            1 => Just(RosterStep::Silence),
+            1 => process.prop_map(|(index, incarnation)| RosterStep::Remove { index, incarnation }),
+            1 => prop::collection::vec(0_u8..3, 0..3).prop_map(RosterStep::PlatformList),
+            1 => Just(RosterStep::Expire),
         ]
         .boxed()
     }
 
     fn apply(mut state: Self, step: &RosterStep) -> Self {
         match step {
-            RosterStep::Hear { index, incarnation } => {
+            RosterStep::Report { index, incarnation } => {
                 let known = state.members.entry(*index).or_default();
                 *known = (*known).max(*incarnation);
             }
@@ -94,13 +94,13 @@
                 let left = state.left.entry(*index).or_default();
                 *left = (*left).max(*incarnation);
             }
-            RosterStep::Forget { index, incarnation } => {
+            RosterStep::Remove { index, incarnation } => {
                 if state.members.get(index) == Some(incarnation) {
                     state.members.remove(index);
                 }
             }
-            RosterStep::List(listed) => state.listed = listed.iter().copied().collect(),
-            RosterStep::Silence => state.members.clear(),
+            RosterStep::PlatformList(listed) => state.listed = listed.iter().copied().collect(),
+            RosterStep::Expire => state.members.clear(),
         }
         state
     }
@@ -123,23 +123,23 @@
     fn apply(mut test: Self, reference: &RosterReference, step: RosterStep) -> Self {
         test.now = Timestamp(test.now.0 + 10);
         match step {
-            RosterStep::Hear { index, incarnation } => {
+            RosterStep::Report { index, incarnation } => {
                 test.roster.apply_report(report(index, incarnation), test.now);
             }
             RosterStep::Leave { index, incarnation } => {
                 test.roster.mark_leaving(&instance(index), incarnation, test.now);
             }
-            RosterStep::Forget { index, incarnation } => {
+            RosterStep::Remove { index, incarnation } => {
                 test.roster.remove(&instance(index), incarnation);
             }
-            RosterStep::List(listed) => {
+            RosterStep::PlatformList(listed) => {
                 test.roster.set_platform_leaving(listed.into_iter().map(instance).collect());
             }
-            RosterStep::Silence => {
+            RosterStep::Expire => {
                 test.roster.expire(Timestamp(test.now.0 + 1), test.now);
             }
         }
-        let shown: BTreeMap<_, _> = test
+        let actual: BTreeMap<_, _> = test
             .roster
             .members()
             .map(|member| {
@@ -148,7 +148,7 @@
                 (report.instance.clone(), (report.incarnation, leaving))
             })
             .collect();
-        let wanted: BTreeMap<_, _> = reference
+        let expected: BTreeMap<_, _> = reference
             .members
             .iter()
             .map(|(index, incarnation)| {
@@ -157,7 +157,7 @@
                 (instance(*index), (*incarnation, leaving))
             })
             .collect();
-        assert_eq!(shown, wanted);
+        assert_eq!(actual, expected);
         test
     }
 }
@@ -206,7 +206,7 @@
 /// The message of leaving is lost in a full queue. The next heartbeat repeats
 /// it, or callers would be sent to an entry that is about to stop.
 #[test]
-fn a_heartbeat_repeats_the_word_of_leaving() {
+fn a_heartbeat_repeats_the_leave_notice() {
     let mut roster = EntryRoster::default();
     roster.apply_heartbeat(&instance(0), peer(1, true, 10));
     assert!(!is_advised(&roster));
@@ -226,7 +226,7 @@
 /// An endpoint was silent for a while and was dropped. Its next heartbeat tells
 /// only a load; without its state nothing may be routed there.
 #[test]
-fn a_beat_alone_makes_no_member() {
+fn a_load_heartbeat_alone_makes_no_member() {
     let mut roster = EndpointRoster::default();
     let load = LoadReport { in_flight: 3, queued: 1, measured_at: Timestamp(5) };
     assert!(roster.apply_load(&instance(0), 1, load, Timestamp(5)).is_none());
@@ -238,7 +238,7 @@
 
 /// An endpoint that sends beats is not silent, though it sends no whole report.
 #[test]
-fn beats_keep_a_member() {
+fn load_heartbeats_keep_a_member() {
     let mut roster = EndpointRoster::default();
     roster.apply_report(report(0, 1), Timestamp(0));
     let load = LoadReport { in_flight: 0, queued: 0, measured_at: Timestamp(50) };
--- a/crates/decide/tests/routing.rs
+++ b/crates/decide/tests/routing.rs
@@ -33,7 +33,7 @@
 struct Entry {
     service: ServiceName,
     snapshot: RouteSnapshot,
-    cells: Vec<Arc<EndpointTracker>>,
+    trackers: Vec<Arc<EndpointTracker>>,
     total: Arc<AtomicU32>,
     names: Vec<InstanceId>,
     next: usize,
@@ -43,27 +43,28 @@
 impl Entry {
     fn new(seed: u64) -> Self {
         let service = ServiceName::new("desk").expect("a service");
-        let cells: Vec<_> = (0..ENDPOINTS).map(|_| Arc::new(EndpointTracker::default())).collect();
-        for cell in &cells {
+        let trackers: Vec<_> =
+            (0..ENDPOINTS).map(|_| Arc::new(EndpointTracker::default())).collect();
+        for tracker in &trackers {
             let measured_at = Timestamp(START);
-            cell.apply_report(&LoadReport { in_flight: 0, queued: 0, measured_at }, 64);
+            tracker.apply_report(&LoadReport { in_flight: 0, queued: 0, measured_at }, 64);
         }
         let name = |index| InstanceId::new(&format!("endpoint-{index}")).expect("an instance");
         let names: Vec<_> = (0..ENDPOINTS).map(name).collect();
         let version = ModelVersion::new("v1").ok();
-        let candidate = |(index, cell): (usize, &Arc<EndpointTracker>)| RouteCandidate {
+        let candidate = |(index, tracker): (usize, &Arc<EndpointTracker>)| RouteCandidate {
             instance: names[index].clone(),
             version: version.clone(),
             is_near: index % 4 == 0,
             path: EndpointPath::Agent,
-            tracker: cell.clone(),
+            tracker: tracker.clone(),
         };
-        let candidates = cells.iter().enumerate().map(candidate).collect();
+        let candidates = trackers.iter().enumerate().map(candidate).collect();
         let total = Arc::new(AtomicU32::new(0));
         let routes = ServiceRoutes::new(candidates, total.clone());
         let snapshot = RouteSnapshot::new(HashMap::from([(service.clone(), routes)]));
         let rng = SmallRng::seed_from_u64(seed);
-        Self { service, snapshot, cells, total, names, next: 0, rng }
+        Self { service, snapshot, trackers, total, names, next: 0, rng }
     }
 
     fn choose(
@@ -80,7 +81,7 @@
                 (self.next..self.next + ENDPOINTS).map(|index| index % ENDPOINTS).find(free)
             }
             Policy::LeastOutstanding => {
-                (0..ENDPOINTS).filter(free).min_by_key(|index| self.cells[*index].in_flight())
+                (0..ENDPOINTS).filter(free).min_by_key(|index| self.trackers[*index].in_flight())
             }
             Policy::Shipped => {
                 let service = &self.service;
@@ -101,12 +102,12 @@
     }
 
     fn begin(&self, endpoint: usize) {
-        self.cells[endpoint].acquire();
+        self.trackers[endpoint].acquire();
         self.total.fetch_add(1, Ordering::Relaxed);
     }
 
     fn end(&self, endpoint: usize) {
-        self.cells[endpoint].release();
+        self.trackers[endpoint].release();
         self.total.fetch_sub(1, Ordering::Relaxed);
     }
 
@@ -187,7 +188,7 @@
 /// spread evenly, every engine would compute every prefix, and the first token
 /// would come late for all; were they all sent to one, it would be overloaded.
 #[test]
-fn common_prefixes_meet_the_engine_that_cached_them() {
+fn common_prefixes_reach_the_engine_that_cached_them() {
     let shipped = share_prefixes(Policy::Shipped);
     let round_robin = share_prefixes(Policy::RoundRobin);
     let least = share_prefixes(Policy::LeastOutstanding);
@@ -217,7 +218,7 @@
 
 struct Request {
     entry: usize,
-    tracker: RetryTracker,
+    retries: RetryTracker,
     excluded: Vec<InstanceId>,
 }
 
@@ -234,9 +235,9 @@
         let now = Timestamp(START + tick);
         for (entry, budget) in budgets.iter().enumerate() {
             if requests.len() < REQUESTS {
-                let tracker =
+                let retries =
                     RetryTracker::new(RepeatGuard::Idempotent, Deadline(now.0 + 5_000), 3);
-                requests.push(Request { entry, tracker, excluded: Vec::new() });
+                requests.push(Request { entry, retries, excluded: Vec::new() });
                 budget.deposit();
                 waiting.push_back((tick, requests.len() - 1));
             }
@@ -249,7 +250,7 @@
             let chosen = entry.choose(policy, None, &request.excluded, now);
             let endpoint = chosen.expect("there is room");
             request.excluded.push(entry.names[endpoint].clone());
-            request.tracker.begin_attempt();
+            request.retries.begin_attempt();
             attempts += 1;
             entry.begin(endpoint);
             let work = match (endpoint, bad) {
@@ -266,14 +267,14 @@
             let entry = &entries[call.entry];
             entry.end(call.endpoint);
             if call.endpoint != 0 || bad != BadEndpoint::FailsAtOnce {
-                entry.cells[call.endpoint].record_success();
+                entry.trackers[call.endpoint].record_success();
                 done += 1;
                 continue;
             }
             entry.fail(call.endpoint, now);
             let end = AttemptFailure::NotRun(NotRunReason::ConnectFailed);
             let budget = &budgets[call.entry];
-            match requests[call.request].tracker.next_step(end, budget, now, &mut rng) {
+            match requests[call.request].retries.next_step(end, budget, now, &mut rng) {
                 RetryStep::Retry(at) | RetryStep::Reroute(at) => {
                     waiting.push_back((at.0 - START, call.request));
                 }
@@ -320,6 +321,6 @@
     for _ in 0..5 {
         (0..ENDPOINTS).for_each(|endpoint| entry.fail(endpoint, now));
     }
-    let ejected = entry.cells.iter().filter(|cell| cell.is_ejected(now)).count();
+    let ejected = entry.trackers.iter().filter(|tracker| tracker.is_ejected(now)).count();
     assert_eq!(ejected, ENDPOINTS / 2);
 }
