--- a/crates/decide/benches/route.rs
+++ b/crates/decide/benches/route.rs
@@ -1,5 +1,5 @@
-//! Time of one route decision among 16, 400 and 7,300 endpoints, against round
-//! robin and a scan for the least outstanding requests.
+//! Duration of one routing decision among 16, 400 and 7,300 endpoints, compared with round robin
+//! and a scan for the least outstanding requests.
 
 use std::{collections::HashMap, hint::black_box, sync::Arc};
 
@@ -70,9 +70,7 @@
             });
         });
         group.bench_function(BenchmarkId::new("least-outstanding", size), |b| {
-            b.iter(|| {
-                black_box(trackers.iter().min_by_key(|tracker| tracker.in_flight())).is_some()
-            });
+            b.iter(|| black_box(trackers.iter().min_by_key(|t| t.in_flight())).is_some());
         });
         group.bench_function(BenchmarkId::new("round-robin", size), |b| {
             let mut next = 0;
--- a/crates/decide/tests/admit.rs
+++ b/crates/decide/tests/admit.rs
@@ -1,4 +1,4 @@
-//! Places and waiting requests under many threads.
+//! Admission slots and queued requests under many threads.
 
 use std::{
     sync::{
@@ -37,9 +37,9 @@
     verdict
 }
 
-/// Requests come, wait and end on many threads at once. A place that is given
-/// back while nobody seems to wait would be lost, and callers would wait at an
-/// idle engine until their deadlines.
+/// Guards against a lost slot. Requests arrive, wait and finish on many threads at once; a slot
+/// that is released while a request is being queued could go unnoticed, and callers would wait at
+/// an idle engine until their deadlines.
 #[test]
 fn no_place_is_lost_or_given_twice() {
     let admission = Arc::new(ServiceAdmission::<Handle>::new(1_000));
@@ -67,8 +67,8 @@
     assert!(most.load(Ordering::SeqCst) <= CAPACITY);
 }
 
-/// The queue is full. What is shed is the least urgent of the workspace that
-/// waits the most, not the one call of a small practice.
+/// Guards against shedding the only request of a small workspace. A full queue sheds the lowest
+/// priority of the workspace with the most waiting requests.
 #[test]
 fn a_full_queue_sheds_the_lowest_priority_of_the_longest_queue() {
     let admission = ServiceAdmission::<Handle>::new(4);
@@ -88,16 +88,16 @@
     assert_eq!(urgent.try_recv(), Ok(AdmitVerdict::Admitted));
 }
 
-/// What callers get of a service in lasting overload.
+/// Number of admitted requests under sustained overload, by tier.
 #[derive(Debug, Default)]
 struct OverloadCount {
     in_time: u32,
     returned: u32,
 }
 
-/// Plays a minute in which a third more requests come than the places can take.
-/// Each holds its place for 100 ms; who is refused comes back once, two seconds
-/// later, and `tier_of` says what the admission is told of that.
+/// Simulates a minute with a third more requests than the slots can serve. Each request holds its
+/// slot for 100 ms. A refused caller returns once, two seconds later; `tier_of` sets the tier of
+/// its request.
 fn simulate_overload(tier_of: impl Fn(bool) -> AdmitTier) -> OverloadCount {
     const PLACES: u32 = 16;
     const HELD_MS: u64 = 100;
@@ -115,7 +115,7 @@
                 true
             });
         }
-        // Sixteen places free up 160 times a second; 213 fresh requests come.
+        // Sixteen slots free up 160 times a second; 213 first-time requests arrive.
         let fresh = (ms + 1) * 213 / 1_000 - ms * 213 / 1_000;
         let mut arrivals = due.remove(&ms).unwrap_or_default();
         arrivals.extend((0..fresh).map(|_| false));
@@ -150,10 +150,10 @@
     count
 }
 
-/// A third more requests come than there is room for, all day. Callers that were
-/// refused come back and have missed their aim; with places for them, fresh
-/// requests are refused in their stead and miss theirs as well. As many are
-/// answered, and far more of them in time.
+/// Guards against serving callers too late under sustained overload, a third above capacity.
+/// Refused callers that return have missed their latency target; each slot they take makes a
+/// first-time request miss its target as well. With tiers, as many requests are answered, and far
+/// more of them in time.
 #[test]
 fn fresh_requests_go_before_returning_ones_in_lasting_overload() {
     let untiered = simulate_overload(|_| AdmitTier::Fresh);
--- a/crates/decide/tests/budget.rs
+++ b/crates/decide/tests/budget.rs
@@ -1,12 +1,12 @@
-//! The budget of calls to the table service.
+//! Budget of calls to the table service.
 
 use std::time::Duration;
 
 use cassiawheel_decide::budget::{CallBudget, poll_backoff_ms};
 use cassiawheel_model::Timestamp;
 
-/// A process calls the table service in a loop. It must not take more than its
-/// share, or other processes would be turned away.
+/// Guards against a process that calls the table service in a loop and exceeds its share, so that
+/// other processes would be rejected.
 #[test]
 fn a_loop_of_calls_is_held_to_its_rate() {
     let mut budget = CallBudget::new(20, Timestamp(0));
@@ -16,7 +16,7 @@
     assert!(budget.take(Timestamp(10_000)).is_ok());
 }
 
-/// The clock steps back. The budget neither grows nor blocks for ever.
+/// Guards against a clock that steps back: the budget neither grows nor blocks for ever.
 #[test]
 fn a_clock_that_steps_back_adds_nothing() {
     let mut budget = CallBudget::new(1, Timestamp(50_000));
@@ -25,8 +25,8 @@
     assert!(budget.take(Timestamp(51_000)).is_ok());
 }
 
-/// The table service is down. Polls become rare, and stay frequent enough to
-/// notice its return within seconds.
+/// Guards against polls that overload or miss a recovering table service: while it is down they
+/// become rare, but stay frequent enough to notice its return within seconds.
 #[test]
 fn polls_back_off_to_eight_times_their_interval() {
     let waits: Vec<_> = (0..6).map(|failures| poll_backoff_ms(1_000, failures)).collect();
--- a/crates/decide/tests/caller_index.rs
+++ b/crates/decide/tests/caller_index.rs
@@ -1,4 +1,4 @@
-//! Routes by host and path, keys, and shares of a split route.
+//! Routes by host and path, API keys, and weights of a split route.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -35,8 +35,7 @@
     CallerIndex::new(Arc::new(CallerTable { routes, keys, needs_key: true, limits }))
 }
 
-/// The longest prefix that begins the path wins, a prefix ends at a slash, and
-/// another host has other routes.
+/// The longest matching prefix wins, a prefix ends at a slash, and each host has its own routes.
 #[rstest]
 #[case("a.example", "/tours/x", Some("a.example/tours/"))]
 #[case("a.example", "/tours/groups/7", Some("a.example/tours/groups/"))]
@@ -56,8 +55,8 @@
     assert_eq!(index.route(host, path).map(|rule| rule.name.as_str()), found);
 }
 
-/// A key was taken away while its callers were connected, or a caller guesses
-/// one. Its request must not run; those of public routes need no key.
+/// Guards against running a request whose key was revoked while its caller was connected, or
+/// guessed. Public routes need no key.
 #[test]
 fn only_known_keys_open_routes_that_need_one() {
     let closed = rule("a.example", "/", &[("desk", 1)], false);
@@ -70,7 +69,7 @@
     assert_eq!(index.workspace(&public, None), Ok(None));
 }
 
-/// Each service gets its weight of all points, and one of weight zero nothing.
+/// Each service gets its weight of all points, and one of weight zero gets none.
 #[test]
 fn shares_follow_the_weights() {
     let rule = rule("a.example", "/", &[("old", 90), ("none", 0), ("new", 10)], false);
--- a/crates/decide/tests/control_traffic.rs
+++ b/crates/decide/tests/control_traffic.rs
@@ -1,4 +1,4 @@
-//! What agents tell entries and each other, and how often.
+//! Volume and frequency of the messages from agents to entries and to each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +19,7 @@
 fn staged(ready: u32) -> StagedWeights {
     StagedWeights {
         version: ModelVersion::new("v2").expect("valid"),
-        manifest: ManifestDigest::of(b"expected"),
+        manifest: ManifestDigest::of(b"wanted"),
         chunks_ready: ready,
         chunks_total: 48,
     }
@@ -47,9 +47,9 @@
     }
 }
 
-/// A version is being fetched, and the endpoint holds a few chunks more at each
-/// heartbeat. Told as a whole each time, a hundred endpoints fill the links on
-/// which the chunks themselves travel, and callers see slow answers.
+/// Guards against full reports at every heartbeat while a version is fetched and the number of
+/// chunks changes each time. From a hundred endpoints they saturate the links that also carry the
+/// chunks, and callers see slow answers.
 #[test]
 fn progress_alone_is_sent_once_a_second() {
     let sent = SentReport::new(report(3, 0), START);
@@ -58,8 +58,8 @@
     assert!(!sent.covers(&report(44, 5), at(1_001)));
 }
 
-/// The last chunk arrives, or the state changes. Entries plan by that and route
-/// by it, so that it is told at the next heartbeat.
+/// Guards against late reports of the last chunk or of a state change. Entries plan and route by
+/// them, so they are sent at the next heartbeat.
 #[test]
 fn changes_that_entries_act_on_are_sent_at_once() {
     let sent = SentReport::new(report(47, 0), START);
@@ -71,15 +71,15 @@
     assert!(!sent.covers(&EndpointReport { staged: Some(other), ..report(47, 0) }, at(200)));
 }
 
-/// A load changes at every heartbeat and needs no whole report, however old.
+/// A load changes at every heartbeat and never requires a full report.
 #[test]
 fn a_load_alone_needs_no_whole_report() {
     let sent = SentReport::new(report(48, 0), START);
     assert!(sent.covers(&report(48, 7), at(60_000)));
 }
 
-/// An entry of another region asks for fewer loads; one that asked for nothing
-/// gets one with every heartbeat.
+/// An entry of another region requests fewer load reports; by default, one is sent with every
+/// heartbeat.
 #[rstest]
 #[case(LoadSchedule::every_heartbeat(), 10)]
 #[case(LoadSchedule::every(600, START), 3)]
@@ -91,9 +91,8 @@
     assert_eq!(heartbeats.filter(|now| schedule.take_due(*now)).count(), expected);
 }
 
-/// Nothing was lost. A hundred agents that repeat everything to each other at
-/// every heartbeat send ten thousand lists; two repeats in two seconds are
-/// enough to be taken for alive.
+/// Guards against full lists at every heartbeat: a hundred agents would send ten thousand lists.
+/// Two resends within two seconds are enough to count as alive.
 #[test]
 fn a_list_is_repeated_now_and_then_if_nothing_was_missed() {
     let mut schedule = ResyncSchedule::new(START);
@@ -102,9 +101,8 @@
     assert_eq!(heartbeats.filter(|now| schedule.take_due(*now)).count(), 2);
 }
 
-/// A queue was full, and the word of a gained chunk was lost. Until it is
-/// repeated nobody fetches that chunk there, and if it is the only copy the
-/// version waits for it everywhere.
+/// Guards against a chunk announcement dropped by a full queue. Until the list is resent, no peer
+/// fetches the chunk there, and if it is the only copy, the version is blocked everywhere.
 #[test]
 fn a_list_is_repeated_at_once_after_a_full_queue() {
     let mut schedule = ResyncSchedule::new(START);
@@ -133,16 +131,16 @@
     }
 }
 
-/// Who draws a chunk from the origin, and who imports it, every agent works out
-/// from the names it knows. If two agents of a region knew different names of
-/// it, both or neither would fetch the chunk.
+/// Guards against agents of a region that know different names. Each agent computes from them which
+/// agent fetches a chunk from the origin or imports it; with different names, both or neither would
+/// fetch it.
 #[test]
 fn all_agents_of_a_region_are_peers() {
     let fleet = Fleet::new(33, 3);
-    let locations = fleet.locations();
-    for agent in &locations {
-        let peers: BTreeSet<_> = chunk_peers(*agent, &locations).into_iter().collect();
-        let near = locations.iter().filter(|other| other.region == agent.region);
+    let agents = fleet.locations();
+    for agent in &agents {
+        let peers: BTreeSet<_> = chunk_peers(*agent, &agents).into_iter().collect();
+        let near = agents.iter().filter(|other| other.region == agent.region);
         for other in near.filter(|other| other.instance != agent.instance) {
             assert!(peers.contains(other.instance));
         }
@@ -150,24 +148,24 @@
     }
 }
 
-/// Words between regions grow with the number of agents and not with its
-/// square, and no agent of another region is known by nobody or by all.
+/// Guards against traffic between regions that grows with the square of the number of agents, and
+/// against agents that are peers of none or of all agents of other regions.
 #[test]
 fn few_agents_of_other_regions_are_peers() {
     let fleet = Fleet::new(33, 3);
-    let locations = fleet.locations();
-    let mut peer_of: BTreeMap<&str, usize> = BTreeMap::new();
-    for agent in &locations {
-        let peers = chunk_peers(*agent, &locations);
-        let far = peers.iter().filter(|name| {
-            locations.iter().any(|p| p.instance == **name && p.region != agent.region)
-        });
+    let agents = fleet.locations();
+    let mut known_by: BTreeMap<&str, usize> = BTreeMap::new();
+    for agent in &agents {
+        let peers = chunk_peers(*agent, &agents);
+        let far = peers
+            .iter()
+            .filter(|name| agents.iter().any(|p| p.instance == **name && p.region != agent.region));
         let far: Vec<_> = far.collect();
         assert_eq!(far.len(), 12);
         for name in far {
-            *peer_of.entry(name).or_default() += 1;
+            *known_by.entry(name).or_default() += 1;
         }
     }
-    assert_eq!(peer_of.len(), locations.len());
-    assert!(peer_of.values().all(|count| *count <= 30), "{peer_of:?}");
+    assert_eq!(known_by.len(), agents.len());
+    assert!(known_by.values().all(|count| *count <= 30), "{known_by:?}");
 }
--- a/crates/decide/tests/crash_book.rs
+++ b/crates/decide/tests/crash_book.rs
@@ -1,5 +1,5 @@
-//! Requests under which endpoints end: what bars them, what clears them, and how soon
-//! every entry knows, without a network.
+//! Requests during which endpoints crash: when they are barred and cleared, and how fast all
+//! entries learn of it, simulated without a network.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -50,7 +50,7 @@
     matches!(tracker.verdict(digest(body)), CrashVerdict::Barred { .. })
 }
 
-/// Guards against one caller's request being barred for what another one has sent.
+/// Guards against barring a request of one caller because of a request of another.
 #[test]
 fn a_digest_is_of_caller_path_and_body_and_not_of_the_attempt() {
     let of = |workspace: &str, path: &str, id: &str, body: &[u8]| {
@@ -64,28 +64,31 @@
     assert_ne!(own, of("booth", "/x?a=1", "r-1", b"a sea"));
 }
 
-/// Guards against too many endpoints ending before a request is barred, and against barring
-/// one that was only under way when others ended an endpoint.
+/// Guards against too many crashes before a request is barred, and against barring one that was
+/// only in flight when others crashed an endpoint.
 #[rstest]
 #[case(CrashEvent::EndedAtStart, 3)]
 #[case(CrashEvent::EndedInAnswer, 6)]
-fn ends_of_different_endpoints_bar_a_request(
+fn crashes_of_different_endpoints_bar_a_request(
     #[case] event: fn(u64) -> CrashEvent,
-    #[case] ends: u64,
+    #[case] crashes: u64,
 ) {
     let mut tracker = CrashTracker::default();
-    for endpoint in 1..=ends {
-        assert!(!is_barred(&tracker, 7), "barred after {} ends", endpoint - 1);
+    for endpoint in 1..=crashes {
+        assert!(!is_barred(&tracker, 7), "barred after {} crashes", endpoint - 1);
         assert!(tracker.record(row(7, event(endpoint), 0), None, NOW));
-        assert!(!tracker.record(row(7, event(endpoint), 50), Some(1), NOW), "one end counts once");
+        assert!(
+            !tracker.record(row(7, event(endpoint), 50), Some(1), NOW),
+            "one crash counts once"
+        );
     }
     assert!(is_barred(&tracker, 7));
     assert!(!is_barred(&tracker, 8));
 }
 
-/// Guards against a bar that outlasts what it was made from.
+/// Guards against a bar that outlasts its evidence.
 #[test]
-fn a_bar_ends() {
+fn a_bar_expires() {
     let mut tracker = CrashTracker::default();
     for endpoint in 0..3 {
         tracker.record(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, NOW);
@@ -97,9 +100,9 @@
     assert_eq!(tracker.verdict(digest(7)), CrashVerdict::Clear);
 }
 
-/// Guards against barring a request that endpoints answer, for the ends of some of them.
+/// Guards against barring a request that endpoints answer, because some of them crashed.
 #[test]
-fn a_whole_answer_clears_the_ends_before_it() {
+fn a_complete_answer_clears_earlier_crashes() {
     let mut tracker = CrashTracker::default();
     for endpoint in 0..3 {
         tracker.record(row(7, CrashEvent::EndedAtStart(endpoint), 500), None, NOW);
@@ -112,10 +115,10 @@
     for endpoint in 5..8 {
         tracker.record(row(7, CrashEvent::EndedAtStart(endpoint), 0), None, later);
     }
-    assert!(is_barred(&tracker, 7), "ends after the answer count");
+    assert!(is_barred(&tracker, 7), "crashes after the answer count");
 }
 
-/// Guards against a message for each answer to a request that is often asked for.
+/// Guards against a gossip message for each answer to a frequent request.
 #[test]
 fn only_an_answer_that_clears_something_is_passed_on() {
     let mut tracker = CrashTracker::default();
@@ -140,7 +143,8 @@
     assert!(!other.verdict(digest(7)).not_before(0, 15).is_past(NOW));
 }
 
-/// Guards against a book that a caller fills with different bodies, or empties of its bars.
+/// Guards against a caller that fills the memory with different bodies, or evicts its barred
+/// requests that way.
 #[test]
 fn many_bodies_neither_fill_the_memory_nor_free_a_barred_request() {
     let mut tracker = CrashTracker::default();
@@ -154,9 +158,9 @@
     assert!(is_barred(&tracker, 7));
 }
 
-/// Guards against bars that are lost or kept for ever where all entries have lost power.
+/// Guards against bars that are lost, or kept for ever, when all entries lose power.
 #[test]
-fn kept_bars_are_taken_up_again_until_they_are_over() {
+fn persisted_bars_are_restored_until_they_expire() {
     let mut tracker = CrashTracker::default();
     for endpoint in 0..3 {
         tracker.record(row(7, CrashEvent::EndedAtStart(endpoint), 1_000), None, NOW);
@@ -178,9 +182,9 @@
     ));
 }
 
-/// Guards against an entry that starts or returns and does not learn what the others know.
+/// Guards against an entry that starts or returns and does not get what the others know.
 #[test]
-fn a_new_link_brings_every_fact_and_an_old_one_only_news() {
+fn a_new_link_gets_every_event_and_an_existing_one_only_new_ones() {
     let mut tracker = CrashTracker::default();
     for body in 0..600 {
         tracker.record(row(body, CrashEvent::EndedAtStart(body), 0), Some(4), NOW);
@@ -195,35 +199,35 @@
     }
     assert_eq!(other.verdicts().len(), 600);
     assert_eq!(tracker.rows_since(cursor, 5, NOW).0, []);
-    assert_eq!(tracker.rows_since(0, 4, NOW).0, [], "nothing goes back to where it came from");
+    assert_eq!(tracker.rows_since(0, 4, NOW).0, [], "no row returns over its source link");
 }
 
-/// Time of one message over a link, in milliseconds.
+/// Delay of one message over a link, in milliseconds.
 const ROUND_MS: u64 = 25;
 
-/// Time from the arrival of a request at an endpoint until it ends the endpoint.
+/// Time from the arrival of a request at an endpoint until the endpoint crashes, in milliseconds.
 const RUN_MS: u64 = 240;
 
-/// Endpoints that one attempt of a caller may reach.
+/// Maximum number of endpoints that one caller attempt reaches.
 const MAX_ATTEMPTS: u32 = 2;
 
-/// An attempt of a caller at one entry.
+/// A caller's attempt at one entry.
 struct CallerAttempt {
     entry: usize,
-    /// Endpoints that it has reached.
+    /// Endpoints that the attempt has reached.
     runs: u32,
-    /// When the present run ends its endpoint.
-    ends_at: Option<Timestamp>,
+    /// When the current run crashes its endpoint.
+    crashes_at: Option<Timestamp>,
 }
 
-/// Entries with their books, and callers with one request that ends endpoints.
+/// Entries with their crash trackers, and callers that send one crashing request.
 struct CrashSimulation {
     now: Timestamp,
     trackers: Vec<CrashTracker>,
     links: Vec<BTreeMap<usize, u64>>,
     cut: BTreeSet<usize>,
     attempts: Vec<CallerAttempt>,
-    ends: Vec<Timestamp>,
+    crashes: Vec<Timestamp>,
     sends: Vec<Timestamp>,
 }
 
@@ -251,16 +255,16 @@
             links,
             cut: BTreeSet::new(),
             attempts: Vec::new(),
-            ends: Vec::new(),
+            crashes: Vec::new(),
             sends: Vec::new(),
         }
     }
 
     fn arrive(&mut self, entry: usize) {
-        self.attempts.push(CallerAttempt { entry, runs: 0, ends_at: None });
+        self.attempts.push(CallerAttempt { entry, runs: 0, crashes_at: None });
     }
 
-    /// Ranks of the entries for the request.
+    /// Rank of the entry for the request.
     fn rank(&self, entry: usize) -> usize {
         let weight = |index: usize| {
             let name = InstanceId::new(&format!("entry-{index}")).expect("valid");
@@ -271,7 +275,7 @@
     }
 
     fn may_begin(&self, entry: usize) -> bool {
-        let others = self.attempts.iter().filter(|a| a.entry == entry && a.ends_at.is_some());
+        let others = self.attempts.iter().filter(|a| a.entry == entry && a.crashes_at.is_some());
         match self.trackers[entry].verdict(digest(7)) {
             CrashVerdict::Clear => true,
             CrashVerdict::Barred { .. } => false,
@@ -285,18 +289,18 @@
     fn step(&mut self) {
         for index in 0..self.attempts.len() {
             let entry = self.attempts[index].entry;
-            if self.attempts[index].ends_at.is_some_and(|at| self.now >= at) {
-                self.attempts[index].ends_at = None;
-                self.ends.push(self.now);
-                let event = CrashEvent::EndedAtStart(self.ends.len() as u64);
+            if self.attempts[index].crashes_at.is_some_and(|at| self.now >= at) {
+                self.attempts[index].crashes_at = None;
+                self.crashes.push(self.now);
+                let event = CrashEvent::EndedAtStart(self.crashes.len() as u64);
                 self.trackers[entry].record(row(7, event, 0), None, self.now);
             }
             let attempt = &self.attempts[index];
-            let is_idle = attempt.ends_at.is_none() && attempt.runs < MAX_ATTEMPTS;
+            let is_idle = attempt.crashes_at.is_none() && attempt.runs < MAX_ATTEMPTS;
             if is_idle && self.may_begin(entry) {
                 let attempt = &mut self.attempts[index];
                 attempt.runs += 1;
-                attempt.ends_at = Some(Timestamp(self.now.0 + RUN_MS));
+                attempt.crashes_at = Some(Timestamp(self.now.0 + RUN_MS));
                 self.sends.push(self.now);
                 self.trackers[entry].record(row(7, CrashEvent::Begun, 0), None, self.now);
             }
@@ -328,12 +332,12 @@
     }
 }
 
-/// Guards against a bar that reaches entries too late, at any size and from any entry.
+/// Guards against a bar that reaches the entries too late, at any size and from any entry.
 #[rstest]
 #[case(15, 3)]
 #[case(149, 5)]
 #[case(370, 2)]
-fn a_request_is_sent_no_more_a_second_after_its_third_end(
+fn a_request_is_not_sent_a_second_after_its_third_crash(
     #[case] entries: usize,
     #[case] regions: usize,
 ) {
@@ -346,22 +350,22 @@
             }
             simulation.step();
         }
-        let third = simulation.ends[2];
+        let third = simulation.crashes[2];
         let last = simulation.sends.last().expect("sent").0.saturating_sub(third.0);
-        assert!(last <= 1_000, "seed {seed}: sent {last} ms after the third end");
+        assert!(last <= 1_000, "seed {seed}: sent {last} ms after the third crash");
         let most = if entries == 15 { 6 } else { 7 };
         assert!(
-            simulation.ends.len() <= most,
-            "seed {seed}: {} endpoints ended",
-            simulation.ends.len()
+            simulation.crashes.len() <= most,
+            "seed {seed}: {} endpoints crashed",
+            simulation.crashes.len()
         );
         assert_eq!(simulation.barred_count(), entries, "seed {seed}: known everywhere");
     }
 }
 
-/// Guards against a second round of ends where a request comes to every entry at once.
+/// Guards against a second round of crashes when a request arrives at every entry at once.
 #[test]
-fn a_request_at_all_entries_at_once_ends_one_endpoint_each_at_most() {
+fn a_request_at_all_entries_at_once_crashes_one_endpoint_each_at_most() {
     for seed in 0..50 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut simulation = CrashSimulation::new(15, 3);
@@ -374,19 +378,19 @@
             simulation.step();
         }
         assert!(
-            simulation.ends.len() <= 15,
-            "seed {seed}: {} endpoints ended",
-            simulation.ends.len()
+            simulation.crashes.len() <= 15,
+            "seed {seed}: {} endpoints crashed",
+            simulation.crashes.len()
         );
-        let third = simulation.ends[2];
+        let third = simulation.crashes[2];
         let last = simulation.sends.last().expect("sent").0.saturating_sub(third.0);
-        assert!(last <= 1_000, "seed {seed}: sent {last} ms after the third end");
+        assert!(last <= 1_000, "seed {seed}: sent {last} ms after the third crash");
     }
 }
 
-/// Guards against an entry that was cut off and goes on as if nothing were known.
+/// Guards against an entry that was cut off and resumes without the known bars.
 #[test]
-fn an_entry_that_was_cut_off_learns_of_a_bar_on_its_return() {
+fn an_entry_that_was_cut_off_gets_the_bars_on_its_return() {
     let mut simulation = CrashSimulation::new(15, 3);
     simulation.cut.insert(4);
     for step in 0..80 {
--- a/crates/decide/tests/direct_routing.rs
+++ b/crates/decide/tests/direct_routing.rs
@@ -1,5 +1,4 @@
-//! Endpoints that are reached without an agent between: no gate makes up for a
-//! bad choice there.
+//! Endpoints that are reached without an agent, where no gate corrects a bad choice.
 
 use std::{
     collections::HashMap,
@@ -27,7 +26,7 @@
 }
 
 impl Endpoints {
-    /// Endpoints that serve the versions with these numbers.
+    /// Creates endpoints that serve the versions with these numbers.
     fn serving(numbers: &[usize]) -> Self {
         let service = ServiceName::new("guide").expect("valid");
         let trackers: Vec<_> =
@@ -61,7 +60,7 @@
         }
     }
 
-    /// How many of a hundred requests each endpoint gets.
+    /// Number of a hundred requests that each endpoint gets.
     fn choices(&self, query: &RouteQuery<'_>) -> Vec<u32> {
         let mut rng = SmallRng::seed_from_u64(3);
         let mut chosen = vec![0; self.trackers.len()];
@@ -84,9 +83,9 @@
     Timestamp(NOW.0 + ms)
 }
 
-/// Other entries have filled an endpoint, as it told half a second ago. Taking
-/// that for half forgotten, every entry would send it a few more, and all of
-/// their callers would wait.
+/// Guards against overloading an endpoint that other entries have filled. If its report of half a
+/// second ago counted only in part, every entry would send it a few more requests, and all their
+/// callers would wait.
 #[test]
 fn what_others_have_there_counts_in_full_while_it_is_fresh() {
     let endpoints = Endpoints::serving(&[1, 1]);
@@ -97,8 +96,8 @@
     assert_eq!(routes.capacity(1_024, at(500)), SLOTS);
 }
 
-/// All endpoints are full. A fresh request is refused at once, but one whose
-/// endpoint has died goes on elsewhere: its caller has waited already.
+/// Guards against losing a request whose endpoint failed while all others are full. First-time
+/// requests are refused at once, but this caller has already waited.
 #[test]
 fn a_request_that_lost_its_endpoint_finds_room_where_none_is_left() {
     let endpoints = Endpoints::serving(&[1, 1, 1]);
@@ -108,9 +107,8 @@
     assert_eq!(endpoints.choices(&repeated).iter().sum::<u32>(), 100);
 }
 
-/// A link narrows, and answers of the endpoint behind it take more than a
-/// second to begin. It looks idle and would draw requests; their callers would
-/// leave while it works for them.
+/// Guards against preferring a slow endpoint. Behind a degraded link its answers take more than a
+/// second to begin; it looks idle and would attract requests whose callers leave before the answer.
 #[test]
 fn a_slow_endpoint_is_passed_over() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
@@ -120,8 +118,8 @@
     assert_eq!(endpoints.choices(&endpoints.query(at(1_500)))[1], 0);
 }
 
-/// An endpoint falls silent with requests on it. It gets no more long before
-/// the first of them is given up.
+/// Guards against sending more requests to an endpoint that stopped answering, long before its
+/// first request times out.
 #[test]
 fn silence_counts_as_delay() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
@@ -130,8 +128,8 @@
     assert_eq!(endpoints.choices(&endpoints.query(at(1_100)))[2], 0);
 }
 
-/// A slow endpoint may have recovered. After a while it gets one request, and
-/// no second one before that is answered.
+/// Guards against ejecting a slow endpoint for good: after a while it gets one request, and no
+/// second one before that is answered.
 #[test]
 fn a_slow_endpoint_is_tried_again_by_one_request() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
@@ -146,8 +144,8 @@
     assert!(!slow.is_slow(at(5_120)));
 }
 
-/// Most endpoints are slow at the same time. The cause is elsewhere, and to
-/// refuse everybody would serve nobody.
+/// Guards against refusing all requests when most endpoints are slow at once and the cause is
+/// elsewhere.
 #[test]
 fn slow_endpoints_are_used_if_most_are_slow() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
@@ -160,8 +158,8 @@
     assert_eq!(chosen.iter().sum::<u32>(), 100);
 }
 
-/// A version may not answer any more. Endpoints that still hold it get nothing,
-/// even if they are the only ones left.
+/// Guards against an answer by a version that may no longer answer, even if only its endpoints are
+/// left.
 #[test]
 fn versions_that_may_not_answer_get_nothing() {
     let endpoints = Endpoints::serving(&[1, 2, 3]);
@@ -175,9 +173,8 @@
     assert_eq!(endpoints.choices(&query), [0, 0, 0]);
 }
 
-/// Endpoints near the entry are a little busier than those of other regions.
-/// Answers from afar take the same time but cross links that are shared with the
-/// weights of a new version; those that cross for nothing hold it up.
+/// Guards against crossing regions for no gain. Answers from another region take the same time but
+/// use links that carry the weights of a new version and delay its rollout.
 #[test]
 fn requests_stay_near_while_the_near_are_hardly_busier() {
     let endpoints = Endpoints::serving(&[1; 8]);
@@ -189,8 +186,7 @@
     assert_eq!(far, 0, "{chosen:?}");
 }
 
-/// The region is full and others are idle. A caller of the full region would
-/// wait behind all the others there; it is worth the way to another region.
+/// Guards against queueing in a full region while other regions are idle.
 #[test]
 fn requests_go_far_when_the_near_are_much_busier() {
     let endpoints = Endpoints::serving(&[1; 8]);
@@ -202,7 +198,7 @@
     assert!(far >= 40, "{chosen:?}");
 }
 
-/// Guards against a slow endpoint whose limit never ends since nobody asks it any more.
+/// Guards against a slow endpoint whose rate limit never ends because no entry sends it a request.
 #[test]
 fn a_slow_endpoint_with_a_limit_is_asked_now_and_then() {
     let service = Endpoints::serving(&[1, 1, 1]);
--- a/crates/decide/tests/events.rs
+++ b/crates/decide/tests/events.rs
@@ -16,8 +16,8 @@
     String::from_utf8(splicer.push(text.as_bytes()).expect("short events")).expect("text")
 }
 
-/// An endpoint dies in the middle of an event and another one goes on after the
-/// last whole one. The caller sees each event once and no half line.
+/// Guards against a partial event in the answer. An endpoint fails in the middle of an event and
+/// another one resumes after the last complete event.
 #[test]
 fn a_broken_event_is_never_passed_on() {
     let mut splicer = EventSplicer::default();
@@ -30,15 +30,16 @@
     assert_eq!(splicer.finish(), Ok(()));
 }
 
-/// The endpoint that goes on repeats events that the caller has. A caller that
-/// saw them twice would show a sentence twice.
+/// Guards against duplicate text: the resuming endpoint may repeat events that the caller already
+/// has.
 #[test]
 fn repeated_events_are_dropped() {
     let mut splicer = EventSplicer::new(Some(2));
     assert_eq!(push(&mut splicer, &stream(1..=4)), stream(3..=4));
 }
 
-/// A stream ends, well framed, within an event. It must not look complete.
+/// Guards against treating a stream that ends within an event as complete, although its framing is
+/// correct.
 #[test]
 fn a_stream_that_ends_within_an_event_is_not_whole() {
     let mut splicer = EventSplicer::default();
@@ -46,7 +47,7 @@
     assert_eq!(splicer.finish(), Err(EventError::Unfinished));
 }
 
-/// Bytes that are no event stream do not fill the memory.
+/// Guards against input without event boundaries that fills the memory.
 #[test]
 fn endless_events_are_refused() {
     let mut splicer = EventSplicer::default();
@@ -55,7 +56,7 @@
     assert_eq!(ended, Some(Err(EventError::TooLong)));
 }
 
-/// Lines may end either way, a comment has no id, and versions stand before the id.
+/// Both line endings are accepted, a comment has no id, and a version line may precede the id.
 #[rstest]
 #[case("id: 7\r\ndata: x\r\n\r\n", Some(7))]
 #[case(": comment\n\n", None)]
@@ -67,7 +68,7 @@
 }
 
 proptest! {
-    /// However the network cuts a stream, the same events come out.
+    /// The events do not depend on how the network splits the stream.
     #[test]
     fn any_cut_gives_the_same_events(cuts in proptest::collection::vec(1_usize..40, 1..60)) {
         let whole = stream(1..=12);
@@ -84,8 +85,7 @@
         prop_assert_eq!(splicer.finish(), Ok(()));
     }
 
-    /// Runs that break anywhere and go on where the last whole event ended join
-    /// to the one stream.
+    /// Runs that break at any point and resume after the last complete event join to one stream.
     #[test]
     fn any_breaks_join_to_one_stream(breaks in proptest::collection::vec(1_usize..90, 0..8)) {
         let mut splicer = EventSplicer::default();
--- a/crates/decide/tests/last_place.rs
+++ b/crates/decide/tests/last_place.rs
@@ -1,4 +1,4 @@
-//! Requests that are routed at the same moment by several threads of an entry.
+//! Concurrent routing on several threads of an entry.
 
 use std::{
     collections::HashMap,
@@ -17,12 +17,12 @@
 
 const NOW: Timestamp = Timestamp(1_000_000);
 
-/// Requests that an endpoint's gate takes.
+/// Requests that an endpoint's gate accepts.
 const GATE: u32 = 32;
 
 const THREADS: u64 = 4;
 
-/// Bursts after which a race of a few instructions has shown itself.
+/// Number of bursts after which a race of a few instructions has occurred.
 const BURSTS: usize = 2_000;
 
 fn endpoint(index: usize) -> RouteCandidate {
@@ -50,16 +50,14 @@
     }
 }
 
-/// Visitors who bought at the same moment were refused as if the shop were
-/// overloaded, though every one of them had a place. An entry admitted 64 sales
-/// for two endpoints that take 32 each. Two of its threads looked at an endpoint
-/// with 31, both sent, and its gate refused the 33rd. The entry took that for an
-/// overload and lowered its limit for the endpoint to 28, so that four sales that
-/// were admitted found no endpoint, asked again every ten milliseconds, and used
-/// up what all of the entry's requests may repeat. The log of a refused sale
-/// showed 33 choices of one endpoint and 31 of the other within five
-/// milliseconds, one refusal of each gate, and 171 lines of requests that found
-/// no endpoint.
+/// Guards against two threads that take the same last free slot of an endpoint.
+///
+/// An entry admitted 64 requests for two endpoints that accept 32 each. Two threads saw an endpoint
+/// with 31 requests, both sent, and its gate refused the 33rd. The entry treated that as an
+/// overload and lowered its limit for the endpoint to 28. Four admitted requests then found no
+/// endpoint, retried every ten milliseconds and used up the retry budget of the entry. The decision
+/// log showed 33 choices of one endpoint and 31 of the other within five milliseconds, one refusal
+/// by each gate, and 171 requests that found no endpoint.
 #[test]
 fn two_threads_do_not_take_the_same_last_place() {
     let service = ServiceName::new("ledger").expect("valid");
--- a/crates/decide/tests/latch.rs
+++ b/crates/decide/tests/latch.rs
@@ -1,11 +1,11 @@
-//! The race between the beginning of a run and its cancel.
+//! Race between the start of a run and its cancellation.
 
 use std::sync::Arc;
 
 use cassiawheel_decide::RunLatch;
 
-/// A caller goes away in the moment in which its claim is won. If both won, a
-/// sale would run that its agent has just released to others.
+/// Guards against a run that starts although it was cancelled: its caller leaves at the moment the
+/// claim is won, and the agent has already released the claim to others.
 #[test]
 fn a_run_and_its_cancel_never_both_win() {
     for _ in 0..2_000 {
--- a/crates/decide/tests/limit_book.rs
+++ b/crates/decide/tests/limit_book.rs
@@ -1,5 +1,5 @@
-//! Limits that endpoints name: kept by all entries together, used, and ended, without a
-//! network.
+//! Rate limits advertised by endpoints: kept by all entries together, fully used, and ended,
+//! simulated without a network.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     HolderRank { rank, candidates: 5, entries: 15, phase: 0.5 }
 }
 
-/// Guards against parts of a limit that add up to more than it, or that nobody holds.
+/// Guards against shares of a limit that exceed it in total, or that no entry holds.
 #[rstest]
 #[case(0.0)]
 #[case(0.4)]
@@ -54,7 +54,7 @@
     assert!(f64::from(sent) >= expected - 3.0, "{sent} sent, {expected} allowed");
 }
 
-/// Guards against an endpoint that took nothing for a while and is never asked again.
+/// Guards against an endpoint that accepted nothing for a while and is never tried again.
 #[test]
 fn an_endpoint_that_takes_nothing_is_asked_now_and_then() {
     let mut limits = RateLimits::default();
@@ -66,7 +66,8 @@
     assert!((1..=6).contains(&sent), "{sent} sent in a minute");
 }
 
-/// Guards against a limit that never ends since its holder has lost the way to the endpoint.
+/// Guards against a limit that never ends because its holder has lost the connection to the
+/// endpoint.
 #[test]
 fn the_next_in_rank_send_where_the_holders_do_not_confirm() {
     let mut limits = RateLimits::default();
@@ -77,28 +78,27 @@
     assert!(sends(&limits, 1, 0) && !sends(&limits, 2, 0) && !sends(&limits, 2, 2_900));
     assert!(sends(&limits, 2, 3_100) && !sends(&limits, 3, 3_100) && sends(&limits, 3, 6_100));
     limits.observe(ENDPOINT, Some(limit(2.0)), later(6_200));
-    assert!(!sends(&limits, 2, 6_300), "the holders have been heard");
+    assert!(!sends(&limits, 2, 6_300), "the holders have confirmed");
 }
 
-/// Guards against an answer from before the naming that ends a limit, and against one that
-/// never ends it.
+/// Guards against an earlier answer that ends a newer limit, and against a limit that never ends.
 #[test]
 fn only_a_later_answer_without_a_limit_ends_it() {
     let mut limits = RateLimits::default();
     assert!(!limits.observe(ENDPOINT, None, NOW));
     assert!(limits.observe(ENDPOINT, Some(limit(2.0)), NOW));
-    assert!(!limits.observe(ENDPOINT, None, later(100)), "crossed");
+    assert!(!limits.observe(ENDPOINT, None, later(100)), "reordered answers");
     assert_eq!(limits.pace(ENDPOINT, holder(9), later(100)), Some(EndpointPace::ZERO));
     assert!(limits.observe(ENDPOINT, None, later(600)));
-    let returns = limits.pace(ENDPOINT, holder(9), later(600)).expect("step by step");
+    let returns = limits.pace(ENDPOINT, holder(9), later(600)).expect("a limited pace");
     assert_ne!(returns, EndpointPace::ZERO);
     assert_ne!(limits.pace(ENDPOINT, holder(9), later(1_700)), Some(returns), "faster");
     assert_eq!(limits.pace(ENDPOINT, holder(9), later(5_000)), None);
-    assert!(limits.observe(ENDPOINT, Some(limit(1.0)), later(700)), "named again");
+    assert!(limits.observe(ENDPOINT, Some(limit(1.0)), later(700)), "advertised again");
     assert_eq!(limits.pace(ENDPOINT, holder(9), later(700)), Some(EndpointPace::ZERO));
 }
 
-/// Guards against one more request of every entry where a limit is named anew.
+/// Guards against one more request from every entry when a limit is advertised again.
 #[test]
 fn an_entry_that_holds_a_limit_no_more_sends_nothing() {
     let tracker = EndpointTracker::default();
@@ -110,15 +110,18 @@
     tracker.set_pace(Some(EndpointPace::from_rate(1.0)), later(20_000));
     assert!(
         !(20_000..21_000).any(|ms| tracker.try_acquire_paced(16, later(ms))),
-        "an interval first"
+        "waits one interval first"
     );
     assert!(tracker.try_acquire_paced(16, later(21_000)));
     tracker.set_pace(Some(EndpointPace::from_rate(0.5)), later(21_500));
-    assert!(!(21_500..22_500).any(|ms| tracker.try_acquire_paced(16, later(ms))), "half is left");
+    assert!(
+        !(21_500..22_500).any(|ms| tracker.try_acquire_paced(16, later(ms))),
+        "half an interval is left"
+    );
     assert!(tracker.try_acquire_paced(16, later(22_500)));
 }
 
-/// Guards against a message for each answer, and against a change that nobody is told.
+/// Guards against a gossip message for each answer, and against a change that is not sent.
 #[test]
 fn neighbours_get_changes_and_periodic_refreshes() {
     let mut limits = RateLimits::default();
@@ -126,7 +129,7 @@
     for step in 0..100 {
         updates += u32::from(limits.observe(ENDPOINT, Some(limit(2.0)), later(step * 50)));
     }
-    assert!((3..=6).contains(&updates), "updates {updates} times in 5 s");
+    assert!((3..=6).contains(&updates), "{updates} updates in 5 s");
     assert!(limits.observe(ENDPOINT, Some(limit(1.0)), later(5_010)));
     let (rows, cursor) = limits.rows_since(0, 3, later(5_020));
     let state = LimitState::Named(limit(1.0));
@@ -134,7 +137,7 @@
     assert_eq!(limits.rows_since(cursor, 3, later(5_020)).0, []);
 }
 
-/// Guards against late copies that bring an ended limit back or end one that holds.
+/// Guards against late copies that restore an ended limit or end a current one.
 #[test]
 fn the_later_state_wins_on_every_path() {
     let row = |state, age_ms| LimitRow { endpoint: ENDPOINT, state, age_ms };
@@ -143,13 +146,13 @@
     assert!(limits.merge(row(named, 0), 1, NOW));
     assert!(!limits.merge(row(named, 0), 2, later(30)), "a copy");
     assert!(limits.merge(row(ended, 0), 1, later(1_000)));
-    assert!(!limits.merge(row(named, 1_100), 2, later(1_100)), "an old word");
+    assert!(!limits.merge(row(named, 1_100), 2, later(1_100)), "an outdated row");
     assert!(limits.merge(row(named, 0), 2, later(1_500)));
-    assert!(!limits.merge(row(ended, 600), 3, later(1_510)), "an old word");
+    assert!(!limits.merge(row(ended, 600), 3, later(1_510)), "an outdated row");
     assert_eq!(limits.pace(ENDPOINT, holder(9), later(1_510)), Some(EndpointPace::ZERO));
 }
 
-/// Guards against entries that return to an endpoint all at the same moments.
+/// Guards against entries that resume sending to an endpoint at the same moments.
 #[test]
 fn entries_that_return_together_do_not_send_at_the_same_moments() {
     let mut limits = RateLimits::default();
@@ -174,7 +177,7 @@
     assert!(most <= 3, "{most} requests in a tenth of a second");
 }
 
-/// Guards against limits of endpoints that are gone filling the memory.
+/// Guards against limits of removed endpoints that fill the memory.
 #[test]
 fn limits_of_endpoints_that_are_gone_are_forgotten() {
     let mut limits = RateLimits::default();
@@ -187,26 +190,26 @@
     assert!(limits.pace(2, holder(0), later(70_000)).is_none());
 }
 
-/// Time of one message over a link, in milliseconds.
+/// Delay of one message over a link, in milliseconds.
 const ROUND_MS: u64 = 25;
 
-/// Time until the head of an answer comes, in milliseconds.
+/// Time until the head of an answer arrives, in milliseconds.
 const ANSWER_MS: u64 = 100;
 
-/// Time in which the others notice that an entry is gone, in milliseconds.
+/// Time until the other entries notice that an entry is gone, in milliseconds.
 const NOTICE_MS: u64 = 1_500;
 
-/// Entries in a ring with chords, in front of one endpoint that names a limit.
+/// Entries in a ring with chords, in front of one endpoint that advertises a limit.
 struct LimitSimulation {
     now: Timestamp,
     limits: Vec<RateLimits>,
     trackers: Vec<EndpointTracker>,
     links: Vec<BTreeMap<usize, u64>>,
-    /// Until when an entry stands still.
+    /// End of each entry's freeze.
     frozen: Vec<Timestamp>,
-    /// Since when it does.
+    /// Start of each entry's freeze.
     frozen_at: Vec<Timestamp>,
-    /// Entries in the order of their ranks.
+    /// Entries in rank order.
     order: Vec<usize>,
     answers: Vec<(Timestamp, usize)>,
     named: Option<NamedLimit>,
@@ -254,12 +257,12 @@
         self.now >= self.frozen[entry]
     }
 
-    /// Whether the others take an entry for present.
+    /// Whether the other entries see an entry as present.
     fn is_present(&self, entry: usize) -> bool {
         self.runs(entry) || self.now.0 < self.frozen_at[entry].0 + NOTICE_MS
     }
 
-    /// Entries that the others take for present, in the order of their ranks.
+    /// Entries that the others see as present, in rank order.
     fn ranked(&self) -> Vec<usize> {
         self.order.iter().copied().filter(|entry| self.is_present(*entry)).collect()
     }
@@ -311,7 +314,7 @@
         }
     }
 
-    /// Most requests in four seconds that begin at `from` or later.
+    /// Maximum number of requests within four seconds, counted from `from`.
     fn most_since(&self, from: Timestamp) -> usize {
         let sent: Vec<_> = self.sent.iter().filter(|at| **at >= from).collect();
         let count = |start: &&Timestamp| {
@@ -321,8 +324,8 @@
     }
 }
 
-/// Guards against a limit that is broken or left unused while entries freeze and return, at
-/// any size.
+/// Guards against a limit that is exceeded or left unused while entries freeze and return, at any
+/// size.
 #[rstest]
 #[case(9, 2.0)]
 #[case(15, 2.0)]
@@ -344,7 +347,7 @@
         let mut frozen_ms = 0;
         for step in 0..1_200 {
             if step % 200 == 100 {
-                // The first holder, which is the worst to lose.
+                // The first holder is the worst one to lose.
                 let holder = simulation.ranked()[0];
                 simulation.freeze(holder, 3_000);
                 frozen_ms += NOTICE_MS;
--- a/crates/decide/tests/overlay.rs
+++ b/crates/decide/tests/overlay.rs
@@ -1,4 +1,4 @@
-//! Entries that pass state on over a bounded number of links, in rounds, without a network.
+//! Gossip over a bounded number of links, simulated in rounds without a network.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,11 +13,11 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IteratorRandom};
 use rstest::rstest;
 
-/// Time of one message over a link, in milliseconds.
+/// Delay of one message over a link, in milliseconds.
 const ROUND_MS: u64 = 25;
-/// Rounds within which a change is known everywhere.
+/// Number of rounds within which a change reaches all entries.
 const KNOWN_ROUNDS: usize = 12;
-/// Regions of the large deployments.
+/// Number of regions in the large deployments.
 const REGIONS: usize = 5;
 
 fn addr(index: usize) -> SocketAddr {
@@ -32,7 +32,7 @@
     RegionName::new(&format!("region-{index}")).expect("valid")
 }
 
-/// An entry with its links by their ends.
+/// An entry with its links by the peer's index.
 struct Process {
     store: GossipStore,
     links: BTreeMap<usize, LinkCursor>,
@@ -40,14 +40,14 @@
     sent: u64,
 }
 
-/// All entries and the messages that are on their way.
+/// All entries and the state of the simulation.
 struct Fleet {
     locations: Vec<EntryLocation>,
     processes: Vec<Process>,
     dead: BTreeSet<usize>,
     now: Timestamp,
     rng: SmallRng,
-    /// Chance that a queue is full and the message is sent with the next one.
+    /// Probability that a queue is full and the message is sent with the next one.
     full: f64,
 }
 
@@ -73,7 +73,7 @@
         fleet
     }
 
-    /// Makes the links that the living entries choose, as once they know each other.
+    /// Creates the links that the live entries choose once all of them know each other.
     fn relink(&mut self) {
         let living: Vec<_> =
             (0..self.locations.len()).filter(|index| !self.dead.contains(index)).collect();
@@ -117,7 +117,7 @@
         process.store.merge_record(record, None, self.now);
     }
 
-    /// Every living entry sends each neighbour what changed.
+    /// Every live entry sends its changes to each neighbour.
     fn round(&mut self) {
         let mut messages = Vec::new();
         for index in 0..self.processes.len() {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Entries that the one at `index` takes for present.
+    /// Entries that the one at `index` sees as present.
     fn present(&self, index: usize) -> BTreeSet<InstanceId> {
         let own = name(index);
         reachable_entries(&own, self.processes[index].store.records())
@@ -165,7 +165,7 @@
             .collect()
     }
 
-    /// Ends processes; their neighbours notice.
+    /// Stops processes; their neighbours notice.
     fn kill(&mut self, killed: &[usize]) {
         self.dead.extend(killed);
         for index in 0..self.processes.len() {
@@ -190,8 +190,8 @@
     }
 }
 
-/// Guards against entries that some others never hear of, and against links that
-/// grow with the number of entries.
+/// Guards against entries that remain unknown to some others, and against links that grow with the
+/// number of entries.
 #[rstest]
 #[case::one_region(9, 1, 4)]
 #[case::small(9, 3, 8)]
@@ -212,8 +212,7 @@
     }
 }
 
-/// Guards against callers who are sent to entries that died together with most of
-/// their neighbours.
+/// Guards against advising callers to use entries that died together with most of their neighbours.
 #[rstest]
 #[case::a_sixth(6)]
 #[case::half(2)]
@@ -230,8 +229,7 @@
     }
 }
 
-/// Guards against a region that is cut off and still counts as present, or that
-/// does not find back.
+/// Guards against a region that is cut off but still counts as present, or that does not rejoin.
 #[test]
 fn a_region_that_is_cut_off_is_absent_until_it_returns() {
     let mut fleet = Fleet::new(45, 3, 1);
@@ -279,8 +277,8 @@
     );
 }
 
-/// Guards against an order of a former process that is taken for one of the present one,
-/// and against a message that is passed on for ever.
+/// Guards against a message that is forwarded for ever, and against a message of an earlier process
+/// that counts as one of the current process.
 #[test]
 fn a_message_is_passed_on_once() {
     let origin = name(1);
@@ -289,13 +287,13 @@
     assert!(!filter.insert(&origin, 5, 10), "a repetition");
     assert!(filter.insert(&origin, 5, 8), "overtaken by a later one");
     assert!(!filter.insert(&origin, 5, 8));
-    assert!(!filter.insert(&origin, 4, 11), "of a former process");
+    assert!(!filter.insert(&origin, 4, 11), "of an earlier process");
     assert!(filter.insert(&origin, 5, 200));
-    assert!(!filter.insert(&origin, 5, 12), "too old to be told apart");
-    assert!(filter.insert(&origin, 6, 1), "of a process that started since");
+    assert!(!filter.insert(&origin, 5, 12), "older than the window");
+    assert!(filter.insert(&origin, 6, 1), "of a later process");
 }
 
-/// Guards against a load that comes back over another way and counts as new.
+/// Guards against a load that returns over another path and counts as new.
 #[test]
 fn an_older_load_does_not_replace_a_newer_one() {
     let mut store = GossipStore::default();
@@ -307,10 +305,10 @@
     assert_eq!(store.load_of(&name(1), Timestamp(1_050)), Some(3));
     assert!(store.merge_load(row(5, 0), 40, Some(2), Timestamp(1_200)));
     assert_eq!(store.load_of(&name(1), Timestamp(1_250)), Some(5));
-    assert_eq!(store.load_of(&name(1), Timestamp(9_000)), None, "nobody has told it lately");
+    assert_eq!(store.load_of(&name(1), Timestamp(9_000)), None, "the load is outdated");
 }
 
-/// Guards against agents that all hold on to the same entries, or to lost ones.
+/// Guards against agents that all connect to the same entries, or keep choosing unreachable ones.
 #[test]
 fn agents_spread_over_the_entries_and_pass_lost_ones_over() {
     let mut agent_counts: BTreeMap<SocketAddr, usize> = BTreeMap::new();
@@ -322,7 +320,7 @@
         assert_eq!(chosen.len(), 4);
         selector.avoid(chosen[0], Timestamp(0));
         let next = selector.select(subject, 4, Timestamp(10));
-        assert_eq!(next[..3], chosen[1..], "the next in rank takes the location");
+        assert_eq!(next[..3], chosen[1..], "the next in rank takes its place");
         assert_eq!(selector.select(subject, 4, Timestamp(9_000)), chosen, "it is tried again");
         chosen.into_iter().for_each(|addr| *agent_counts.entry(addr).or_default() += 1);
     }
@@ -330,8 +328,8 @@
     assert!(agent_counts.len() == 30 && *most <= 80, "{most} of 300 agents at one entry");
 }
 
-/// Guards against entries that all call the table service, and against rows that
-/// nobody follows while it turns some entries away or answers nobody.
+/// Guards against entries that all call the table service, and against rows that no entry reads
+/// while the service rejects some or all entries.
 #[test]
 fn a_few_entries_follow_the_rows_for_all() {
     let mut fleet = Fleet::new(45, 3, 1);
@@ -350,5 +348,5 @@
     assert_eq!(rejected[first], FeedRole::Probe);
     assert!((3..=5).contains(&count(&rejected, FeedRole::Follow)), "{rejected:?}");
     records.iter_mut().for_each(|record| record.follows_rows = false);
-    assert_eq!(roles(&records), initial, "nobody is answered, and the same entries go on");
+    assert_eq!(roles(&records), initial, "with all rejected, the same entries continue");
 }
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Admission in seeded simulations of three entries before sixteen endpoints,
-//! with an unlimited entry as baseline in the same run. Each tick is a millisecond.
+//! Seeded simulations of admission: three entries in front of sixteen endpoints, with an unlimited
+//! entry as baseline in the same run. Each tick is a millisecond.
 
 use std::{
     cmp::Reverse,
@@ -27,10 +27,10 @@
 const WORK_MS: u64 = 200;
 const DEADLINE_MS: u64 = 2_000;
 const START: u64 = 1_000_000;
-/// Before this, limits and rates are still being learned.
+/// Time after which limits and rates are learned; earlier requests are not measured.
 const WARM_UP_MS: u64 = 4_000;
 const SPAN_MS: u64 = 14_000;
-/// Requests that all endpoints together finish in a millisecond.
+/// Requests that all endpoints together complete per millisecond.
 const CAPACITY: f64 = (ENDPOINTS as u64 * LIMIT as u64) as f64 / WORK_MS as f64;
 const WORKSPACES: usize = 10;
 
@@ -42,9 +42,9 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Load {
-    /// Requests offered, as a multiple of the capacity.
+    /// Offered load as a multiple of the capacity.
     offered: f64,
-    /// Weight of the first workspace; the others have one each.
+    /// Weight of the first workspace; the others have a weight of one.
     first_weight: f64,
 }
 
@@ -328,7 +328,7 @@
     }
 }
 
-/// Endpoints that queue without limit, and entries that send all they get.
+/// Simulates endpoints with unbounded queues and entries that forward all requests.
 fn run_unlimited(load: Load) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(5);
     let mut outcome = Outcome::default();
@@ -356,7 +356,7 @@
     }
 }
 
-/// Share of the capacity that was answered in time.
+/// Fraction of the capacity that was answered in time.
 fn goodput(outcome: &Outcome) -> f64 {
     outcome.all.in_time / (CAPACITY * (SPAN_MS - DEADLINE_MS - WARM_UP_MS) as f64)
 }
@@ -365,10 +365,9 @@
     counts.in_time / counts.arrived
 }
 
-/// The phones go live and twice as many call as can be served. Without limits
-/// every answer comes too late and the engines work for nobody; with them, as
-/// many as can be served are, urgent calls first, and the rest learn at once
-/// that they were not run.
+/// Guards against congestion collapse at twice the capacity. Without limits every answer is late
+/// and the work of the engines is wasted. With them, requests are served at capacity, high priority
+/// first, and the rest are refused at once as not run.
 #[test]
 fn twice_the_capacity_is_served_at_capacity() {
     let load = Load { offered: 2.0, first_weight: 1.0 };
@@ -383,11 +382,11 @@
     );
     assert!(goodput(&shipped) >= 0.95, "goodput {}", goodput(&shipped));
     assert!(answered(&shipped.high) >= 0.999, "high {}", answered(&shipped.high));
-    assert!(goodput(&unlimited) <= 0.2, "the baseline {}", goodput(&unlimited));
+    assert!(goodput(&unlimited) <= 0.2, "baseline goodput {}", goodput(&unlimited));
 }
 
-/// One workspace sends ten times its share, so that all together exceed the
-/// capacity. The callers of the nine others must not notice.
+/// Guards against a workspace that sends ten times its share, so that the total exceeds the
+/// capacity. The other nine workspaces must not be affected.
 #[test]
 fn a_busy_workspace_takes_nothing_from_the_others() {
     let others = 0.9 * (WORKSPACES - 1) as f64 / WORKSPACES as f64;
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a failed attempt is followed by another, and what its caller is told.
+//! Retry decisions and the outcome reported to the caller.
 
 use cassiawheel_decide::{AttemptFailure, RepeatGuard, RetryBudget, RetryStep, RetryTracker};
 use cassiawheel_model::{Deadline, NotRunReason, Timestamp};
@@ -34,16 +34,16 @@
     AttemptFailure::NotRun(reason)
 }
 
-/// A card charge is sent, the connection breaks, and nothing tells whether the
-/// card was charged. A second attempt could charge it twice.
+/// Guards against a second card charge: the connection breaks, and it is unknown whether the first
+/// attempt charged the card.
 #[test]
 fn a_request_without_key_is_not_sent_again_after_a_possible_run() {
     let mut request = TestRequest::new(RepeatGuard::None);
     assert_eq!(request.after(unknown()), RetryStep::Stop(unknown()));
 }
 
-/// The first attempt may have run; the second was refused. Were the caller told
-/// the last word, "not run", it would order again what it already has.
+/// Guards against reporting "not run" for the last attempt when an earlier one may have run: the
+/// caller would order again what it already has.
 #[rstest]
 #[case(NotRunReason::Draining)]
 #[case(NotRunReason::NoEndpoint)]
@@ -58,8 +58,8 @@
     assert_eq!(step, RetryStep::Stop(unknown()));
 }
 
-/// An agent says that another attempt holds the key. The next agent would find
-/// the same row and wait for it as long, and the caller would wait for all.
+/// Guards against trying further agents while another attempt holds the claim on the key. Each of
+/// them would find the same row and wait as long, and the caller would wait for all.
 #[test]
 fn a_claim_that_is_held_elsewhere_ends_the_attempts() {
     let mut request = TestRequest::new(RepeatGuard::Claimed);
@@ -67,8 +67,8 @@
     assert!(matches!(step, RetryStep::Stop(AttemptFailure::Unknown(_))));
 }
 
-/// The only endpoint is full. "No endpoint" would send the operator to look for
-/// a dead process.
+/// Guards against a misleading outcome when the only endpoint is full: "no endpoint" would make the
+/// operator search for a dead process.
 #[test]
 fn the_last_refusal_is_reported_and_not_that_no_endpoint_is_left() {
     let mut request = TestRequest::new(RepeatGuard::Idempotent);
@@ -77,8 +77,8 @@
     assert_eq!(step, RetryStep::Stop(refused(NotRunReason::Overloaded)));
 }
 
-/// An entry lags behind a change of the preset. The endpoint that refuses is
-/// healthy and may be the only one; it is asked again under the newer preset.
+/// Guards against giving up while an entry lags behind a preset change. The endpoint that refuses
+/// is healthy and may be the only one; it is tried again under the newer preset.
 #[test]
 fn a_stale_revision_is_routed_anew() {
     let mut request = TestRequest::new(RepeatGuard::None);
@@ -86,8 +86,8 @@
     assert!(matches!(step, RetryStep::Reroute(_)));
 }
 
-/// Every endpoint refuses under overload. Unbounded retries would multiply the
-/// load; here 10,000 requests make at most 1,100 of them.
+/// Guards against unbounded retries that multiply the load while every endpoint refuses: 10,000
+/// requests cause at most 1,100 retries.
 #[test]
 fn retries_stay_within_a_tenth_of_the_requests() {
     let budget = RetryBudget::default();
@@ -108,7 +108,7 @@
     assert!((10_500..=11_100).contains(&attempts), "{attempts} attempts");
 }
 
-/// Guards against entries that each keep the share that they had when they knew few others.
+/// Guards against entries that each keep the burst computed when they knew few other entries.
 #[test]
 fn the_bursts_of_all_entries_stay_within_the_slack() {
     let (slack, entries) = (654.0, 149);
--- a/crates/decide/tests/roster.rs
+++ b/crates/decide/tests/roster.rs
@@ -1,4 +1,4 @@
-//! The endpoints and entries that an entry knows, against a reference model.
+//! Membership as one entry sees it, tested against a reference model.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -46,7 +46,7 @@
     }
 }
 
-/// What happens to a roster.
+/// Transition of a roster.
 #[derive(Debug, Clone)]
 enum RosterStep {
     Report { index: u8, incarnation: u64 },
@@ -56,7 +56,7 @@
     Expire,
 }
 
-/// What a roster must show: known processes, words of leaving, the platform's list.
+/// Expected state of a roster: known processes, leave notices and the platform's list.
 #[derive(Debug, Clone, Default)]
 struct RosterReference {
     members: BTreeMap<u8, u64>,
@@ -106,7 +106,7 @@
     }
 }
 
-/// A roster under test and the time, which moves on with each step.
+/// Roster under test and the time, which advances with each step.
 struct RosterTest {
     roster: EndpointRoster,
     now: Timestamp,
@@ -170,9 +170,9 @@
         ..Config::default()
     })]
 
-    /// Words of leaving overtake heartbeats, connections end and come back, and
-    /// processes restart at their instance. A process that leaves would
-    /// otherwise get new work, or a restarted one none.
+    /// Guards against leave notices that are lost or outlast their process, while notices overtake
+    /// heartbeats, connections end and return, and processes restart. A leaving process would get
+    /// new work, or a restarted one none.
     #[test]
     fn leaving_wins_and_ends_with_the_process(sequential 1..40 => RosterTest);
 }
@@ -188,8 +188,8 @@
     roster.values().any(|peer| !peer.advice.leaving)
 }
 
-/// An entry is drained and started again. If its word of leaving stuck to the
-/// instance, callers would never be advised to use it again.
+/// Guards against a leave notice that outlasts its process: after a drain and restart, callers
+/// would never be advised to use the entry again.
 #[test]
 fn a_restarted_entry_is_advised_again() {
     let mut roster = EntryRoster::default();
@@ -198,13 +198,13 @@
     roster.mark_leaving(&entry, 1, Timestamp(20));
     assert!(!is_advised(&roster));
     roster.apply_heartbeat(&entry, peer(1, false, 30));
-    assert!(!is_advised(&roster), "a heartbeat that was overtaken brought it back");
+    assert!(!is_advised(&roster), "a reordered heartbeat restored the entry");
     roster.apply_heartbeat(&entry, peer(2, false, 40));
     assert!(is_advised(&roster));
 }
 
-/// The message of leaving is lost in a full queue. The next heartbeat repeats
-/// it, or callers would be sent to an entry that is about to stop.
+/// Guards against a leave notice lost in a full queue: the next heartbeat repeats it, or callers
+/// would be sent to an entry that is about to stop.
 #[test]
 fn a_heartbeat_repeats_the_leave_notice() {
     let mut roster = EntryRoster::default();
@@ -212,8 +212,8 @@
     assert!(!is_advised(&roster));
 }
 
-/// An entry has started and knows no preset yet. Callers that were sent there
-/// would be refused.
+/// Guards against advising callers to use an entry that has just started and has no preset yet; it
+/// would refuse them.
 #[test]
 fn an_entry_that_is_not_ready_is_not_advised() {
     let mut roster = EntryRoster::default();
@@ -223,8 +223,8 @@
     assert!(is_advised(&roster));
 }
 
-/// An endpoint was silent for a while and was dropped. Its next heartbeat tells
-/// only a load; without its state nothing may be routed there.
+/// Guards against routing to an endpoint of unknown state: it was dropped after a silence, and its
+/// next heartbeat carries only a load.
 #[test]
 fn a_load_heartbeat_alone_makes_no_member() {
     let mut roster = EndpointRoster::default();
@@ -236,7 +236,7 @@
     assert_eq!(known, Some(load));
 }
 
-/// An endpoint that sends beats is not silent, though it sends no whole report.
+/// Guards against dropping an endpoint that sends load heartbeats but no full report.
 #[test]
 fn load_heartbeats_keep_a_member() {
     let mut roster = EndpointRoster::default();
@@ -247,8 +247,8 @@
     assert_eq!(roster.expire(Timestamp(51), Timestamp(61)), [instance(0)]);
 }
 
-/// An entry was frozen and dropped. Its next short heartbeat tells neither its
-/// address nor its revision; callers must not be sent there by what was known.
+/// Guards against advising callers from outdated data: a frozen entry was dropped, and its next
+/// short heartbeat carries neither its address nor its revision.
 #[test]
 fn a_short_heartbeat_alone_makes_no_entry() {
     let mut roster = EntryRoster::default();
@@ -260,8 +260,8 @@
     assert_eq!(roster.values().map(|peer| peer.advice.in_flight).collect::<Vec<_>>(), [4]);
 }
 
-/// Guards against endpoints that stay in the roster for ever once their agents are gone,
-/// and against one whose agent is connected to another entry and does not count.
+/// Guards against endpoints that stay in the roster for ever after their agents are gone, and
+/// against ignoring one whose agent is connected to another entry.
 #[test]
 fn an_endpoint_counts_while_its_agent_is_connected_to_some_entry() {
     let mut roster = EndpointRoster::default();
--- a/crates/decide/tests/routing.rs
+++ b/crates/decide/tests/routing.rs
@@ -1,5 +1,5 @@
-//! Routing in seeded simulations, with round robin and least outstanding
-//! requests as baselines in the same run. Each tick is a millisecond.
+//! Seeded simulations of routing, with round robin and least outstanding requests as baselines in
+//! the same run. Each tick is a millisecond.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -117,7 +117,7 @@
     }
 }
 
-/// What an engine's prefix cache of limited memory would do.
+/// Model of an engine's prefix cache with limited memory (LRU).
 #[derive(Default)]
 struct PrefixCache {
     kept: VecDeque<u64>,
@@ -126,7 +126,7 @@
 impl PrefixCache {
     const PREFIXES: usize = 20;
 
-    /// True if `prefix` was cached; caches it.
+    /// Caches `prefix`; true if it was cached before.
     fn touch(&mut self, prefix: u64) -> bool {
         let found = self.kept.iter().position(|kept| *kept == prefix);
         if let Some(index) = found {
@@ -146,8 +146,8 @@
     max_load: f64,
 }
 
-/// Three entries, 240 prefixes whose popularity falls with their rank, and
-/// answers that take longer where the prefix is not cached.
+/// Simulates three entries, 240 prefixes with decreasing popularity, and answers that take longer
+/// where the prefix is not cached.
 fn share_prefixes(policy: Policy) -> CacheResult {
     let mut entries: Vec<_> = (0..3).map(Entry::new).collect();
     let mut rng = SmallRng::seed_from_u64(11);
@@ -163,7 +163,7 @@
             *end > tick
         });
         for (index, entry) in entries.iter_mut().enumerate() {
-            // A square makes low ranks popular: the first tenth gets a third.
+            // The square makes low ranks popular: the first tenth gets a third of the requests.
             let rank = (rng.random::<f64>().powi(2) * 240.0) as u64;
             let prompt = format!("{rank:>64}");
             let prefix = prefix_digest(prompt.as_bytes(), 64);
@@ -184,9 +184,9 @@
     CacheResult { hit_share: f64::from(hits) / f64::from(total), max_load }
 }
 
-/// School groups ask with the same long prompt about the same tour. Were they
-/// spread evenly, every engine would compute every prefix, and the first token
-/// would come late for all; were they all sent to one, it would be overloaded.
+/// Guards against poor use of prefix caches. Spread evenly, requests with a common prompt would
+/// make every engine compute every prefix and delay the first token; sent to one engine, they would
+/// overload it.
 #[test]
 fn common_prefixes_reach_the_engine_that_cached_them() {
     let shipped = share_prefixes(Policy::Shipped);
@@ -222,7 +222,7 @@
     excluded: Vec<InstanceId>,
 }
 
-/// One of 16 endpoints is bad; 60,000 idempotent requests at half the capacity.
+/// Simulates 60,000 idempotent requests at half the capacity, with one bad endpoint of 16.
 fn serve_beside(bad: BadEndpoint, policy: Policy) -> RetryResult {
     const REQUESTS: usize = 60_000;
     let mut entries: Vec<_> = (0..3).map(|seed| Entry::new(100 + seed)).collect();
@@ -295,9 +295,9 @@
     }
 }
 
-/// One of sixteen endpoints answers every call with an error at once, or ten
-/// times as slowly as the others. It always looks idle, so requests would flock
-/// to it, and callers would see errors while fifteen endpoints work.
+/// Guards against a bad endpoint that looks idle and attracts requests: one of sixteen fails every
+/// call at once, or is ten times slower than the others. Callers would see errors while fifteen
+/// endpoints work.
 #[test]
 fn a_bad_endpoint_costs_few_attempts_and_no_answers() {
     for bad in [BadEndpoint::FailsAtOnce, BadEndpoint::TenTimesSlow] {
@@ -312,8 +312,8 @@
     }
 }
 
-/// A rack switch dies and most endpoints fail. Were all of these passed over,
-/// the few that are left would get the whole load and die of it as well.
+/// Guards against ejecting most endpoints when a rack switch fails: the few that are left would get
+/// the whole load and fail as well.
 #[test]
 fn no_more_than_half_of_the_endpoints_are_ejected() {
     let entry = Entry::new(1);
