--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -1,49 +1,49 @@
-//! How often a process may call the table service.
+//! Rate limiting of the calls to the table service.
 
 use std::time::Duration;
 
 use cassiawheel_model::Timestamp;
 
-/// Failures in a row after which the wait between polls grows no more.
+/// Consecutive failures after which the poll interval stops doubling.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// Calls that may be made now; refilled at a steady rate.
+/// Token bucket of calls.
 ///
-/// Without it a fault in one process, such as a loop of retries, would use up
-/// the rate that the service grants to all.
+/// It keeps a fault in one process, such as a retry loop, from using up the rate limit that all
+/// processes share.
 #[derive(Debug, Clone)]
 pub struct CallBudget {
     per_s: u64,
-    /// Thousandths of a call.
-    filled: u64,
-    filled_at: Timestamp,
+    /// Available tokens, in thousandths of a call.
+    tokens: u64,
+    refilled_at: Timestamp,
 }
 
 impl CallBudget {
-    /// A full budget of `per_s` calls a second, and as many at once.
+    /// Creates a full bucket that refills at `per_s` calls per second and holds as many.
     pub fn new(per_s: u32, now: Timestamp) -> Self {
         let per_s = u64::from(per_s);
-        Self { per_s, filled: per_s * 1_000, filled_at: now }
+        Self { per_s, tokens: per_s * 1_000, refilled_at: now }
     }
 
-    /// Takes one call; the wait until there is one if there is none.
+    /// Takes one call, or returns the time until one is available.
     pub fn take(&mut self, now: Timestamp) -> Result<(), Duration> {
-        let elapsed_ms = now.0.saturating_sub(self.filled_at.0);
-        self.filled_at = now.max(self.filled_at);
-        self.filled = (self.filled + elapsed_ms * self.per_s).min(self.per_s * 1_000);
-        if self.filled >= 1_000 {
-            self.filled -= 1_000;
+        let elapsed_ms = now.0.saturating_sub(self.refilled_at.0);
+        self.refilled_at = now.max(self.refilled_at);
+        self.tokens = (self.tokens + elapsed_ms * self.per_s).min(self.per_s * 1_000);
+        if self.tokens >= 1_000 {
+            self.tokens -= 1_000;
             return Ok(());
         }
-        let missing = 1_000 - self.filled;
+        let missing = 1_000 - self.tokens;
         Err(Duration::from_millis(missing.div_ceil(self.per_s.max(1))))
     }
 }
 
-/// The wait until the next poll after `failures` in a row.
+/// Time until the next poll after `failures` consecutive failures, in milliseconds.
 ///
-/// A service that comes back after an outage would otherwise meet the polls of
-/// all processes at their full rate, on top of the calls that waited for it.
+/// Without the backoff, a service that recovers from an outage would get the polls of all processes
+/// at their full rate, on top of the calls that waited for it.
 pub fn poll_backoff_ms(base_ms: u64, failures: u32) -> u64 {
     base_ms << failures.min(MAX_DOUBLINGS)
 }
--- a/crates/decide/tests/direct_routing.rs
+++ b/crates/decide/tests/direct_routing.rs
@@ -1,5 +1,4 @@
-//! Endpoints that are reached without an agent between: no gate makes up for a
-//! bad choice there.
+//! Endpoints that are reached without an agent, where no gate corrects a bad choice.
 
 use std::{
     collections::HashMap,
@@ -18,7 +17,7 @@
 
 struct Endpoints {
     service: ServiceName,
-    cells: Vec<Arc<EndpointTracker>>,
+    trackers: Vec<Arc<EndpointTracker>>,
     routes: RouteSnapshot,
 }
 
@@ -27,24 +26,25 @@
 }
 
 impl Endpoints {
-    /// Endpoints that serve the versions with these numbers.
+    /// Creates endpoints that serve the versions with these numbers.
     fn serving(numbers: &[usize]) -> Self {
         let service = ServiceName::new("guide").expect("valid");
-        let cells: Vec<_> = numbers.iter().map(|_| Arc::new(EndpointTracker::default())).collect();
-        let candidate = |(index, cell): (usize, &Arc<EndpointTracker>)| {
-            cell.set_hard_limit(SLOTS);
+        let trackers: Vec<_> =
+            numbers.iter().map(|_| Arc::new(EndpointTracker::default())).collect();
+        let candidate = |(index, tracker): (usize, &Arc<EndpointTracker>)| {
+            tracker.set_hard_limit(SLOTS);
             RouteCandidate {
                 instance: InstanceId::new(&format!("i-{index}")).expect("valid"),
                 version: Some(version(numbers[index])),
                 is_near: index % 2 == 0,
                 path: EndpointPath::Direct("10.0.0.1:8001".parse().expect("valid")),
-                tracker: cell.clone(),
+                tracker: tracker.clone(),
             }
         };
-        let candidates = cells.iter().enumerate().map(candidate).collect();
+        let candidates = trackers.iter().enumerate().map(candidate).collect();
         let routes = ServiceRoutes::new(candidates, Arc::new(AtomicU32::new(0)));
         let routes = RouteSnapshot::new(HashMap::from([(service.clone(), routes)]));
-        Self { service, cells, routes }
+        Self { service, trackers, routes }
     }
 
     fn query(&self, now: Timestamp) -> RouteQuery<'_> {
@@ -60,10 +60,10 @@
         }
     }
 
-    /// How many of a hundred requests each endpoint gets.
+    /// Number of a hundred requests that each endpoint gets.
     fn choices(&self, query: &RouteQuery<'_>) -> Vec<u32> {
         let mut rng = SmallRng::seed_from_u64(3);
-        let mut chosen = vec![0; self.cells.len()];
+        let mut chosen = vec![0; self.trackers.len()];
         for _ in 0..100 {
             if let Some(choice) = self.routes.choose(query, &mut rng) {
                 let name = choice.candidate.instance.as_str().trim_start_matches("i-");
@@ -75,7 +75,7 @@
 
     fn report(&self, index: usize, in_flight: u32, measured_at: Timestamp) {
         let load = LoadReport { in_flight, queued: 0, measured_at };
-        self.cells[index].apply_report(&load, SLOTS);
+        self.trackers[index].apply_report(&load, SLOTS);
     }
 }
 
@@ -83,9 +83,9 @@
     Timestamp(NOW.0 + ms)
 }
 
-/// Other entries have filled an endpoint, as it told half a second ago. Taking
-/// that for half forgotten, every entry would send it a few more, and all of
-/// their callers would wait.
+/// Guards against overloading an endpoint that other entries have filled. If its report of half a
+/// second ago counted only in part, every entry would send it a few more requests, and all their
+/// callers would wait.
 #[test]
 fn what_others_have_there_counts_in_full_while_it_is_fresh() {
     let endpoints = Endpoints::serving(&[1, 1]);
@@ -96,8 +96,8 @@
     assert_eq!(routes.capacity(1_024, at(500)), SLOTS);
 }
 
-/// All endpoints are full. A fresh request is refused at once, but one whose
-/// endpoint has died goes on elsewhere: its caller has waited already.
+/// Guards against losing a request whose endpoint failed while all others are full. First-time
+/// requests are refused at once, but this caller has already waited.
 #[test]
 fn a_request_that_lost_its_endpoint_finds_room_where_none_is_left() {
     let endpoints = Endpoints::serving(&[1, 1, 1]);
@@ -107,34 +107,33 @@
     assert_eq!(endpoints.choices(&repeated).iter().sum::<u32>(), 100);
 }
 
-/// A link narrows, and answers of the endpoint behind it take more than a
-/// second to begin. It looks idle and would draw requests; their callers would
-/// leave while it works for them.
+/// Guards against preferring a slow endpoint. Behind a degraded link its answers take more than a
+/// second to begin; it looks idle and would attract requests whose callers leave before the answer.
 #[test]
 fn a_slow_endpoint_is_passed_over() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
-    let slow = &endpoints.cells[1];
+    let slow = &endpoints.trackers[1];
     slow.record_sent(NOW);
     slow.record_delay(1_400, true, at(1_400));
     assert_eq!(endpoints.choices(&endpoints.query(at(1_500)))[1], 0);
 }
 
-/// An endpoint falls silent with requests on it. It gets no more long before
-/// the first of them is given up.
+/// Guards against sending more requests to an endpoint that stopped answering, long before its
+/// first request times out.
 #[test]
 fn silence_counts_as_delay() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
-    endpoints.cells[2].record_sent(NOW);
+    endpoints.trackers[2].record_sent(NOW);
     assert!(endpoints.choices(&endpoints.query(at(300)))[2] > 0);
     assert_eq!(endpoints.choices(&endpoints.query(at(1_100)))[2], 0);
 }
 
-/// A slow endpoint may have recovered. After a while it gets one request, and
-/// no second one before that is answered.
+/// Guards against ejecting a slow endpoint for good: after a while it gets one request, and no
+/// second one before that is answered.
 #[test]
 fn a_slow_endpoint_is_tried_again_by_one_request() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
-    let slow = &endpoints.cells[1];
+    let slow = &endpoints.trackers[1];
     slow.record_sent(NOW);
     slow.record_delay(1_400, true, at(1_400));
     let later = at(5_000);
@@ -145,22 +144,22 @@
     assert!(!slow.is_slow(at(5_120)));
 }
 
-/// Most endpoints are slow at the same time. The cause is elsewhere, and to
-/// refuse everybody would serve nobody.
+/// Guards against refusing all requests when most endpoints are slow at once and the cause is
+/// elsewhere.
 #[test]
 fn slow_endpoints_are_used_if_most_are_slow() {
     let endpoints = Endpoints::serving(&[1, 1, 1, 1]);
-    for cell in &endpoints.cells[..3] {
-        cell.record_sent(NOW);
-        cell.record_delay(1_400, true, at(1_400));
+    for tracker in &endpoints.trackers[..3] {
+        tracker.record_sent(NOW);
+        tracker.record_delay(1_400, true, at(1_400));
     }
     endpoints.report(3, SLOTS, at(1_400));
     let chosen = endpoints.choices(&endpoints.query(at(1_500)));
     assert_eq!(chosen.iter().sum::<u32>(), 100);
 }
 
-/// A version may not answer any more. Endpoints that still hold it get nothing,
-/// even if they are the only ones left.
+/// Guards against an answer by a version that may no longer answer, even if only its endpoints are
+/// left.
 #[test]
 fn versions_that_may_not_answer_get_nothing() {
     let endpoints = Endpoints::serving(&[1, 2, 3]);
@@ -174,9 +173,8 @@
     assert_eq!(endpoints.choices(&query), [0, 0, 0]);
 }
 
-/// Endpoints near the entry are a little busier than those of other regions.
-/// Answers from afar take the same time but cross links that are shared with the
-/// weights of a new version; those that cross for nothing hold it up.
+/// Guards against crossing regions for no gain. Answers from another region take the same time but
+/// use links that carry the weights of a new version and delay its rollout.
 #[test]
 fn requests_stay_near_while_the_near_are_hardly_busier() {
     let endpoints = Endpoints::serving(&[1; 8]);
@@ -188,8 +186,7 @@
     assert_eq!(far, 0, "{chosen:?}");
 }
 
-/// The region is full and others are idle. A caller of the full region would
-/// wait behind all the others there; it is worth the way to another region.
+/// Guards against queueing in a full region while other regions are idle.
 #[test]
 fn requests_go_far_when_the_near_are_much_busier() {
     let endpoints = Endpoints::serving(&[1; 8]);
@@ -201,15 +198,15 @@
     assert!(far >= 40, "{chosen:?}");
 }
 
-/// Guards against a slow endpoint whose limit never ends since nobody asks it any more.
+/// Guards against a slow endpoint whose rate limit never ends because no entry sends it a request.
 #[test]
 fn a_slow_endpoint_with_a_limit_is_asked_now_and_then() {
     let service = Endpoints::serving(&[1, 1, 1]);
-    let cell = &service.cells[0];
-    cell.set_pace(Some(EndpointPace::from_rate(1.0)), NOW);
+    let tracker = &service.trackers[0];
+    tracker.set_pace(Some(EndpointPace::from_rate(1.0)), NOW);
     for _ in 0..8 {
-        cell.record_sent(NOW);
-        cell.record_delay(3_000, true, NOW);
+        tracker.record_sent(NOW);
+        tracker.record_delay(3_000, true, NOW);
     }
     let candidates = service.routes.candidates().cloned().collect();
     let routes = ServiceRoutes::new(candidates, Arc::new(AtomicU32::new(0)));
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a failed attempt is followed by another, and what its caller is told.
+//! Retry decisions and the outcome reported to the caller.
 
 use cassiawheel_decide::{AttemptFailure, RepeatGuard, RetryBudget, RetryStep, RetryTracker};
 use cassiawheel_model::{Deadline, NotRunReason, Timestamp};
@@ -8,13 +8,13 @@
 const NOW: Timestamp = Timestamp(1_000);
 const DEADLINE: Deadline = Deadline(9_000);
 
-struct Tries {
+struct TestRequest {
     tracker: RetryTracker,
     budget: RetryBudget,
     rng: SmallRng,
 }
 
-impl Tries {
+impl TestRequest {
     fn new(guard: RepeatGuard) -> Self {
         let rng = SmallRng::seed_from_u64(1);
         Self { tracker: RetryTracker::new(guard, DEADLINE, 3), budget: RetryBudget::default(), rng }
@@ -34,60 +34,60 @@
     AttemptFailure::NotRun(reason)
 }
 
-/// A card charge is sent, the connection breaks, and nothing tells whether the
-/// card was charged. A second attempt could charge it twice.
+/// Guards against a second card charge: the connection breaks, and it is unknown whether the first
+/// attempt charged the card.
 #[test]
 fn a_request_without_key_is_not_sent_again_after_a_possible_run() {
-    let mut tries = Tries::new(RepeatGuard::None);
-    assert_eq!(tries.after(unknown()), RetryStep::Stop(unknown()));
+    let mut request = TestRequest::new(RepeatGuard::None);
+    assert_eq!(request.after(unknown()), RetryStep::Stop(unknown()));
 }
 
-/// The first attempt may have run; the second was refused. Were the caller told
-/// the last word, "not run", it would order again what it already has.
+/// Guards against reporting "not run" for the last attempt when an earlier one may have run: the
+/// caller would order again what it already has.
 #[rstest]
 #[case(NotRunReason::Draining)]
 #[case(NotRunReason::NoEndpoint)]
 #[case(NotRunReason::StoreUnavailable)]
 fn a_refusal_after_a_possible_run_stays_unknown(#[case] reason: NotRunReason) {
-    let mut tries = Tries::new(RepeatGuard::Claimed);
-    assert!(matches!(tries.after(unknown()), RetryStep::Retry(_)));
-    let mut step = tries.after(refused(reason));
+    let mut request = TestRequest::new(RepeatGuard::Claimed);
+    assert!(matches!(request.after(unknown()), RetryStep::Retry(_)));
+    let mut step = request.after(refused(reason));
     while let RetryStep::Retry(_) = step {
-        step = tries.after(refused(reason));
+        step = request.after(refused(reason));
     }
     assert_eq!(step, RetryStep::Stop(unknown()));
 }
 
-/// An agent says that another attempt holds the key. The next agent would find
-/// the same row and wait for it as long, and the caller would wait for all.
+/// Guards against trying further agents while another attempt holds the claim on the key. Each of
+/// them would find the same row and wait as long, and the caller would wait for all.
 #[test]
 fn a_claim_that_is_held_elsewhere_ends_the_attempts() {
-    let mut tries = Tries::new(RepeatGuard::Claimed);
-    let step = tries.after(AttemptFailure::Unanswered("held".to_owned()));
+    let mut request = TestRequest::new(RepeatGuard::Claimed);
+    let step = request.after(AttemptFailure::Unanswered("held".to_owned()));
     assert!(matches!(step, RetryStep::Stop(AttemptFailure::Unknown(_))));
 }
 
-/// The only endpoint is full. "No endpoint" would send the operator to look for
-/// a dead process.
+/// Guards against a misleading outcome when the only endpoint is full: "no endpoint" would make the
+/// operator search for a dead process.
 #[test]
-fn the_last_refusal_is_told_and_not_that_no_other_endpoint_is_left() {
-    let mut tries = Tries::new(RepeatGuard::Idempotent);
-    assert!(matches!(tries.after(refused(NotRunReason::Overloaded)), RetryStep::Retry(_)));
-    let step = tries.after(refused(NotRunReason::NoEndpoint));
+fn the_last_refusal_is_reported_and_not_that_no_endpoint_is_left() {
+    let mut request = TestRequest::new(RepeatGuard::Idempotent);
+    assert!(matches!(request.after(refused(NotRunReason::Overloaded)), RetryStep::Retry(_)));
+    let step = request.after(refused(NotRunReason::NoEndpoint));
     assert_eq!(step, RetryStep::Stop(refused(NotRunReason::Overloaded)));
 }
 
-/// An entry lags behind a change of the preset. The endpoint that refuses is
-/// healthy and may be the only one; it is asked again under the newer preset.
+/// Guards against giving up while an entry lags behind a preset change. The endpoint that refuses
+/// is healthy and may be the only one; it is tried again under the newer preset.
 #[test]
 fn a_stale_revision_is_routed_anew() {
-    let mut tries = Tries::new(RepeatGuard::None);
-    let step = tries.after(refused(NotRunReason::StaleRevision));
+    let mut request = TestRequest::new(RepeatGuard::None);
+    let step = request.after(refused(NotRunReason::StaleRevision));
     assert!(matches!(step, RetryStep::Reroute(_)));
 }
 
-/// Every endpoint refuses under overload. Unbounded retries would multiply the
-/// load; here 10,000 requests make at most 1,100 of them.
+/// Guards against unbounded retries that multiply the load while every endpoint refuses: 10,000
+/// requests cause at most 1,100 retries.
 #[test]
 fn retries_stay_within_a_tenth_of_the_requests() {
     let budget = RetryBudget::default();
@@ -108,9 +108,9 @@
     assert!((10_500..=11_100).contains(&attempts), "{attempts} attempts");
 }
 
-/// Guards against entries that each keep the share that they had when they knew few others.
+/// Guards against entries that each keep the burst computed when they knew few other entries.
 #[test]
-fn the_savings_of_all_entries_stay_within_the_slack() {
+fn the_bursts_of_all_entries_stay_within_the_slack() {
     let (slack, entries) = (654.0, 149);
     let budgets: Vec<_> = (0..entries).map(|_| RetryBudget::new(0.2, slack / 9.0)).collect();
     budgets.iter().for_each(|budget| budget.set_burst(slack / f64::from(entries)));
