--- a/crates/entry/src/admin/progress.rs
+++ b/crates/entry/src/admin/progress.rs
@@ -8,11 +8,11 @@
 };
 use macro_rules_attribute::apply;
 
-/// Maximum number of marks; more would belong to versions that are no longer wanted.
-const MAX_MARKS: usize = 64;
+/// Maximum number of samples; more would belong to versions that are no longer wanted.
+const MAX_SAMPLES: usize = 64;
 
 /// First observed progress by service and manifest.
-pub(crate) type ProgressMarks = BTreeMap<(ServiceName, ManifestDigest), ProgressSample>;
+pub(crate) type ProgressSamples = BTreeMap<(ServiceName, ManifestDigest), ProgressSample>;
 
 /// Progress of a service's endpoints in staging a version.
 #[apply(record!)]
@@ -32,7 +32,7 @@
 
 /// Adds up the progress in `reports` towards the target's version and forecasts the rest.
 pub(super) fn stage_progress(
-    marks: &mut ProgressMarks,
+    samples: &mut ProgressSamples,
     service: &ServiceName,
     target: &ServiceTarget,
     reports: &[&EndpointReport],
@@ -50,13 +50,13 @@
         progress.chunks_total = progress.chunks_total.max(u64::from(staged.chunks_total));
     }
     progress.chunks_total *= reports.len().min(target.replicas as usize) as u64;
-    if marks.len() > MAX_MARKS {
-        marks.clear();
+    if samples.len() > MAX_SAMPLES {
+        samples.clear();
     }
     let first = ProgressSample { seen_at: now, chunks: progress.chunks_ready };
-    let mark = *marks.entry((service.clone(), manifest)).or_insert(first);
+    let sample = *samples.entry((service.clone(), manifest)).or_insert(first);
     if progress.chunks_total > 0 {
-        progress.forecast = forecast(mark, progress.chunks_ready, progress.chunks_total, now);
+        progress.forecast = forecast(sample, progress.chunks_ready, progress.chunks_total, now);
     }
     progress.late = match (progress.forecast, target.ready_by) {
         (Some(forecast), Some(ready_by)) => forecast > ready_by,
--- a/crates/entry/src/admin/status.rs
+++ b/crates/entry/src/admin/status.rs
@@ -25,7 +25,7 @@
     pub(crate) entries: BTreeMap<InstanceId, PresetRevision>,
     /// Services of the active preset.
     pub(crate) services: BTreeMap<ServiceName, ServiceStatus>,
-    /// Endpoints that this entry knows.
+    /// Endpoints in the roster of this entry.
     pub(crate) endpoints: Vec<EndpointStatus>,
     /// Entries and endpoints that have not adopted the revision yet.
     pub(crate) behind: Vec<InstanceId>,
@@ -141,8 +141,8 @@
         .filter(|endpoint| endpoint.report.service == *service && !endpoint.leaving)
         .map(|endpoint| &endpoint.report)
         .collect();
-    let mut marks = shared.progress.lock().unwrap_or_else(|poison| poison.into_inner());
-    stage_progress(&mut marks, service, target, &reports, Timestamp::now())
+    let mut samples = shared.progress.lock().unwrap_or_else(|poison| poison.into_inner());
+    stage_progress(&mut samples, service, target, &reports, Timestamp::now())
 }
 
 fn endpoint_statuses(shared: &EntryShared) -> Vec<EndpointStatus> {
--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -95,7 +95,7 @@
     waiting.try_send(verdict).is_ok()
 }
 
-/// Waits until the request is admitted; returns no permit if the service has no queue.
+/// Waits until the request is admitted; no permit if the service is unknown or has no endpoint.
 pub(crate) async fn admit(
     shared: &EntryShared,
     request: &IdentifiedRequest,
--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -209,7 +209,7 @@
     tracker: &EndpointTracker,
 ) -> Result<ResponseHead, AttemptFailure> {
     let head = sent.head;
-    let leg = ForwardMetadata {
+    let forward = ForwardMetadata {
         request: &head.id,
         endpoint: target.instance,
         remaining: head.deadline.remaining(Timestamp::now()),
@@ -219,14 +219,14 @@
         is_low_priority: false,
     };
     let (fields, body) = (&sent.request.fields, &sent.request.body);
-    let answer = routed.direct.send(target, head, fields, body, &leg).await?;
-    if let Some(load) = answer.marks.load {
+    let response = routed.direct.send(target, head, fields, body, &forward).await?;
+    if let Some(load) = response.metadata.load {
         tracker.apply_report(&load_report(load), tracker.hard_limit());
     }
     Ok(ResponseHead {
-        status: answer.parts.status.as_u16(),
-        headers: routed.callers.end_to_end(&answer.parts.headers),
-        stream: AttemptStream::new(StreamKind::Direct(Box::new(answer.stream))),
+        status: response.parts.status.as_u16(),
+        headers: routed.callers.end_to_end(&response.parts.headers),
+        stream: AttemptStream::new(StreamKind::Direct(Box::new(response.stream))),
         version: head.version.clone(),
         revision: head.revision,
         replayed: false,
--- a/crates/entry/src/control/chunk_peers.rs
+++ b/crates/entry/src/control/chunk_peers.rs
@@ -119,11 +119,11 @@
 }
 
 fn chosen_peers(agent: &EndpointAddress, agents: &[EndpointAddress]) -> Vec<EndpointAddress> {
-    let places: Vec<_> = agents.iter().map(agent_place).collect();
-    let chosen: HashSet<_> = chunk_peers(agent_place(agent), &places).into_iter().collect();
+    let places: Vec<_> = agents.iter().map(agent_location).collect();
+    let chosen: HashSet<_> = chunk_peers(agent_location(agent), &places).into_iter().collect();
     agents.iter().filter(|other| chosen.contains(other.instance.as_str())).cloned().collect()
 }
 
-fn agent_place(agent: &EndpointAddress) -> AgentLocation<'_> {
+fn agent_location(agent: &EndpointAddress) -> AgentLocation<'_> {
     AgentLocation { instance: agent.instance.as_str(), region: &agent.region }
 }
--- a/crates/entry/src/direct.rs
+++ b/crates/entry/src/direct.rs
@@ -43,7 +43,7 @@
     /// Status and header fields.
     pub(crate) parts: Parts,
     /// Metadata that the header fields carry.
-    pub(crate) marks: ResponseMetadata,
+    pub(crate) metadata: ResponseMetadata,
     /// The rest of the response.
     pub(crate) stream: DirectStream,
 }
@@ -53,7 +53,7 @@
     body: Incoming,
     client: Arc<DirectClient>,
     connection: Option<EndpointConnection>,
-    marks: ResponseMetadata,
+    metadata: ResponseMetadata,
 }
 
 /// One part of the rest of a response.
@@ -84,25 +84,25 @@
         head: &RequestHead,
         fields: &HeaderMap,
         body: &Bytes,
-        leg: &ForwardMetadata<'_>,
+        forward: &ForwardMetadata<'_>,
     ) -> Result<DirectResponse, AttemptFailure> {
-        let request = self.request(head, fields, body, leg)?;
+        let request = self.request(head, fields, body, forward)?;
         let (reply, connection) = self.exchange(target, head, request).await?;
         let (parts, body) = reply.into_parts();
-        let marks = self.protocol.read_metadata(&parts);
+        let metadata = self.protocol.read_metadata(&parts);
         // Refusals are skipped unless they state a limit: they may come from another process, or
         // from one that has not checked its limit.
-        if marks.limit.is_some() || !marks.not_run {
-            self.limits.observe(target.instance, marks.limit);
+        if metadata.limit.is_some() || !metadata.not_run {
+            self.limits.observe(target.instance, metadata.limit);
         }
         let stream = DirectStream {
             body,
             client: self.clone(),
             connection: Some(connection),
-            marks: marks.clone(),
+            metadata: metadata.clone(),
         };
-        match check_head(head, &parts, &marks) {
-            Ok(()) => Ok(DirectResponse { parts, marks, stream }),
+        match check_head(head, &parts, &metadata) {
+            Ok(()) => Ok(DirectResponse { parts, metadata, stream }),
             Err(end) => {
                 if matches!(end, AttemptFailure::NotRun(_)) {
                     stream.reuse_connection();
@@ -117,7 +117,7 @@
         head: &RequestHead,
         fields: &HeaderMap,
         body: &Bytes,
-        leg: &ForwardMetadata<'_>,
+        forward: &ForwardMetadata<'_>,
     ) -> Result<Request<Full<Bytes>>, AttemptFailure> {
         let request = Request::builder().method(head.method.as_str()).uri(head.path.as_str());
         let mut request = request.body(Full::new(body.clone())).map_err(|error| {
@@ -125,7 +125,7 @@
             AttemptFailure::NotRun(NotRunReason::ConnectFailed)
         })?;
         *request.headers_mut() = fields.clone();
-        self.protocol.write_metadata(request.headers_mut(), leg);
+        self.protocol.write_metadata(request.headers_mut(), forward);
         Ok(request)
     }
 
@@ -168,21 +168,21 @@
 fn check_head(
     head: &RequestHead,
     parts: &Parts,
-    marks: &ResponseMetadata,
+    metadata: &ResponseMetadata,
 ) -> Result<(), AttemptFailure> {
     // An endpoint may send a second response to an earlier request, which would be mistaken for the
-    // response to the next one. The request id that every endpoint echoes tells them apart.
-    if marks.request.as_deref() != Some(head.id.as_str()) {
+    // response to the next one. The request id that every endpoint echoes identifies them.
+    if metadata.request.as_deref() != Some(head.id.as_str()) {
         return Err(AttemptFailure::Unknown("the answer belongs to another request".to_owned()));
     }
-    if marks.not_run {
+    if metadata.not_run {
         let reason = match parts.status {
             StatusCode::MISDIRECTED_REQUEST => NotRunReason::VersionMismatch,
             _ => NotRunReason::Overloaded,
         };
         return Err(AttemptFailure::NotRun(reason));
     }
-    if parts.status.is_success() && !marks.is_signed {
+    if parts.status.is_success() && !metadata.is_signed {
         return Err(AttemptFailure::Unknown("the answer is not signed".to_owned()));
     }
     Ok(())
@@ -208,8 +208,10 @@
     }
 
     fn return_connection(&mut self) {
-        if let Some(connection) = self.connection.take().filter(|_| !self.marks.closes_connection) {
-            self.client.pool.put(connection, self.marks.idle_timeout, Timestamp::now());
+        if let Some(connection) =
+            self.connection.take().filter(|_| !self.metadata.closes_connection)
+        {
+            self.client.pool.put(connection, self.metadata.idle_timeout, Timestamp::now());
         }
     }
 
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -103,7 +103,7 @@
         return;
     }
     limits.paced_at.store(now.0, Ordering::Relaxed);
-    let own = &shared.settings.place.instance;
+    let own = &shared.settings.rank.instance;
     let state = routed.overlay.lock();
     let present = state.present(own);
     let present: Vec<_> = present.into_iter().filter(|record| !record.leaving).collect();
@@ -120,8 +120,8 @@
         }
         let listed = listing.endpoints().find(|listed| listed.instance == candidate.instance);
         let domain = listed.map(|listed| &listed.failure_domain);
-        let place = holder_place(subject, domain, own, &present);
-        let pace = rate_limits.pace(subject, place, now);
+        let rank = holder_rank(subject, domain, own, &present);
+        let pace = rate_limits.pace(subject, rank, now);
         is_change |= pace.is_some() != candidate.tracker.is_paced();
         candidate.tracker.set_pace(pace, now);
     }
@@ -146,8 +146,8 @@
     routed.limits.has_limits.store(!rate_limits.is_empty(), Ordering::Relaxed);
 }
 
-/// Place of the entry `own` among the entries that may use the limit of an endpoint in `domain`.
-fn holder_place(
+/// Rank of the entry `own` among the entries that may use the limit of an endpoint in `domain`.
+fn holder_rank(
     subject: u64,
     domain: Option<&FailureDomain>,
     own: &InstanceId,
--- a/crates/entry/src/overlay.rs
+++ b/crates/entry/src/overlay.rs
@@ -113,12 +113,11 @@
     /// Forwards a flooded message; false if it was seen before.
     pub(crate) fn forward_flood(&self, message: &FloodMessage, source: LinkId) -> bool {
         let mut state = self.lock();
-        let is_news =
-            state.seen_floods.insert(&message.origin, message.incarnation, message.number);
-        if is_news {
+        let is_new = state.seen_floods.insert(&message.origin, message.incarnation, message.number);
+        if is_new {
             state.send_flood(message, Some(source));
         }
-        is_news
+        is_new
     }
 }
 
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -23,7 +23,7 @@
 use cassiawheel_wire::{HelloMessage, ProcessKind, WireSender};
 
 use crate::{
-    admin::progress::ProgressMarks,
+    admin::progress::ProgressSamples,
     caller::EntryAdmission,
     control::{peers, staging::StagingRow, store::MeteredTable},
     counters::CounterRegistry,
@@ -70,7 +70,7 @@
     /// The same client as `table`, with its health.
     pub(crate) store: Arc<MeteredTable>,
     /// Progress of services towards their versions, for forecasts.
-    pub(crate) progress: Mutex<ProgressMarks>,
+    pub(crate) progress: Mutex<ProgressSamples>,
     /// Additional state where callers are routed by a route table.
     pub(crate) routed: Option<Arc<RoutedState>>,
     default_retries: Arc<RetryBudget>,
