--- a/crates/entry/src/counters.rs
+++ b/crates/entry/src/counters.rs
@@ -1,4 +1,5 @@
-//! Trackers of endpoints and request counts of services that outlive the route snapshots referring to them.
+//! Trackers of endpoints and request counts of services. They outlive the route snapshots that
+//! refer to them.
 
 use std::{
     collections::HashMap,
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -103,7 +103,7 @@
         return;
     }
     limits.paced_at.store(now.0, Ordering::Relaxed);
-    let own = &shared.settings.rank.instance;
+    let own = &shared.settings.place.instance;
     let state = routed.overlay.lock();
     let present = state.present(own);
     let present: Vec<_> = present.into_iter().filter(|record| !record.leaving).collect();
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -164,7 +164,7 @@
         self.index.store(table.map(|table| Arc::new(CallerIndex::new(table))));
     }
 
-    /// Whether a request with the caller timeout `caller_timeout` is a first try rather than a retry.
+    /// Whether a request with this caller timeout is a first try rather than a retry.
     pub(crate) fn is_first_try(&self, route: &str, caller_timeout: Duration) -> bool {
         let caller_timeout = caller_timeout.as_millis() as u64;
         if let Some(longest) = self.caller_timeouts.load().get(route) {
