--- a/crates/entry/src/caller/crash_detection.rs
+++ b/crates/entry/src/caller/crash_detection.rs
@@ -69,7 +69,7 @@
             true => CrashEvent::EndedInAnswer(endpoint),
             false => CrashEvent::EndedAtStart(endpoint),
         };
-        note(routed, digest, event, ended_at);
+        record(routed, digest, event, ended_at);
     }
 }
 
@@ -80,11 +80,11 @@
     };
     let digest = request.digest();
     if routed.crashes.verdict(digest).is_some() {
-        note(routed, digest, CrashEvent::Answered, Timestamp::now());
+        record(routed, digest, CrashEvent::Answered, Timestamp::now());
     }
 }
 
-fn note(routed: &RoutedState, digest: RequestDigest, event: CrashEvent, at: Timestamp) {
+fn record(routed: &RoutedState, digest: RequestDigest, event: CrashEvent, at: Timestamp) {
     let now = Timestamp::now();
     let row = CrashRecord { digest, event, age_ms: now.since(at).as_millis() as u32 };
     let mut state = routed.overlay.lock();
@@ -157,7 +157,7 @@
             }
             Some(verdict) if verdict.not_before(rank, entries).is_past(now) => {
                 if let Some(run) = routed.crashes.begin_suspect_run(digest) {
-                    note(routed, digest, CrashEvent::Begun, now);
+                    record(routed, digest, CrashEvent::Begun, now);
                     return Ok(Some(run));
                 }
             }
