--- a/crates/agent/src/endpoint.rs
+++ b/crates/agent/src/endpoint.rs
@@ -9,7 +9,9 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{EntryChoice, GateState, LoadPace, PresetHolder, StartHold, ToldReport};
+use cassiawheel_decide::{
+    EntrySelector, GateState, LoadSchedule, PresetHolder, SentReport, StartHold,
+};
 use cassiawheel_edge::{ModelEngine, TableStore, WeightSource};
 use cassiawheel_model::{EndpointState, LoadReport, Timestamp, settings::AgentSettings};
 use cassiawheel_runtime::timeout;
@@ -56,10 +58,10 @@
     order: Mutex<Option<WeightOrder>>,
     /// Connection to the entry that sent the newest order.
     order_source: Mutex<Option<WireSender>>,
-    last_report: Mutex<Option<ToldReport>>,
+    last_report: Mutex<Option<SentReport>>,
     load: Mutex<LoadReport>,
     entries: Mutex<Vec<EntryLink>>,
-    entry_choice: Mutex<EntryChoice>,
+    entry_choice: Mutex<EntrySelector>,
     entries_changed: (Sender<()>, Receiver<()>),
     report_sequence: AtomicU64,
     attempt_ids: AtomicU64,
@@ -145,7 +147,7 @@
     }
 
     /// Locks the last full report; none unless it was queued for every connected entry.
-    pub(crate) fn last_report(&self) -> MutexGuard<'_, Option<ToldReport>> {
+    pub(crate) fn last_report(&self) -> MutexGuard<'_, Option<SentReport>> {
         self.last_report.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
@@ -160,7 +162,7 @@
     }
 
     /// Locks the candidates from which this agent chooses the entries to connect to.
-    pub(crate) fn entry_choice(&self) -> MutexGuard<'_, EntryChoice> {
+    pub(crate) fn entry_choice(&self) -> MutexGuard<'_, EntrySelector> {
         self.entry_choice.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
@@ -210,7 +212,7 @@
 
     /// Returns a permit to the gate and wakes one waiting task.
     pub(crate) fn release_permit(&self) {
-        self.gate().leave();
+        self.gate().release();
         let _ = self.released.0.try_send(());
     }
 
@@ -229,7 +231,7 @@
     /// Queue of messages to the entry.
     pub(crate) sender: WireSender,
     /// Schedule of load messages, as requested by the entry.
-    pub(crate) pace: LoadPace,
+    pub(crate) pace: LoadSchedule,
 }
 
 /// Guard of an attempt that a graceful shutdown waits for.
--- a/crates/agent/src/entry_choice.rs
+++ b/crates/agent/src/entry_choice.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
-use cassiawheel_decide::{near_or_all, rank::subject_of};
+use cassiawheel_decide::{rank::subject_of, same_region_or_all};
 use cassiawheel_edge::{ENTRY_KEY_PREFIX, EntryRow, StoreError};
 use cassiawheel_model::Timestamp;
 use cassiawheel_runtime::{spawn, timeout};
@@ -33,7 +33,7 @@
             find_entries(&shared).await;
         }
         let count = shared.settings.entry_links;
-        let chosen = shared.entry_choice().chosen(subject, count, Timestamp::now());
+        let chosen = shared.entry_choice().select(subject, count, Timestamp::now());
         if chosen.is_empty() {
             // No candidate can be reached; look for new ones.
             shared.entry_choice().clear();
@@ -107,7 +107,7 @@
     let rows = shared.table.scan(ENTRY_KEY_PREFIX).await?;
     let rows: Vec<_> = rows.iter().filter_map(EntryRow::decode).collect();
     let places = rows.iter().map(|row| (row.inner_addr, row.region.as_ref()));
-    Ok(near_or_all(&shared.settings.place.region, places))
+    Ok(same_region_or_all(&shared.settings.place.region, places))
 }
 
 async fn query_entry(shared: &EndpointShared, addr: SocketAddr) -> Option<Vec<SocketAddr>> {
--- a/crates/agent/src/keyed.rs
+++ b/crates/agent/src/keyed.rs
@@ -78,7 +78,7 @@
         }
         ClaimStep::Conflict => Err(RunFailure::NotRun(NotRunReason::KeyConflict)),
         ClaimStep::Unknown(detail) => Err(RunFailure::Unknown(detail)),
-        ClaimStep::GiveUp | ClaimStep::Look | ClaimStep::Write(_) => {
+        ClaimStep::GiveUp | ClaimStep::Poll | ClaimStep::Write(_) => {
             Err(RunFailure::NotRun(NotRunReason::StoreUnavailable))
         }
     }
@@ -127,7 +127,7 @@
         let mut step = ClaimStep::Write(ClaimGuard::Absent);
         let mut wait_ms = 0;
         loop {
-            let is_pending = matches!(step, ClaimStep::Write(_) | ClaimStep::Look);
+            let is_pending = matches!(step, ClaimStep::Write(_) | ClaimStep::Poll);
             // A cancelled attempt whose claim is certain still proceeds to the run, which
             // does not begin but releases the row. If it were abandoned here, the row
             // would stay held by an attempt that never runs, and every retry with the
@@ -143,7 +143,7 @@
                     let record = self.tracker.record();
                     row::write_claim(self.shared, &self.row, record, guard, self.give_up_at).await
                 }
-                ClaimStep::Look => {
+                ClaimStep::Poll => {
                     // Waiting attempts would use up the gate's permits, so that the run
                     // they wait for might be refused.
                     if self.tracker.waits_for_other() {
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -43,7 +43,7 @@
         Adoption::Conflicting => {
             log::error!(target: "preset", revision = revision.0; "Two presets have the same revision.");
         }
-        Adoption::Known | Adoption::Older => {}
+        Adoption::Unchanged | Adoption::Stale => {}
     }
 }
 
@@ -148,7 +148,7 @@
     if gate.state() != before || gate.begin_switch().is_err() {
         return;
     }
-    gate.abandon_switch();
+    gate.abort_switch();
     drop(gate);
     log::warn!(target: "switch", wanted:% = version, told:? = status.version; "The engine lost its weights.");
     shared.transfer.wake();
@@ -247,7 +247,7 @@
     let before = shared.gate().state().clone();
     shared.gate().begin_switch()?;
     announce_switch(shared).await;
-    while !shared.gate().may_exchange() {
+    while !shared.gate().can_swap_weights() {
         shared.permit_released().await;
     }
     if let Err(error) = load_and_verify(shared, order).await {
@@ -291,7 +291,7 @@
     {
         return;
     }
-    gate.abandon_switch();
+    gate.abort_switch();
 }
 
 async fn load_and_verify(shared: &EndpointShared, order: &WeightOrder) -> anyhow::Result<()> {
--- a/crates/agent/src/report.rs
+++ b/crates/agent/src/report.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::ToldReport;
+use cassiawheel_decide::SentReport;
 use cassiawheel_model::{EndpointReport, LoadReport, Timestamp};
 use cassiawheel_wire::{ControlMessage, WireSender};
 use smol::Timer;
@@ -79,14 +79,14 @@
 /// messages that follow would confirm it for ever.
 fn send_full_report(
     shared: &EndpointShared,
-    last: &mut Option<ToldReport>,
+    last: &mut Option<SentReport>,
     report: EndpointReport,
 ) {
     let message = ControlMessage::Report(Box::new(with_sequence(shared, report.clone())));
     let reached_all = broadcast(shared, &message);
     // An entry whose queue was full would apply the next load messages to the previous
     // state and might route to an endpoint that is switching.
-    *last = reached_all.then(|| ToldReport::new(report, Timestamp::now()));
+    *last = reached_all.then(|| SentReport::new(report, Timestamp::now()));
 }
 
 /// Sets the next sequence number in `report`.
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -9,7 +9,7 @@
     WeightSource,
 };
 use cassiawheel_model::{EndpointRole, Timestamp, settings::AgentSettings};
-use cassiawheel_runtime::{ShutdownTrigger, TerminationSignals, probes::serve_probes, spawn};
+use cassiawheel_runtime::{ProcessSignals, ShutdownTrigger, probes::serve_probes, spawn};
 use cassiawheel_wire::traffic::TRAFFIC;
 use prometheus::Registry;
 use smol::net::TcpListener;
@@ -52,7 +52,7 @@
 
 /// Runs the agent until a termination signal arrives, then drains.
 pub(crate) async fn serve(settings: AgentSettings, clients: AgentClients) -> anyhow::Result<()> {
-    let mut signals = TerminationSignals::listen()?;
+    let mut signals = ProcessSignals::listen()?;
     // Both listeners are bound before anything else starts: if an address is in use,
     // the agent exits before it contacts an entry or its engine.
     let inner = bind(settings.listen_inner, "listen_inner").await?;
@@ -77,12 +77,12 @@
     log::info!(target: "process", instance:% = shared.settings.place.instance, inner:% = shared.settings.listen_inner; "The agent started.");
 
     signals
-        .asked_or(|| {
+        .wait_or_reload(|| {
             log::info!(target: "process", "The settings file has changed; the change takes effect at the next start.");
         })
         .await;
     let deadline = Timestamp::now().deadline_after(Duration::from_millis(shared.settings.drain_ms));
-    let end = signals.finish(deadline, drain(&shared)).await;
+    let end = signals.drain_until(deadline, drain(&shared)).await;
     trigger.fire();
     let unfinished = shared.open_attempts();
     log::info!(target: "drain", in_progress = unfinished; "The agent exits.");
--- a/crates/agent/src/transfer/serve.rs
+++ b/crates/agent/src/transfer/serve.rs
@@ -166,7 +166,7 @@
         // queued uploads hold no memory.
         let is_paced = shared.may_serve_callers();
         if is_paced {
-            transfer.upload.pass(part_bytes).await;
+            transfer.upload.acquire(part_bytes).await;
         }
         let bytes = read_held(shared, self.manifest, self.index).await;
         let bytes = bytes.ok_or(ChunkRefusal::NotHeld)?;
@@ -177,7 +177,7 @@
                 break;
             }
             if number > 0 && is_paced {
-                transfer.upload.pass(part.len()).await;
+                transfer.upload.acquire(part.len()).await;
             }
             let (call, last) = (self.call, number + 1 == count);
             let message = ChunkMessage::Bytes { call, bytes: part.to_vec(), last };
--- a/crates/agent/src/transfer/stage.rs
+++ b/crates/agent/src/transfer/stage.rs
@@ -6,10 +6,10 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use anyhow::Context;
-use cassiawheel_decide::{ChunkPicker, ChunkSource, FetchOrder, PeerPlace, PickerSettings};
+use cassiawheel_decide::{ChunkPicker, ChunkSource, FetchOrder, PeerLocation, PickerSettings};
 use cassiawheel_model::{
     InstanceId, ManifestDigest, OriginPlace, RegionName, Timestamp, WeightManifest,
-    flags::set_positions, settings::TransferMode,
+    flags::iter_set_bits, settings::TransferMode,
 };
 use cassiawheel_runtime::{spawn, timeout};
 use cassiawheel_wire::message::WeightOrder;
@@ -81,7 +81,7 @@
     let staged = shared.engine.open_staging(&manifest).await.context("staging cannot be opened")?;
     let bits = hex::decode(&staged.bits).context("the engine's list of chunks is damaged")?;
     let mut held = vec![false; manifest.chunks.len()];
-    for index in set_positions(&bits, held.len()) {
+    for index in iter_set_bits(&bits, held.len()) {
         held[index] = true;
     }
     shared.transfer.open(manifest.clone(), held.clone());
@@ -161,7 +161,7 @@
     };
     let staged = shared.engine.open_staging(&manifest).await.context("staging cannot be opened")?;
     let bits = hex::decode(&staged.bits).context("the engine's list of chunks is damaged")?;
-    let is_complete = set_positions(&bits, manifest.chunks.len()).count() == manifest.chunks.len();
+    let is_complete = iter_set_bits(&bits, manifest.chunks.len()).count() == manifest.chunks.len();
     if is_complete {
         let held = vec![true; manifest.chunks.len()];
         shared.transfer.open(manifest, held);
@@ -184,13 +184,13 @@
         let origin_region = origin.and_then(|origin| origin.region);
         let settings = PickerSettings {
             origin_chunk_ms: chunk_ms.unwrap_or(0.0),
-            is_near_origin: origin_region.as_ref() == Some(&shared.settings.place.region),
-            most_draws: connections.div_ceil(ORIGIN_CONNECTION_DIVISOR),
+            in_origin_region: origin_region.as_ref() == Some(&shared.settings.place.region),
+            max_origin_fetches: connections.div_ceil(ORIGIN_CONNECTION_DIVISOR),
             instance: shared.settings.place.instance.clone(),
             stall_ms: shared.settings.transfer.stall_ms,
             origin_step_ms: shared.settings.transfer.origin_step_ms,
-            per_peer: FETCHES_PER_PEER,
-            peer_slots: shared.settings.transfer.download_slots,
+            max_fetches_per_peer: FETCHES_PER_PEER,
+            max_peer_fetches: shared.settings.transfer.download_slots,
             queue_ms: shared.settings.transfer.queue_ms,
             rescue_ms: shared.settings.transfer.rescue_ms,
             extra_copies: match shared.settings.transfer.mode {
@@ -263,11 +263,11 @@
                 continue;
             }
             let now = Timestamp::now();
-            let place = PeerPlace {
-                is_far: peer.region != self.shared.settings.place.region,
-                is_near_origin: self.origin_region.as_ref() == Some(&peer.region),
+            let place = PeerLocation {
+                is_remote: peer.region != self.shared.settings.place.region,
+                in_origin_region: self.origin_region.as_ref() == Some(&peer.region),
             };
-            self.picker.place_peer(&instance, place, now);
+            self.picker.set_peer_location(&instance, place, now);
             self.picker.expect_peer(&instance, now);
             let (manifest, chunks) = (self.manifest.digest, self.manifest.chunks.len());
             let follower =
@@ -291,9 +291,9 @@
                 self.picker.peer_holds(&instance, indices, now);
             }
             TransferEvent::PeerDownloads(instance, indices) => {
-                self.picker.peer_draws(&instance, indices, now);
+                self.picker.set_peer_origin_fetches(&instance, indices, now);
             }
-            TransferEvent::PeerSynced(instance) => self.picker.peer_told_all(&instance),
+            TransferEvent::PeerSynced(instance) => self.picker.peer_inventory_complete(&instance),
             TransferEvent::Fetched(order, outcome) => {
                 self.fetch_ended(&order, outcome, now);
             }
@@ -311,7 +311,7 @@
             FetchEnd::Deferred => self.picker.fetch_deferred(order, now),
             FetchEnd::RateLimited(wait) => {
                 self.picker.fetch_deferred(order, now);
-                self.picker.avoid_origin(now.deadline_after(wait));
+                self.picker.back_off_origin(now.deadline_after(wait));
             }
             FetchEnd::Failed(cause) => self.picker.fetch_failed(order, cause, now),
         }
@@ -332,6 +332,6 @@
             })
             .detach();
         }
-        self.shared.transfer.set_origin_fetches(self.manifest.digest, self.picker.drawing());
+        self.shared.transfer.set_origin_fetches(self.manifest.digest, self.picker.origin_fetches());
     }
 }
--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -1,59 +1,58 @@
-//! Records, reports and loads that an entry keeps and passes on to its neighbours.
+//! State that entries exchange by gossip: records, reports and loads.
 //!
-//! Every item that is newer than the known one gets the next number of a count
-//! of changes. A link remembers the number up to which its other end was sent
-//! everything, so that a new link gets the whole state and an old one only what
-//! changed, and nothing goes back over the link that it came from.
+//! Each item that is newer than the known one gets the next change number. A link keeps the number
+//! up to which its peer is current. A new link thus receives the whole state and an existing one
+//! only changes, and no item is sent back over the link that delivered it.
 
 use std::{
     collections::{BTreeMap, HashMap},
     time::Duration,
 };
 
-use cassiawheel_model::{EndpointReport, EntryRecord, InstanceId, LoadRow, Timestamp};
+use cassiawheel_model::{EndpointReport, EntryRecord, InstanceId, LoadRecord, Timestamp};
 
 use crate::rank::subject_of;
 
-/// Most records, and most reports, that are kept.
-const MAX_KEPT: usize = 16_384;
+/// Maximum number of records, and of reports.
+const MAX_ITEMS: usize = 16_384;
 
-/// Most loads in one message.
+/// Maximum number of loads in one message.
 const MAX_LOADS: usize = 512;
 
-/// Time for which an item is kept that no reachable process stands for.
+/// Time for which an item without a reachable process is kept.
 ///
-/// Longer than any message can be delayed, so that a late copy of it is known to be old.
-const KEEP_TIME: Duration = Duration::from_secs(60);
+/// Longer than any message can be delayed, so that a late copy is recognised as old.
+const RETENTION_TIME: Duration = Duration::from_secs(60);
 
-/// Age at which a load is of no use to anyone, in milliseconds.
+/// Age from which a load is outdated, in milliseconds.
 const MAX_LOAD_AGE_MS: u64 = 2_000;
 
-/// Number of a link within its process.
-pub type LinkNumber = u64;
+/// Identifier of a link within its process.
+pub type LinkId = u64;
 
-/// Up to which change the other end of a link has been sent everything.
+/// Change numbers up to which the peer of a link has received everything.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LinkMark {
+pub struct LinkCursor {
     state: u64,
     loads: u64,
 }
 
-/// Records, reports and loads as one entry has them.
+/// Records, reports and loads known to one entry.
 #[derive(Debug, Default)]
 pub struct GossipStore {
-    records: BTreeMap<InstanceId, KeptItem<EntryRecord>>,
-    reports: BTreeMap<InstanceId, KeptItem<EndpointReport>>,
+    records: BTreeMap<InstanceId, StoredItem<EntryRecord>>,
+    reports: BTreeMap<InstanceId, StoredItem<EndpointReport>>,
     loads: HashMap<u64, KnownLoad>,
     changes: u64,
 }
 
-/// An item with its change and the links over which it has come.
+/// An item with its change number and the links that delivered it.
 #[derive(Debug)]
-struct KeptItem<T> {
+struct StoredItem<T> {
     item: T,
     change: u64,
-    sources: Vec<LinkNumber>,
-    heard_at: Timestamp,
+    sources: Vec<LinkId>,
+    received_at: Timestamp,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -61,23 +60,23 @@
     load: u32,
     measured_at: Timestamp,
     change: u64,
-    source: Option<LinkNumber>,
+    source: Option<LinkId>,
 }
 
-/// How an item has come, and the number that it gets if it is new.
+/// Source and time of an arriving item, and its change number if it is new.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
     change: u64,
-    source: Option<LinkNumber>,
+    source: Option<LinkId>,
     now: Timestamp,
 }
 
-impl<T> KeptItem<T> {
+impl<T> StoredItem<T> {
     fn new(item: T, Arrival { change, source, now }: Arrival) -> Self {
-        Self { item, change, sources: source.into_iter().collect(), heard_at: now }
+        Self { item, change, sources: source.into_iter().collect(), received_at: now }
     }
 
-    /// Replaces the item if `item` is newer; the sender of an equal copy is a further source.
+    /// Replaces the item if `item` is newer; the sender of an equal copy becomes another source.
     fn merge(&mut self, item: T, is_newer: fn(&T, &T) -> bool, arrival: Arrival) -> bool {
         if is_newer(&item, &self.item) {
             *self = Self::new(item, arrival);
@@ -90,155 +89,155 @@
         false
     }
 
-    fn is_due(&self, mark: u64, link: LinkNumber) -> bool {
-        self.change > mark && !self.sources.contains(&link)
+    fn is_due(&self, cursor: u64, link: LinkId) -> bool {
+        self.change > cursor && !self.sources.contains(&link)
     }
 }
 
 fn insert_new<T>(
-    items: &mut BTreeMap<InstanceId, KeptItem<T>>,
+    items: &mut BTreeMap<InstanceId, StoredItem<T>>,
     instance: InstanceId,
     item: T,
     arrival: Arrival,
 ) -> bool {
-    let has_room = items.len() < MAX_KEPT;
+    let has_room = items.len() < MAX_ITEMS;
     if has_room {
-        items.insert(instance, KeptItem::new(item, arrival));
+        items.insert(instance, StoredItem::new(item, arrival));
     }
     has_room
 }
 
 impl GossipStore {
-    /// Takes in a record; true if it is newer than the known one.
+    /// Merges a record; true if it is newer than the known one.
     pub fn merge_record(
         &mut self,
         record: EntryRecord,
-        source: Option<LinkNumber>,
+        source: Option<LinkId>,
         now: Timestamp,
     ) -> bool {
         let arrival = Arrival { change: self.changes + 1, source, now };
-        let is_news = match self.records.get_mut(&record.instance) {
-            Some(known) => known.merge(record, EntryRecord::is_newer, arrival),
+        let is_new = match self.records.get_mut(&record.instance) {
+            Some(known) => known.merge(record, EntryRecord::is_newer_than, arrival),
             None => insert_new(&mut self.records, record.instance.clone(), record, arrival),
         };
-        self.changes += u64::from(is_news);
-        is_news
+        self.changes += u64::from(is_new);
+        is_new
     }
 
-    /// Takes in a report; true if it is newer than the known one.
+    /// Merges a report; true if it is newer than the known one.
     pub fn merge_report(
         &mut self,
         report: EndpointReport,
-        source: Option<LinkNumber>,
+        source: Option<LinkId>,
         now: Timestamp,
     ) -> bool {
         let arrival = Arrival { change: self.changes + 1, source, now };
-        let is_news = match self.reports.get_mut(&report.instance) {
-            Some(known) => known.merge(report, EndpointReport::is_newer, arrival),
+        let is_new = match self.reports.get_mut(&report.instance) {
+            Some(known) => known.merge(report, EndpointReport::is_newer_than, arrival),
             None => insert_new(&mut self.reports, report.instance.clone(), report, arrival),
         };
-        self.changes += u64::from(is_news);
-        is_news
+        self.changes += u64::from(is_new);
+        is_new
     }
 
-    /// Takes in a load; true if it was measured more than `step_ms` after the known one.
+    /// Merges a load; true if it was measured more than `step_ms` after the known one.
     pub fn merge_load(
         &mut self,
-        row: LoadRow,
+        row: LoadRecord,
         step_ms: u64,
-        source: Option<LinkNumber>,
+        source: Option<LinkId>,
         now: Timestamp,
     ) -> bool {
         let age_ms = u64::from(row.age_ms);
         let measured_at = Timestamp(now.0.saturating_sub(age_ms));
-        let known = self.loads.get(&row.subject);
+        let known = self.loads.get(&row.instance_hash);
         let is_later = known.is_none_or(|known| measured_at.0 > known.measured_at.0 + step_ms);
-        let has_room = known.is_some() || self.loads.len() < 2 * MAX_KEPT;
-        let is_news = is_later && has_room && age_ms < MAX_LOAD_AGE_MS;
-        if is_news {
+        let has_room = known.is_some() || self.loads.len() < 2 * MAX_ITEMS;
+        let is_new = is_later && has_room && age_ms < MAX_LOAD_AGE_MS;
+        if is_new {
             self.changes += 1;
             let change = self.changes;
             let known = KnownLoad { load: row.load, measured_at, change, source };
-            self.loads.insert(row.subject, known);
+            self.loads.insert(row.instance_hash, known);
         }
-        is_news
+        is_new
     }
 
-    /// The load of a process, if it is recent.
+    /// Load of a process, if it is recent.
     pub fn load_of(&self, instance: &InstanceId, now: Timestamp) -> Option<u32> {
         let known = self.loads.get(&subject_of(instance.as_str()))?;
         let age_ms = now.0.saturating_sub(known.measured_at.0);
         (age_ms < MAX_LOAD_AGE_MS).then_some(known.load)
     }
 
-    /// Records and reports that `link` has to be sent, and its mark after that.
+    /// Records and reports to send over `link`, and its cursor afterwards.
     pub fn state_since(
         &self,
-        mark: LinkMark,
-        link: LinkNumber,
-    ) -> (Vec<EntryRecord>, Vec<EndpointReport>, LinkMark) {
-        if mark.state == self.changes {
-            return (Vec::new(), Vec::new(), mark);
+        cursor: LinkCursor,
+        link: LinkId,
+    ) -> (Vec<EntryRecord>, Vec<EndpointReport>, LinkCursor) {
+        if cursor.state == self.changes {
+            return (Vec::new(), Vec::new(), cursor);
         }
-        let records = self.records.values().filter(|kept| kept.is_due(mark.state, link));
-        let records = records.map(|kept| kept.item.clone()).collect();
-        let reports = self.reports.values().filter(|kept| kept.is_due(mark.state, link));
-        let reports = reports.map(|kept| kept.item.clone()).collect();
-        (records, reports, LinkMark { state: self.changes, ..mark })
+        let records = self.records.values().filter(|stored| stored.is_due(cursor.state, link));
+        let records = records.map(|stored| stored.item.clone()).collect();
+        let reports = self.reports.values().filter(|stored| stored.is_due(cursor.state, link));
+        let reports = reports.map(|stored| stored.item.clone()).collect();
+        (records, reports, LinkCursor { state: self.changes, ..cursor })
     }
 
-    /// Loads that `link` has to be sent, and its mark after that.
+    /// Loads to send over `link`, and its cursor afterwards.
     ///
-    /// Those that have waited longest go first if one message cannot hold them all.
+    /// If one message cannot hold them all, the oldest changes go first.
     pub fn loads_since(
         &self,
-        mark: LinkMark,
-        link: LinkNumber,
+        cursor: LinkCursor,
+        link: LinkId,
         now: Timestamp,
-    ) -> (Vec<LoadRow>, LinkMark) {
-        let is_due = |known: &KnownLoad| known.change > mark.loads && known.source != Some(link);
+    ) -> (Vec<LoadRecord>, LinkCursor) {
+        let is_due = |known: &KnownLoad| known.change > cursor.loads && known.source != Some(link);
         let mut due: Vec<_> = self.loads.iter().filter(|(_, known)| is_due(known)).collect();
         due.sort_unstable_by_key(|(_, known)| known.change);
-        let is_cut = due.len() > MAX_LOADS;
+        let is_truncated = due.len() > MAX_LOADS;
         due.truncate(MAX_LOADS);
-        let last = due.last().map_or(mark.loads, |(_, known)| known.change);
-        let loads = if is_cut { last } else { self.changes };
+        let last = due.last().map_or(cursor.loads, |(_, known)| known.change);
+        let loads = if is_truncated { last } else { self.changes };
         let rows = due.into_iter().filter_map(|(subject, known)| {
             let age_ms = now.0.saturating_sub(known.measured_at.0);
-            (age_ms < MAX_LOAD_AGE_MS).then_some(LoadRow {
-                subject: *subject,
+            (age_ms < MAX_LOAD_AGE_MS).then_some(LoadRecord {
+                instance_hash: *subject,
                 load: known.load,
                 age_ms: age_ms as u32,
             })
         });
-        (rows.collect(), LinkMark { loads, ..mark })
+        (rows.collect(), LinkCursor { loads, ..cursor })
     }
 
-    /// All records.
+    /// All known records.
     pub fn records(&self) -> impl Iterator<Item = &EntryRecord> {
-        self.records.values().map(|kept| &kept.item)
+        self.records.values().map(|stored| &stored.item)
     }
 
-    /// The record of one entry.
+    /// Record of one entry.
     pub fn record(&self, instance: &InstanceId) -> Option<&EntryRecord> {
-        self.records.get(instance).map(|kept| &kept.item)
+        self.records.get(instance).map(|stored| &stored.item)
     }
 
-    /// All reports.
+    /// All known reports.
     pub fn reports(&self) -> impl Iterator<Item = &EndpointReport> {
-        self.reports.values().map(|kept| &kept.item)
+        self.reports.values().map(|stored| &stored.item)
     }
 
-    /// The report of one endpoint.
+    /// Report of one endpoint.
     pub fn report(&self, instance: &InstanceId) -> Option<&EndpointReport> {
-        self.reports.get(instance).map(|kept| &kept.item)
+        self.reports.get(instance).map(|stored| &stored.item)
     }
 
-    /// Drops what is old and stands for no process that `is_present`.
+    /// Removes outdated loads, and old items of processes for which `is_present` is false.
     pub fn expire(&mut self, now: Timestamp, is_present: impl Fn(&InstanceId) -> bool) {
-        let is_old = |heard_at: Timestamp| now.since(heard_at) > KEEP_TIME;
-        self.records.retain(|name, kept| is_present(name) || !is_old(kept.heard_at));
-        self.reports.retain(|name, kept| is_present(name) || !is_old(kept.heard_at));
+        let is_old = |received_at: Timestamp| now.since(received_at) > RETENTION_TIME;
+        self.records.retain(|name, stored| is_present(name) || !is_old(stored.received_at));
+        self.reports.retain(|name, stored| is_present(name) || !is_old(stored.received_at));
         self.loads.retain(|_, known| now.0.saturating_sub(known.measured_at.0) < MAX_LOAD_AGE_MS);
     }
 }
--- a/crates/decide/src/versions.rs
+++ b/crates/decide/src/versions.rs
@@ -1,109 +1,111 @@
-//! The versions that operators named, and until when older ones may answer.
+//! Versions named by operators, and until when older versions may answer.
 //!
-//! A version may be named before the one before it is everywhere. Each has its
-//! own deadline, after which nothing older may answer; naming a newer one does
-//! not put off the deadline of an earlier one.
+//! A version may be named before its predecessor is fully rolled out. Each version has
+//! its own deadline, after which no older version may answer; naming a newer version
+//! does not extend the deadline of an earlier one.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use cassiawheel_model::{
-    AgeSource, Deadline, ManifestDigest, ModelName, ModelVersion, NamedVersion, Timestamp,
+    AgeSource, Deadline, ManifestDigest, ModelName, ModelVersion, TargetVersion, Timestamp,
 };
 
-use crate::plan::{PacedVersion, PlanPace};
+use crate::plan::{RolloutSchedule, ScheduledVersion};
 
-/// Versions of a model that are remembered; older ones have long been replaced.
-const REMEMBERED: usize = 8;
+/// Versions kept for each model; older ones have long been replaced.
+const MAX_VERSIONS: usize = 8;
 
-/// A version that was named.
+/// A named version of a model and its deadline.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WantedVersion {
-    /// Rises with every version that is named.
+pub struct VersionRecord {
+    /// Sequence number, increasing with every named version.
     pub number: u64,
-    /// The version.
+    /// Name of the version.
     pub version: ModelVersion,
-    /// Pins its bytes, once known.
+    /// Digest of its manifest, once known.
     pub manifest: Option<ManifestDigest>,
-    /// From when on no older version may answer.
-    pub alone_from: Deadline,
+    /// Time from which no older version may answer.
+    pub exclusive_from: Deadline,
     named_at: Timestamp,
     age_source: AgeSource,
 }
 
-/// The versions of each model, the newest last.
+/// Known versions of each model, newest last.
 #[derive(Debug, Clone, Default)]
-pub struct VersionBook {
-    models: BTreeMap<ModelName, Vec<WantedVersion>>,
+pub struct VersionRegistry {
+    models: BTreeMap<ModelName, Vec<VersionRecord>>,
 }
 
-impl VersionBook {
-    /// Takes in a named version; true if it or its manifest was not known.
+impl VersionRegistry {
+    /// Records a named version; returns whether it or its manifest is new.
     ///
-    /// `span` is the time after which no older version may answer.
-    pub fn offer(&mut self, named: &NamedVersion, span: Duration, now: Timestamp) -> bool {
+    /// `span` is the time from naming the version until no older one may answer.
+    pub fn record(&mut self, named: &TargetVersion, span: Duration, now: Timestamp) -> bool {
         let named_at = Timestamp(now.0.saturating_sub(named.age_ms));
-        let fresh = WantedVersion {
+        let recorded = VersionRecord {
             number: named.number,
             version: named.version.clone(),
             manifest: named.manifest,
-            alone_from: named_at.deadline_after(span),
+            exclusive_from: named_at.deadline_after(span),
             named_at,
             age_source: named.age_source,
         };
         let versions = self.models.entry(named.model.clone()).or_default();
-        let position = versions.partition_point(|known| known.number < fresh.number);
-        if let Some(known) = versions.get_mut(position).filter(|k| k.number == fresh.number) {
-            return known.merge(&fresh);
+        let position = versions.partition_point(|known| known.number < recorded.number);
+        if let Some(known) =
+            versions.get_mut(position).filter(|known| known.number == recorded.number)
+        {
+            return known.merge(&recorded);
         }
-        versions.insert(position, fresh);
-        if versions.len() > REMEMBERED {
+        versions.insert(position, recorded);
+        if versions.len() > MAX_VERSIONS {
             versions.remove(0);
         }
         true
     }
 
-    /// The newest version of `model`.
-    pub fn wanted(&self, model: &str) -> Option<&WantedVersion> {
+    /// Returns the newest version of `model`.
+    pub fn newest(&self, model: &str) -> Option<&VersionRecord> {
         self.models.get(model)?.last()
     }
 
-    /// The only versions of `model` that may answer now; none if all may.
+    /// Returns the only versions of `model` that may answer now; `None` if all may.
     pub fn allowed(&self, model: &str, now: Timestamp) -> Option<Vec<ModelVersion>> {
         let versions = self.models.get(model)?;
-        let oldest = versions.iter().rposition(|known| known.alone_from.is_past(now))?;
+        let oldest = versions.iter().rposition(|known| known.exclusive_from.is_past(now))?;
         if oldest == 0 {
-            // Nothing older was ever heard of.
+            // No older version is known that could be excluded.
             return None;
         }
         Some(versions[oldest..].iter().map(|known| known.version.clone()).collect())
     }
 
-    /// From when on `version` of `model` may not answer any more, if that is known.
-    pub fn barred_from(&self, model: &str, version: &ModelVersion) -> Option<Deadline> {
+    /// Returns when `version` of `model` must stop answering, if that is known.
+    pub fn expires_at(&self, model: &str, version: &ModelVersion) -> Option<Deadline> {
         let versions = self.models.get(model)?;
         let position = versions.iter().position(|known| known.version == *version)?;
-        versions[position + 1..].iter().map(|newer| newer.alone_from).min()
+        versions[position + 1..].iter().map(|newer| newer.exclusive_from).min()
     }
 
-    /// What the versions of `model` ask of a plan.
-    pub fn pace(&self, model: &str, now: Timestamp) -> Option<PlanPace> {
+    /// Returns the rollout schedule of `model`.
+    pub fn schedule(&self, model: &str, now: Timestamp) -> Option<RolloutSchedule> {
         let versions = self.models.get(model)?;
         let names = versions.iter().map(|known| known.version.clone());
-        let barred = match self.allowed(model, now) {
+        let retired = match self.allowed(model, now) {
             Some(allowed) => names.filter(|name| !allowed.contains(name)).collect(),
             None => Vec::new(),
         };
-        let paced = versions.iter().map(|known| PacedVersion {
+        let scheduled = versions.iter().map(|known| ScheduledVersion {
             version: known.version.clone(),
             manifest: known.manifest,
-            alone_from: known.alone_from,
+            exclusive_from: known.exclusive_from,
         });
-        Some(PlanPace { versions: paced.collect(), barred, now })
+        Some(RolloutSchedule { versions: scheduled.collect(), retired, now })
     }
 
-    /// All versions that are remembered, as other processes have to know them.
-    pub fn named(&self, now: Timestamp) -> Vec<NamedVersion> {
-        let of_model = |(model, versions): (&ModelName, &Vec<WantedVersion>)| {
+    /// Returns all recorded versions with their age, to be sent to other processes.
+    pub fn named(&self, now: Timestamp) -> Vec<TargetVersion> {
+        let of_model = |(model, versions): (&ModelName, &Vec<VersionRecord>)| {
             let named = versions.iter().map(|known| known.named(model, now));
             named.collect::<Vec<_>>()
         };
@@ -111,8 +113,8 @@
     }
 }
 
-impl WantedVersion {
-    /// Takes in what another process knows of the same version; true if the manifest is new.
+impl VersionRecord {
+    /// Merges another record of the same version; returns whether the manifest is new.
     fn merge(&mut self, other: &Self) -> bool {
         self.merge_age(other);
         let is_pinned = self.manifest.is_none() && other.manifest.is_some();
@@ -120,14 +122,14 @@
         is_pinned
     }
 
-    /// Takes the better knowledge of when the version was named.
+    /// Keeps the more reliable of two naming times.
     ///
-    /// A process that starts just after a version was named finds it there and
-    /// has to assume an age of seconds. If that went before what others
-    /// observed, all entries would bar the older version seconds too early,
-    /// while engines that may still serve it stand idle: callers would be
-    /// refused everywhere until the new version has arrived. Among equal
-    /// knowledge the older age counts, since a word may come late but not early.
+    /// A process that starts just after a version was named cannot observe its age and
+    /// assumes several seconds. If that overrode what others observed, all entries would
+    /// refuse the older version seconds too early, while engines that may still serve it
+    /// are idle: callers would be refused everywhere until the new version has arrived.
+    /// Between equally reliable values the earlier time wins, since a message can arrive
+    /// late but not early.
     fn merge_age(&mut self, other: &Self) {
         let takes_other = match (self.age_source, other.age_source) {
             (AgeSource::Assumed, AgeSource::Observed) => true,
@@ -137,13 +139,13 @@
         };
         if takes_other {
             self.named_at = other.named_at;
-            self.alone_from = other.alone_from;
+            self.exclusive_from = other.exclusive_from;
             self.age_source = other.age_source;
         }
     }
 
-    fn named(&self, model: &str, now: Timestamp) -> NamedVersion {
-        NamedVersion {
+    fn named(&self, model: &str, now: Timestamp) -> TargetVersion {
+        TargetVersion {
             model: model.to_owned(),
             number: self.number,
             version: self.version.clone(),
--- a/crates/decide/tests/listing.rs
+++ b/crates/decide/tests/listing.rs
@@ -1,8 +1,8 @@
-//! The list of endpoints, which entries read in turns and tell each other.
+//! The list of endpoints, read by one entry at a time and sent to the others.
 
 use std::net::SocketAddr;
 
-use cassiawheel_decide::{EndpointListing, ListingNews};
+use cassiawheel_decide::{EndpointListing, ListingUpdate};
 use cassiawheel_model::{
     Deadline, FailureDomain, InstanceId, ListedEndpoint, ListedRow, ServiceName, Timestamp,
 };
@@ -40,8 +40,8 @@
     ListedRow { instance: instance(name), position, endpoint: None, is_unusable: false }
 }
 
-fn news(rows: Vec<ListedRow>, base: u64, position: u64, asked_at: Timestamp) -> ListingNews {
-    ListingNews { rows, base, position, asked_at }
+fn news(rows: Vec<ListedRow>, base: u64, position: u64, asked_at: Timestamp) -> ListingUpdate {
+    ListingUpdate { rows, base, position, asked_at }
 }
 
 fn names(listing: &EndpointListing) -> Vec<String> {
@@ -50,136 +50,131 @@
 
 fn read(rows: Vec<ListedRow>, position: u64) -> EndpointListing {
     let mut listing = EndpointListing::new(HEARTBEAT_MS);
-    listing.take_read(news(rows, 0, position, START), START);
+    listing.apply_read(news(rows, 0, position, START), START);
     listing
 }
 
-/// An endpoint leaves without a word: its row vanishes while the list answers.
-/// It gets nothing new from the moment at which that is read.
+/// An endpoint whose row vanishes while the list is available is removed with that read.
 #[test]
 fn a_row_that_vanishes_while_the_list_answers_is_gone_at_once() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
-    let told = listing.take_read(news(vec![gone("a", 3)], 2, 3, at(500)), at(505));
+    let told = listing.apply_read(news(vec![gone("a", 3)], 2, 3, at(500)), at(505));
     assert_eq!(names(&listing), ["b"]);
     assert_eq!(told.rows, [gone("a", 3)]);
 }
 
-/// The platform's store was away for seconds and endpoints could not renew
-/// their rows. Taking them all for gone would refuse every caller although the
-/// endpoints live; those that are not back in time are gone after all.
+/// Guards against refusing all callers after an outage of the platform's store, in which live
+/// endpoints could not renew their rows. Those not back within the grace period are removed.
 #[test]
 fn rows_that_lapsed_in_an_outage_may_come_back() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
     let back_at = at(6_000);
-    let told = listing.take_read(news(vec![gone("a", 3), gone("b", 4)], 2, 4, back_at), back_at);
+    let told = listing.apply_read(news(vec![gone("a", 3), gone("b", 4)], 2, 4, back_at), back_at);
     assert_eq!(names(&listing), ["a", "b"]);
     assert!(told.rows.is_empty(), "the others must not drop them either: {told:?}");
-    listing.take_read(news(vec![row("a", 5)], 4, 5, at(6_500)), at(6_500));
-    assert!(listing.settle(at(7_500)).is_empty());
-    let removed = listing.settle(at(8_400));
+    listing.apply_read(news(vec![row("a", 5)], 4, 5, at(6_500)), at(6_500));
+    assert!(listing.expire_missing(at(7_500)).is_empty());
+    let removed = listing.expire_missing(at(8_400));
     assert_eq!(names(&listing), ["a"]);
     assert_eq!(removed.iter().map(|row| &row.instance).collect::<Vec<_>>(), [&instance("b")]);
 }
 
-/// The history was dropped, so the whole list is read again. A row that is not
-/// in it was removed in between.
+/// After the history is lost the whole list is read; a row missing from it was removed.
 #[test]
 fn a_whole_read_shows_what_was_removed() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
-    let told = listing.take_read(news(vec![row("b", 2)], 0, 7, at(500)), at(500));
+    let told = listing.apply_read(news(vec![row("b", 2)], 0, 7, at(500)), at(500));
     assert_eq!(names(&listing), ["b"]);
     assert!(told.rows.contains(&gone("a", 7)));
 }
 
-/// Two entries tell the same in different orders, one of them late. The older
-/// row must not bring an endpoint back that has left.
+/// Guards against an older row, received late from another entry, that restores an endpoint
+/// which has left.
 #[test]
 fn an_older_row_changes_nothing() {
     let mut listing = read(vec![row("a", 1)], 1);
-    assert!(listing.take_told(&news(vec![gone("a", 5)], 1, 5, at(600))));
-    assert!(listing.take_told(&news(vec![row("a", 3)], 1, 3, at(300))));
+    assert!(listing.apply_update(&news(vec![gone("a", 5)], 1, 5, at(600))));
+    assert!(listing.apply_update(&news(vec![row("a", 3)], 1, 3, at(300))));
     assert!(names(&listing).is_empty());
     assert_eq!(listing.position(), 5);
 }
 
-/// An entry missed some news, as when a queue was full. News that build on them
-/// are not enough, and it has to ask for the whole list.
+/// An update whose base is unknown, because an earlier one was dropped, is not applied; the
+/// entry has to request the whole list.
 #[test]
 fn news_with_a_gap_are_not_taken() {
     let mut listing = read(vec![row("a", 1)], 1);
-    assert!(!listing.take_told(&news(vec![row("c", 9)], 8, 9, at(900))));
+    assert!(!listing.apply_update(&news(vec![row("c", 9)], 8, 9, at(900))));
     assert_eq!(names(&listing), ["a"]);
-    assert!(listing.take_told(&news(vec![row("b", 4), row("c", 9)], 0, 9, at(900))));
+    assert!(listing.apply_update(&news(vec![row("b", 4), row("c", 9)], 0, 9, at(900))));
     assert_eq!(names(&listing), ["b", "c"]);
 }
 
-/// The entry that reads dies. The next one reads a step later by itself, and the
-/// word of a leaving endpoint still arrives in time.
+/// If the reading entry fails, the next rank reads a step later, early enough to learn of a
+/// leaving endpoint in time.
 #[test]
 fn the_next_rank_reads_when_the_first_falls_silent() {
     let listing = read(vec![row("a", 1)], 1);
-    assert_eq!(listing.read_at(0), Deadline(at(500).0));
-    assert_eq!(listing.read_at(1), Deadline(at(750).0));
-    assert!(listing.read_at(400).0 <= at(2_000).0, "a leaving endpoint has two seconds");
+    assert_eq!(listing.next_read_at(0), Deadline(at(500).0));
+    assert_eq!(listing.next_read_at(1), Deadline(at(750).0));
+    assert!(listing.next_read_at(400).0 <= at(2_000).0, "a leaving endpoint has two seconds");
 }
 
-/// All instances lose power. Their engines start again at the same addresses
-/// under new names, while the rows of the former ones stay for seconds. Requests
-/// go to the new ones only, or half of the callers are refused meanwhile.
+/// Guards against requests to rows of former processes after a power loss. Engines restart at
+/// the same addresses with new ids while the old rows remain for seconds; half of the callers
+/// would be refused meanwhile.
 #[test]
 fn the_newest_process_at_an_address_is_the_present_one() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
     let mut restarted = endpoint("z", false);
     restarted.addr = endpoint("a", false).addr;
     let restarted = ListedRow { endpoint: Some(restarted), ..row("z", 5) };
-    listing.take_read(news(vec![restarted], 2, 5, at(500)), at(500));
+    listing.apply_read(news(vec![restarted], 2, 5, at(500)), at(500));
     let present = |listing: &EndpointListing| -> Vec<String> {
-        let present = listing.present(|_| true);
+        let present = listing.latest_per_addr(|_| true);
         present.iter().map(|endpoint| endpoint.instance.to_string()).collect()
     };
     assert_eq!(present(&listing), ["b", "z"]);
     let service = ServiceName::new("desk").expect("valid");
-    let at_address = listing.present_at(&service, endpoint("a", false).addr);
+    let at_address = listing.latest_at(&service, endpoint("a", false).addr);
     assert_eq!(at_address.map(|endpoint| &endpoint.instance), Some(&instance("z")));
-    // A row of a service that nobody knows is somebody else's and hides none.
-    assert!(listing.present(|service| service.as_str() == "other").is_empty());
+    // A row of an unknown service does not hide another row at the same address.
+    assert!(listing.latest_per_addr(|service| service.as_str() == "other").is_empty());
 }
 
-/// An entry learns that another process answers at an endpoint's address. A word
-/// that was on its way with the same row must not bring the endpoint back.
+/// Guards against a delayed update with the same row that restores an endpoint whose address
+/// is now used by another process.
 #[test]
 fn a_forgotten_endpoint_does_not_come_back_with_an_old_row() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
     assert!(listing.forget(&instance("a")));
     assert!(!listing.forget(&instance("a")));
-    assert!(listing.take_told(&news(vec![row("a", 1)], 2, 2, at(300))));
+    assert!(listing.apply_update(&news(vec![row("a", 1)], 2, 2, at(300))));
     assert_eq!(names(&listing), ["b"]);
-    assert!(listing.take_told(&news(vec![row("a", 3)], 2, 3, at(400))));
+    assert!(listing.apply_update(&news(vec![row("a", 3)], 2, 3, at(400))));
     assert_eq!(names(&listing), ["a", "b"]);
 }
 
-/// Another writer overwrites the row of a sound endpoint with something that
-/// names none, right after an outage of the list. Rows that lapsed then are kept
-/// for a while, but this one did not lapse: requests must not go on to an
-/// endpoint that no row names.
+/// A row that is overwritten with unusable content right after an outage has not expired, so
+/// the grace period does not apply: requests must not go to an endpoint without a row.
 #[test]
 fn an_unusable_row_ends_its_endpoint_also_after_an_outage() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
     let unusable = ListedRow { is_unusable: true, ..gone("a", 3) };
-    listing.take_read(news(vec![unusable, gone("b", 4)], 2, 4, at(6_000)), at(6_000));
+    listing.apply_read(news(vec![unusable, gone("b", 4)], 2, 4, at(6_000)), at(6_000));
     assert_eq!(names(&listing), ["b"]);
-    assert!(listing.take_told(&news(vec![row("a", 5)], 4, 5, at(6_500))));
+    assert!(listing.apply_update(&news(vec![row("a", 5)], 4, 5, at(6_500))));
     assert_eq!(names(&listing), ["a", "b"]);
 }
 
-/// An entry that has just started meets many others at once, and each of them knows more
-/// of the list. Asked of all of them it comes as many times, over links that carry the
-/// callers' answers. One is asked, and the next one once that one should have answered.
+/// Guards against requesting the whole list from many entries at once after a start, which
+/// congests links that carry the callers' responses. The next entry is asked only once the
+/// previous one should have answered.
 #[test]
 fn one_entry_at_a_time_is_asked_for_the_whole_list() {
     let mut listing = EndpointListing::new(1_200);
-    assert!(listing.begin_asking(Timestamp(1_000)));
-    assert!(!listing.begin_asking(Timestamp(1_001)));
-    assert!(!listing.begin_asking(Timestamp(1_200)));
-    assert!(listing.begin_asking(Timestamp(1_250)));
+    assert!(listing.begin_snapshot_request(Timestamp(1_000)));
+    assert!(!listing.begin_snapshot_request(Timestamp(1_001)));
+    assert!(!listing.begin_snapshot_request(Timestamp(1_200)));
+    assert!(listing.begin_snapshot_request(Timestamp(1_250)));
 }
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Admission in seeded simulations of three entries before sixteen endpoints,
-//! with an unlimited entry as baseline in the same run. Each tick is a millisecond.
+//! Seeded simulations of admission: three entries in front of sixteen endpoints, with an unlimited
+//! entry as baseline in the same run. Each tick is a millisecond.
 
 use std::{
     cmp::Reverse,
@@ -11,7 +11,7 @@
 };
 
 use cassiawheel_decide::{
-    AdmitTicket, AdmitVerdict, AttemptEnd, CallerTurn, EndpointCell, EndpointPath, GateState,
+    AdmitTicket, AdmitTier, AdmitVerdict, AttemptFailure, EndpointPath, EndpointTracker, GateState,
     RepeatGuard, RetryBudget, RetryStep, RetryTracker, RouteCandidate, RouteQuery, RouteSnapshot,
     ServiceAdmission, ServiceRoutes,
 };
@@ -27,10 +27,10 @@
 const WORK_MS: u64 = 200;
 const DEADLINE_MS: u64 = 2_000;
 const START: u64 = 1_000_000;
-/// Before this, limits and rates are still being learned.
+/// Time after which limits and rates are learned; earlier requests are not measured.
 const WARM_UP_MS: u64 = 4_000;
 const SPAN_MS: u64 = 14_000;
-/// Requests that all endpoints together finish in a millisecond.
+/// Requests that all endpoints together complete per millisecond.
 const CAPACITY: f64 = (ENDPOINTS as u64 * LIMIT as u64) as f64 / WORK_MS as f64;
 const WORKSPACES: usize = 10;
 
@@ -42,9 +42,9 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Load {
-    /// Requests offered, as a multiple of the capacity.
+    /// Offered load as a multiple of the capacity.
     offered: f64,
-    /// Weight of the first workspace; the others have one each.
+    /// Weight of the first workspace; the others have a weight of one.
     first_weight: f64,
 }
 
@@ -68,7 +68,7 @@
     workspace: usize,
     priority: PriorityClass,
     arrived: u64,
-    tracker: RetryTracker,
+    retries: RetryTracker,
     excluded: Vec<InstanceId>,
 }
 
@@ -82,7 +82,7 @@
     admission: ServiceAdmission<usize>,
     budget: RetryBudget,
     snapshot: RouteSnapshot,
-    cells: Vec<Arc<EndpointCell>>,
+    trackers: Vec<Arc<EndpointTracker>>,
     total: Arc<AtomicU32>,
 }
 
@@ -99,28 +99,28 @@
     outcome: Outcome,
 }
 
-fn stamp(now: u64) -> Timestamp {
+fn timestamp(now: u64) -> Timestamp {
     Timestamp(START + now)
 }
 
 impl Entry {
     fn new(service: &ServiceName, names: &[InstanceId]) -> Self {
-        let cells: Vec<_> = names.iter().map(|_| Arc::new(EndpointCell::default())).collect();
-        let candidate = |(name, cell): (&InstanceId, &Arc<EndpointCell>)| RouteCandidate {
+        let trackers: Vec<_> = names.iter().map(|_| Arc::new(EndpointTracker::default())).collect();
+        let candidate = |(name, tracker): (&InstanceId, &Arc<EndpointTracker>)| RouteCandidate {
             instance: name.clone(),
             version: None,
             is_near: false,
             path: EndpointPath::Agent,
-            cell: cell.clone(),
+            tracker: tracker.clone(),
         };
-        let candidates = names.iter().zip(&cells).map(candidate).collect();
+        let candidates = names.iter().zip(&trackers).map(candidate).collect();
         let total = Arc::new(AtomicU32::new(0));
         let routes = ServiceRoutes::new(candidates, total.clone());
         Self {
             admission: ServiceAdmission::new(1_024),
             budget: RetryBudget::default(),
             snapshot: RouteSnapshot::new(HashMap::from([(service.clone(), routes)])),
-            cells,
+            trackers,
             total,
         }
     }
@@ -185,9 +185,9 @@
     fn report(&mut self) {
         for (endpoint, gate) in self.gates.iter().enumerate() {
             let in_flight = gate.in_progress();
-            let load = LoadReport { in_flight, queued: 0, measured_at: stamp(self.now) };
+            let load = LoadReport { in_flight, queued: 0, measured_at: timestamp(self.now) };
             for entry in &self.entries {
-                entry.cells[endpoint].hear(&load, LIMIT);
+                entry.trackers[endpoint].apply_report(&load, LIMIT);
             }
         }
     }
@@ -200,23 +200,23 @@
             1..=6 => PriorityClass::Normal,
             _ => PriorityClass::Low,
         };
-        let deadline = Deadline(stamp(self.now).0 + DEADLINE_MS);
+        let deadline = Deadline(timestamp(self.now).0 + DEADLINE_MS);
         let entry = self.rng.random_range(0..ENTRIES);
         self.requests.push(Request {
             entry,
             workspace,
             priority,
             arrived: self.now,
-            tracker: RetryTracker::new(RepeatGuard::Nothing, deadline, 3),
+            retries: RetryTracker::new(RepeatGuard::None, deadline, 3),
             excluded: Vec::new(),
         });
         self.count(self.requests.len() - 1, |counts| counts.arrived += 1.0);
         self.outcome.requests += 1;
-        let (request, now) = (self.requests.len() - 1, stamp(self.now));
+        let (request, now) = (self.requests.len() - 1, timestamp(self.now));
         let entry = &self.entries[entry];
-        entry.budget.earn();
+        entry.budget.deposit();
         let capacity = entry.capacity(&self.service, now);
-        if entry.admission.admit_now(CallerTurn::Fresh, capacity) {
+        if entry.admission.try_admit(AdmitTier::Fresh, capacity) {
             self.admitted.push_back(request);
             return;
         }
@@ -224,7 +224,7 @@
             workspace: WorkspaceId::new(&format!("workspace-{workspace}")).expect("a workspace"),
             priority,
             deadline,
-            turn: CallerTurn::Fresh,
+            tier: AdmitTier::Fresh,
         };
         let admitted = &mut self.admitted;
         let notify = |request, verdict| {
@@ -233,7 +233,7 @@
             }
             true
         };
-        entry.admission.wait(&ticket, request, capacity, now, notify);
+        entry.admission.enqueue(&ticket, request, capacity, now, notify);
     }
 
     fn try_once(&mut self, number: usize) {
@@ -245,9 +245,9 @@
             prefix: None,
             version: None,
             allowed: None,
-            extra_room: 0,
+            extra_capacity: 0,
             max_in_flight: LIMIT,
-            now: stamp(self.now),
+            now: timestamp(self.now),
         };
         let Some(choice) = entry.snapshot.choose(&query, &mut self.rng) else {
             return self.after(number, NotRunReason::NoEndpoint);
@@ -255,18 +255,18 @@
         let name = choice.candidate.instance.clone();
         let endpoint = self.names.iter().position(|n| *n == name).expect("an endpoint");
         request.excluded.push(name);
-        request.tracker.begin();
+        request.retries.begin_attempt();
         self.outcome.attempts += 1;
-        match self.gates[endpoint].enter(PresetRevision(1), None) {
+        match self.gates[endpoint].acquire(PresetRevision(1), None) {
             Ok(_) => {
-                entry.cells[endpoint].begin();
+                entry.trackers[endpoint].acquire();
                 entry.total.fetch_add(1, Ordering::Relaxed);
                 let work = self.rng.random_range(WORK_MS - 80..=WORK_MS + 80);
                 let done = Event::Done { request: number, endpoint };
                 self.events.push(Reverse((self.now + work, done)));
             }
             Err(reason) => {
-                entry.cells[endpoint].refuse(stamp(self.now));
+                entry.trackers[endpoint].record_refusal(timestamp(self.now));
                 self.after(number, reason);
             }
         }
@@ -275,9 +275,9 @@
     fn after(&mut self, number: usize, reason: NotRunReason) {
         let request = &mut self.requests[number];
         let budget = &self.entries[request.entry].budget;
-        let end = AttemptEnd::NotRun(reason);
-        match request.tracker.after(end, budget, stamp(self.now), &mut self.rng) {
-            RetryStep::Again(at) | RetryStep::Reroute(at) => {
+        let end = AttemptFailure::NotRun(reason);
+        match request.retries.next_step(end, budget, timestamp(self.now), &mut self.rng) {
+            RetryStep::Retry(at) | RetryStep::Reroute(at) => {
                 let at = (at.0 - START).max(self.now + 1);
                 self.events.push(Reverse((at, Event::Try { request: number })));
             }
@@ -286,10 +286,10 @@
     }
 
     fn done(&mut self, number: usize, endpoint: usize) {
-        self.gates[endpoint].leave();
+        self.gates[endpoint].release();
         let entry = &self.entries[self.requests[number].entry];
-        entry.cells[endpoint].succeed();
-        entry.cells[endpoint].end();
+        entry.trackers[endpoint].record_success();
+        entry.trackers[endpoint].release();
         entry.total.fetch_sub(1, Ordering::Relaxed);
         if self.now <= self.requests[number].arrived + DEADLINE_MS {
             self.count(number, |counts| counts.in_time += 1.0);
@@ -298,7 +298,7 @@
     }
 
     fn release(&mut self, number: usize) {
-        let (entry, now) = (&self.entries[self.requests[number].entry], stamp(self.now));
+        let (entry, now) = (&self.entries[self.requests[number].entry], timestamp(self.now));
         let capacity = entry.capacity(&self.service, now);
         let admitted = &mut self.admitted;
         entry.admission.release(capacity, now, |request, verdict| {
@@ -328,7 +328,7 @@
     }
 }
 
-/// Endpoints that queue without limit, and entries that send all they get.
+/// Simulates endpoints with unbounded queues and entries that forward all requests.
 fn run_unlimited(load: Load) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(5);
     let mut outcome = Outcome::default();
@@ -356,7 +356,7 @@
     }
 }
 
-/// Share of the capacity that was answered in time.
+/// Fraction of the capacity that was answered in time.
 fn goodput(outcome: &Outcome) -> f64 {
     outcome.all.in_time / (CAPACITY * (SPAN_MS - DEADLINE_MS - WARM_UP_MS) as f64)
 }
@@ -365,10 +365,9 @@
     counts.in_time / counts.arrived
 }
 
-/// The phones go live and twice as many call as can be served. Without limits
-/// every answer comes too late and the engines work for nobody; with them, as
-/// many as can be served are, urgent calls first, and the rest learn at once
-/// that they were not run.
+/// Guards against congestion collapse at twice the capacity. Without limits every answer is late
+/// and the work of the engines is wasted. With them, requests are served at capacity, high priority
+/// first, and the rest are refused at once as not run.
 #[test]
 fn twice_the_capacity_is_served_at_capacity() {
     let load = Load { offered: 2.0, first_weight: 1.0 };
@@ -383,19 +382,19 @@
     );
     assert!(goodput(&shipped) >= 0.95, "goodput {}", goodput(&shipped));
     assert!(answered(&shipped.high) >= 0.999, "high {}", answered(&shipped.high));
-    assert!(goodput(&unlimited) <= 0.2, "the baseline {}", goodput(&unlimited));
+    assert!(goodput(&unlimited) <= 0.2, "baseline goodput {}", goodput(&unlimited));
 }
 
-/// One workspace sends ten times its share, so that all together exceed the
-/// capacity. The callers of the nine others must not notice.
+/// Guards against a workspace that sends ten times its share, so that the total exceeds the
+/// capacity. The other nine workspaces must not be affected.
 #[test]
-fn a_greedy_workspace_takes_nothing_from_the_others() {
+fn a_busy_workspace_takes_nothing_from_the_others() {
     let others = 0.9 * (WORKSPACES - 1) as f64 / WORKSPACES as f64;
-    let calm = run(Admission::Shipped, Load { offered: 0.9, first_weight: 1.0 });
-    let greedy = Load { offered: others + 0.9, first_weight: 10.0 };
-    let burst = run(Admission::Shipped, greedy);
-    let unlimited = run(Admission::Unlimited, greedy);
-    let lost = 1.0 - answered(&burst.others) / answered(&calm.others);
+    let normal = run(Admission::Shipped, Load { offered: 0.9, first_weight: 1.0 });
+    let busy = Load { offered: others + 0.9, first_weight: 10.0 };
+    let burst = run(Admission::Shipped, busy);
+    let unlimited = run(Admission::Unlimited, busy);
+    let lost = 1.0 - answered(&burst.others) / answered(&normal.others);
     println!(
         "others lose {lost:.4}; all answered {:.4}, unlimited {:.4}",
         answered(&burst.all),
--- a/crates/decide/tests/roster.rs
+++ b/crates/decide/tests/roster.rs
@@ -1,11 +1,11 @@
-//! The endpoints and entries that an entry knows, against a reference model.
+//! Membership as one entry sees it, tested against a reference model.
 
 use std::{
     collections::{BTreeMap, HashSet},
     net::{IpAddr, Ipv4Addr, SocketAddr},
 };
 
-use cassiawheel_decide::{EndpointRoster, EntryRoster, PeerEntry, advice::AdviceInput};
+use cassiawheel_decide::{EndpointRoster, EntryRoster, PeerEntry, advice::EntryCandidate};
 use cassiawheel_model::{
     EndpointReport, EndpointRole, EndpointState, FailureDomain, InstanceId, LoadReport,
     PresetRevision, RegionName, ServiceName, Timestamp,
@@ -46,17 +46,17 @@
     }
 }
 
-/// What happens to a roster.
+/// Transition of a roster.
 #[derive(Debug, Clone)]
 enum RosterStep {
-    Hear { index: u8, incarnation: u64 },
+    Report { index: u8, incarnation: u64 },
     Leave { index: u8, incarnation: u64 },
-    Forget { index: u8, incarnation: u64 },
-    List(Vec<u8>),
-    Silence,
+    Remove { index: u8, incarnation: u64 },
+    PlatformList(Vec<u8>),
+    Expire,
 }
 
-/// What a roster must show: known processes, words of leaving, the platform's list.
+/// Expected state of a roster: known processes, leave notices and the platform's list.
 #[derive(Debug, Clone, Default)]
 struct RosterReference {
     members: BTreeMap<u8, u64>,
@@ -75,18 +75,18 @@
     fn transitions(_: &Self) -> BoxedStrategy<RosterStep> {
         let process = (0_u8..3, 1_u64..4);
         prop_oneof![
-            4 => process.clone().prop_map(|(index, incarnation)| RosterStep::Hear { index, incarnation }),
+            4 => process.clone().prop_map(|(index, incarnation)| RosterStep::Report { index, incarnation }),
             2 => process.clone().prop_map(|(index, incarnation)| RosterStep::Leave { index, incarnation }),
-            1 => process.prop_map(|(index, incarnation)| RosterStep::Forget { index, incarnation }),
-            1 => prop::collection::vec(0_u8..3, 0..3).prop_map(RosterStep::List),
-            1 => Just(RosterStep::Silence),
+            1 => process.prop_map(|(index, incarnation)| RosterStep::Remove { index, incarnation }),
+            1 => prop::collection::vec(0_u8..3, 0..3).prop_map(RosterStep::PlatformList),
+            1 => Just(RosterStep::Expire),
         ]
         .boxed()
     }
 
     fn apply(mut state: Self, step: &RosterStep) -> Self {
         match step {
-            RosterStep::Hear { index, incarnation } => {
+            RosterStep::Report { index, incarnation } => {
                 let known = state.members.entry(*index).or_default();
                 *known = (*known).max(*incarnation);
             }
@@ -94,19 +94,19 @@
                 let left = state.left.entry(*index).or_default();
                 *left = (*left).max(*incarnation);
             }
-            RosterStep::Forget { index, incarnation } => {
+            RosterStep::Remove { index, incarnation } => {
                 if state.members.get(index) == Some(incarnation) {
                     state.members.remove(index);
                 }
             }
-            RosterStep::List(listed) => state.listed = listed.iter().copied().collect(),
-            RosterStep::Silence => state.members.clear(),
+            RosterStep::PlatformList(listed) => state.listed = listed.iter().copied().collect(),
+            RosterStep::Expire => state.members.clear(),
         }
         state
     }
 }
 
-/// A roster under test and the time, which moves on with each step.
+/// Roster under test and the time, which advances with each step.
 struct RosterTest {
     roster: EndpointRoster,
     now: Timestamp,
@@ -123,23 +123,23 @@
     fn apply(mut test: Self, reference: &RosterReference, step: RosterStep) -> Self {
         test.now = Timestamp(test.now.0 + 10);
         match step {
-            RosterStep::Hear { index, incarnation } => {
-                test.roster.hear(report(index, incarnation), test.now);
+            RosterStep::Report { index, incarnation } => {
+                test.roster.apply_report(report(index, incarnation), test.now);
             }
             RosterStep::Leave { index, incarnation } => {
-                test.roster.leave(&instance(index), incarnation, test.now);
+                test.roster.mark_leaving(&instance(index), incarnation, test.now);
             }
-            RosterStep::Forget { index, incarnation } => {
-                test.roster.forget(&instance(index), incarnation);
+            RosterStep::Remove { index, incarnation } => {
+                test.roster.remove(&instance(index), incarnation);
             }
-            RosterStep::List(listed) => {
-                test.roster.list_leaving(listed.into_iter().map(instance).collect());
+            RosterStep::PlatformList(listed) => {
+                test.roster.set_platform_leaving(listed.into_iter().map(instance).collect());
             }
-            RosterStep::Silence => {
+            RosterStep::Expire => {
                 test.roster.expire(Timestamp(test.now.0 + 1), test.now);
             }
         }
-        let shown: BTreeMap<_, _> = test
+        let actual: BTreeMap<_, _> = test
             .roster
             .members()
             .map(|member| {
@@ -148,7 +148,7 @@
                 (report.instance.clone(), (report.incarnation, leaving))
             })
             .collect();
-        let wanted: BTreeMap<_, _> = reference
+        let expected: BTreeMap<_, _> = reference
             .members
             .iter()
             .map(|(index, incarnation)| {
@@ -157,7 +157,7 @@
                 (instance(*index), (*incarnation, leaving))
             })
             .collect();
-        assert_eq!(shown, wanted);
+        assert_eq!(actual, expected);
         test
     }
 }
@@ -170,110 +170,110 @@
         ..Config::default()
     })]
 
-    /// Words of leaving overtake heartbeats, connections end and come back, and
-    /// processes restart at their instance. A process that leaves would
-    /// otherwise get new work, or a restarted one none.
+    /// Guards against leave notices that are lost or outlast their process, while notices overtake
+    /// heartbeats, connections end and return, and processes restart. A leaving process would get
+    /// new work, or a restarted one none.
     #[test]
     fn leaving_wins_and_ends_with_the_process(sequential 1..40 => RosterTest);
 }
 
-fn peer(incarnation: u64, leaving: bool, heard_at: u64) -> PeerEntry {
+fn peer(incarnation: u64, leaving: bool, last_seen: u64) -> PeerEntry {
     let failure_domain = FailureDomain::new("domain").expect("valid");
-    let advice = AdviceInput { caller_addr: addr(), failure_domain, in_flight: 0, leaving };
-    let heard_at = Timestamp(heard_at);
-    PeerEntry { advice, incarnation, revision: PresetRevision(1), advised: true, heard_at }
+    let advice = EntryCandidate { caller_addr: addr(), failure_domain, in_flight: 0, leaving };
+    let last_seen = Timestamp(last_seen);
+    PeerEntry { advice, incarnation, revision: PresetRevision(1), advised: true, last_seen }
 }
 
 fn is_advised(roster: &EntryRoster) -> bool {
     roster.values().any(|peer| !peer.advice.leaving)
 }
 
-/// An entry is drained and started again. If its word of leaving stuck to the
-/// instance, callers would never be advised to use it again.
+/// Guards against a leave notice that outlasts its process: after a drain and restart, callers
+/// would never be advised to use the entry again.
 #[test]
 fn a_restarted_entry_is_advised_again() {
     let mut roster = EntryRoster::default();
     let entry = instance(0);
-    roster.hear(&entry, peer(1, false, 10));
-    roster.leave(&entry, 1, Timestamp(20));
+    roster.apply_heartbeat(&entry, peer(1, false, 10));
+    roster.mark_leaving(&entry, 1, Timestamp(20));
     assert!(!is_advised(&roster));
-    roster.hear(&entry, peer(1, false, 30));
-    assert!(!is_advised(&roster), "a heartbeat that was overtaken brought it back");
-    roster.hear(&entry, peer(2, false, 40));
+    roster.apply_heartbeat(&entry, peer(1, false, 30));
+    assert!(!is_advised(&roster), "a reordered heartbeat restored the entry");
+    roster.apply_heartbeat(&entry, peer(2, false, 40));
     assert!(is_advised(&roster));
 }
 
-/// The message of leaving is lost in a full queue. The next heartbeat repeats
-/// it, or callers would be sent to an entry that is about to stop.
+/// Guards against a leave notice lost in a full queue: the next heartbeat repeats it, or callers
+/// would be sent to an entry that is about to stop.
 #[test]
-fn a_heartbeat_repeats_the_word_of_leaving() {
+fn a_heartbeat_repeats_the_leave_notice() {
     let mut roster = EntryRoster::default();
-    roster.hear(&instance(0), peer(1, true, 10));
+    roster.apply_heartbeat(&instance(0), peer(1, true, 10));
     assert!(!is_advised(&roster));
 }
 
-/// An entry has started and knows no preset yet. Callers that were sent there
-/// would be refused.
+/// Guards against advising callers to use an entry that has just started and has no preset yet; it
+/// would refuse them.
 #[test]
 fn an_entry_that_is_not_ready_is_not_advised() {
     let mut roster = EntryRoster::default();
-    roster.hear(&instance(0), PeerEntry { advised: false, ..peer(1, false, 10) });
+    roster.apply_heartbeat(&instance(0), PeerEntry { advised: false, ..peer(1, false, 10) });
     assert!(!is_advised(&roster));
-    roster.hear(&instance(0), peer(1, false, 20));
+    roster.apply_heartbeat(&instance(0), peer(1, false, 20));
     assert!(is_advised(&roster));
 }
 
-/// An endpoint was silent for a while and was dropped. Its next heartbeat tells
-/// only a load; without its state nothing may be routed there.
+/// Guards against routing to an endpoint of unknown state: it was dropped after a silence, and its
+/// next heartbeat carries only a load.
 #[test]
-fn a_beat_alone_makes_no_member() {
+fn a_load_heartbeat_alone_makes_no_member() {
     let mut roster = EndpointRoster::default();
     let load = LoadReport { in_flight: 3, queued: 1, measured_at: Timestamp(5) };
-    assert!(roster.beat(&instance(0), 1, load, Timestamp(5)).is_none());
-    roster.hear(report(0, 1), Timestamp(6));
-    assert!(roster.beat(&instance(0), 2, load, Timestamp(7)).is_none());
-    let known = roster.beat(&instance(0), 1, load, Timestamp(8)).map(|report| report.load);
+    assert!(roster.apply_load(&instance(0), 1, load, Timestamp(5)).is_none());
+    roster.apply_report(report(0, 1), Timestamp(6));
+    assert!(roster.apply_load(&instance(0), 2, load, Timestamp(7)).is_none());
+    let known = roster.apply_load(&instance(0), 1, load, Timestamp(8)).map(|report| report.load);
     assert_eq!(known, Some(load));
 }
 
-/// An endpoint that sends beats is not silent, though it sends no whole report.
+/// Guards against dropping an endpoint that sends load heartbeats but no full report.
 #[test]
-fn beats_keep_a_member() {
+fn load_heartbeats_keep_a_member() {
     let mut roster = EndpointRoster::default();
-    roster.hear(report(0, 1), Timestamp(0));
+    roster.apply_report(report(0, 1), Timestamp(0));
     let load = LoadReport { in_flight: 0, queued: 0, measured_at: Timestamp(50) };
-    roster.beat(&instance(0), 1, load, Timestamp(50));
+    roster.apply_load(&instance(0), 1, load, Timestamp(50));
     assert!(roster.expire(Timestamp(40), Timestamp(60)).is_empty());
     assert_eq!(roster.expire(Timestamp(51), Timestamp(61)), [instance(0)]);
 }
 
-/// An entry was frozen and dropped. Its next short heartbeat tells neither its
-/// address nor its revision; callers must not be sent there by what was known.
+/// Guards against advising callers from outdated data: a frozen entry was dropped, and its next
+/// short heartbeat carries neither its address nor its revision.
 #[test]
 fn a_short_heartbeat_alone_makes_no_entry() {
     let mut roster = EntryRoster::default();
-    assert_eq!(roster.alive(&instance(0), 1, 4, Timestamp(5)), None);
-    roster.hear(&instance(0), peer(2, false, 10));
-    assert_eq!(roster.alive(&instance(0), 1, 4, Timestamp(20)), None);
-    assert_eq!(roster.alive(&instance(0), 2, 4, Timestamp(30)), Some(PresetRevision(1)));
+    assert_eq!(roster.touch(&instance(0), 1, 4, Timestamp(5)), None);
+    roster.apply_heartbeat(&instance(0), peer(2, false, 10));
+    assert_eq!(roster.touch(&instance(0), 1, 4, Timestamp(20)), None);
+    assert_eq!(roster.touch(&instance(0), 2, 4, Timestamp(30)), Some(PresetRevision(1)));
     roster.expire(Timestamp(25), Timestamp(40));
     assert_eq!(roster.values().map(|peer| peer.advice.in_flight).collect::<Vec<_>>(), [4]);
 }
 
-/// Guards against endpoints that stay in the roster for ever once their agents are gone,
-/// and against one whose agent is connected to another entry and does not count.
+/// Guards against endpoints that stay in the roster for ever after their agents are gone, and
+/// against ignoring one whose agent is connected to another entry.
 #[test]
 fn an_endpoint_counts_while_its_agent_is_connected_to_some_entry() {
     let mut roster = EndpointRoster::default();
     let names = |roster: &EndpointRoster| -> Vec<_> {
         roster.members().map(|member| member.report.instance.clone()).collect()
     };
-    assert!(roster.hear(report(0, 1), Timestamp(10)));
-    assert!(roster.hear(report(1, 1), Timestamp(10)));
-    assert!(roster.attach(HashSet::from([instance(0)])));
+    assert!(roster.apply_report(report(0, 1), Timestamp(10)));
+    assert!(roster.apply_report(report(1, 1), Timestamp(10)));
+    assert!(roster.set_attached(HashSet::from([instance(0)])));
     assert_eq!(names(&roster), [instance(0)]);
-    assert!(!roster.attach(HashSet::from([instance(0)])), "no change");
-    assert!(roster.attach(HashSet::from([instance(0), instance(1)])));
+    assert!(!roster.set_attached(HashSet::from([instance(0)])), "no change");
+    assert!(roster.set_attached(HashSet::from([instance(0), instance(1)])));
     assert_eq!(names(&roster), [instance(0), instance(1)], "its report was kept");
     roster.keep_only(|name| *name == instance(1), Timestamp(20));
     assert_eq!(names(&roster), [instance(1)]);
--- a/crates/decide/tests/routing.rs
+++ b/crates/decide/tests/routing.rs
@@ -1,5 +1,5 @@
-//! Routing in seeded simulations, with round robin and least outstanding
-//! requests as baselines in the same run. Each tick is a millisecond.
+//! Seeded simulations of routing, with round robin and least outstanding requests as baselines in
+//! the same run. Each tick is a millisecond.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -10,8 +10,9 @@
 };
 
 use cassiawheel_decide::{
-    AttemptEnd, EndpointCell, EndpointPath, RepeatGuard, RetryBudget, RetryStep, RetryTracker,
-    RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes, affinity::prefix_of,
+    AttemptFailure, EndpointPath, EndpointTracker, RepeatGuard, RetryBudget, RetryStep,
+    RetryTracker, RouteCandidate, RouteQuery, RouteSnapshot, ServiceRoutes,
+    affinity::prefix_digest,
 };
 use cassiawheel_model::{
     Deadline, InstanceId, LoadReport, ModelVersion, NotRunReason, ServiceName, Timestamp,
@@ -32,7 +33,7 @@
 struct Entry {
     service: ServiceName,
     snapshot: RouteSnapshot,
-    cells: Vec<Arc<EndpointCell>>,
+    trackers: Vec<Arc<EndpointTracker>>,
     total: Arc<AtomicU32>,
     names: Vec<InstanceId>,
     next: usize,
@@ -42,27 +43,28 @@
 impl Entry {
     fn new(seed: u64) -> Self {
         let service = ServiceName::new("desk").expect("a service");
-        let cells: Vec<_> = (0..ENDPOINTS).map(|_| Arc::new(EndpointCell::default())).collect();
-        for cell in &cells {
+        let trackers: Vec<_> =
+            (0..ENDPOINTS).map(|_| Arc::new(EndpointTracker::default())).collect();
+        for tracker in &trackers {
             let measured_at = Timestamp(START);
-            cell.hear(&LoadReport { in_flight: 0, queued: 0, measured_at }, 64);
+            tracker.apply_report(&LoadReport { in_flight: 0, queued: 0, measured_at }, 64);
         }
         let name = |index| InstanceId::new(&format!("endpoint-{index}")).expect("an instance");
         let names: Vec<_> = (0..ENDPOINTS).map(name).collect();
         let version = ModelVersion::new("v1").ok();
-        let candidate = |(index, cell): (usize, &Arc<EndpointCell>)| RouteCandidate {
+        let candidate = |(index, tracker): (usize, &Arc<EndpointTracker>)| RouteCandidate {
             instance: names[index].clone(),
             version: version.clone(),
             is_near: index % 4 == 0,
             path: EndpointPath::Agent,
-            cell: cell.clone(),
+            tracker: tracker.clone(),
         };
-        let candidates = cells.iter().enumerate().map(candidate).collect();
+        let candidates = trackers.iter().enumerate().map(candidate).collect();
         let total = Arc::new(AtomicU32::new(0));
         let routes = ServiceRoutes::new(candidates, total.clone());
         let snapshot = RouteSnapshot::new(HashMap::from([(service.clone(), routes)]));
         let rng = SmallRng::seed_from_u64(seed);
-        Self { service, snapshot, cells, total, names, next: 0, rng }
+        Self { service, snapshot, trackers, total, names, next: 0, rng }
     }
 
     fn choose(
@@ -79,7 +81,7 @@
                 (self.next..self.next + ENDPOINTS).map(|index| index % ENDPOINTS).find(free)
             }
             Policy::LeastOutstanding => {
-                (0..ENDPOINTS).filter(free).min_by_key(|index| self.cells[*index].in_flight())
+                (0..ENDPOINTS).filter(free).min_by_key(|index| self.trackers[*index].in_flight())
             }
             Policy::Shipped => {
                 let service = &self.service;
@@ -89,7 +91,7 @@
                     prefix,
                     version: None,
                     allowed: None,
-                    extra_room: 0,
+                    extra_capacity: 0,
                     max_in_flight: 64,
                     now,
                 };
@@ -100,22 +102,22 @@
     }
 
     fn begin(&self, endpoint: usize) {
-        self.cells[endpoint].begin();
+        self.trackers[endpoint].acquire();
         self.total.fetch_add(1, Ordering::Relaxed);
     }
 
     fn end(&self, endpoint: usize) {
-        self.cells[endpoint].end();
+        self.trackers[endpoint].release();
         self.total.fetch_sub(1, Ordering::Relaxed);
     }
 
     fn fail(&self, endpoint: usize, now: Timestamp) {
         let routes = self.snapshot.service(&self.service).expect("the service");
-        routes.fail(&self.names[endpoint], now);
+        routes.record_failure(&self.names[endpoint], now);
     }
 }
 
-/// What an engine's prefix cache of limited memory would do.
+/// Model of an engine's prefix cache with limited memory (LRU).
 #[derive(Default)]
 struct PrefixCache {
     kept: VecDeque<u64>,
@@ -124,7 +126,7 @@
 impl PrefixCache {
     const PREFIXES: usize = 20;
 
-    /// True if `prefix` was cached; caches it.
+    /// Caches `prefix`; true if it was cached before.
     fn touch(&mut self, prefix: u64) -> bool {
         let found = self.kept.iter().position(|kept| *kept == prefix);
         if let Some(index) = found {
@@ -144,8 +146,8 @@
     max_load: f64,
 }
 
-/// Three entries, 240 prefixes whose popularity falls with their rank, and
-/// answers that take longer where the prefix is not cached.
+/// Simulates three entries, 240 prefixes with decreasing popularity, and answers that take longer
+/// where the prefix is not cached.
 fn share_prefixes(policy: Policy) -> CacheResult {
     let mut entries: Vec<_> = (0..3).map(Entry::new).collect();
     let mut rng = SmallRng::seed_from_u64(11);
@@ -161,10 +163,10 @@
             *end > tick
         });
         for (index, entry) in entries.iter_mut().enumerate() {
-            // A square makes low ranks popular: the first tenth gets a third.
+            // The square makes low ranks popular: the first tenth gets a third of the requests.
             let rank = (rng.random::<f64>().powi(2) * 240.0) as u64;
             let prompt = format!("{rank:>64}");
-            let prefix = prefix_of(prompt.as_bytes(), 64);
+            let prefix = prefix_digest(prompt.as_bytes(), 64);
             let Some(endpoint) = entry.choose(policy, prefix, &[], now) else {
                 continue;
             };
@@ -182,11 +184,11 @@
     CacheResult { hit_share: f64::from(hits) / f64::from(total), max_load }
 }
 
-/// School groups ask with the same long prompt about the same tour. Were they
-/// spread evenly, every engine would compute every prefix, and the first token
-/// would come late for all; were they all sent to one, it would be overloaded.
+/// Guards against poor use of prefix caches. Spread evenly, requests with a common prompt would
+/// make every engine compute every prefix and delay the first token; sent to one engine, they would
+/// overload it.
 #[test]
-fn common_prefixes_meet_the_engine_that_cached_them() {
+fn common_prefixes_reach_the_engine_that_cached_them() {
     let shipped = share_prefixes(Policy::Shipped);
     let round_robin = share_prefixes(Policy::RoundRobin);
     let least = share_prefixes(Policy::LeastOutstanding);
@@ -216,11 +218,11 @@
 
 struct Request {
     entry: usize,
-    tracker: RetryTracker,
+    retries: RetryTracker,
     excluded: Vec<InstanceId>,
 }
 
-/// One of 16 endpoints is bad; 60,000 idempotent requests at half the capacity.
+/// Simulates 60,000 idempotent requests at half the capacity, with one bad endpoint of 16.
 fn serve_beside(bad: BadEndpoint, policy: Policy) -> RetryResult {
     const REQUESTS: usize = 60_000;
     let mut entries: Vec<_> = (0..3).map(|seed| Entry::new(100 + seed)).collect();
@@ -233,10 +235,10 @@
         let now = Timestamp(START + tick);
         for (entry, budget) in budgets.iter().enumerate() {
             if requests.len() < REQUESTS {
-                let tracker =
+                let retries =
                     RetryTracker::new(RepeatGuard::Idempotent, Deadline(now.0 + 5_000), 3);
-                requests.push(Request { entry, tracker, excluded: Vec::new() });
-                budget.earn();
+                requests.push(Request { entry, retries, excluded: Vec::new() });
+                budget.deposit();
                 waiting.push_back((tick, requests.len() - 1));
             }
         }
@@ -248,7 +250,7 @@
             let chosen = entry.choose(policy, None, &request.excluded, now);
             let endpoint = chosen.expect("there is room");
             request.excluded.push(entry.names[endpoint].clone());
-            request.tracker.begin();
+            request.retries.begin_attempt();
             attempts += 1;
             entry.begin(endpoint);
             let work = match (endpoint, bad) {
@@ -265,15 +267,15 @@
             let entry = &entries[call.entry];
             entry.end(call.endpoint);
             if call.endpoint != 0 || bad != BadEndpoint::FailsAtOnce {
-                entry.cells[call.endpoint].succeed();
+                entry.trackers[call.endpoint].record_success();
                 done += 1;
                 continue;
             }
             entry.fail(call.endpoint, now);
-            let end = AttemptEnd::NotRun(NotRunReason::ConnectFailed);
+            let end = AttemptFailure::NotRun(NotRunReason::ConnectFailed);
             let budget = &budgets[call.entry];
-            match requests[call.request].tracker.after(end, budget, now, &mut rng) {
-                RetryStep::Again(at) | RetryStep::Reroute(at) => {
+            match requests[call.request].retries.next_step(end, budget, now, &mut rng) {
+                RetryStep::Retry(at) | RetryStep::Reroute(at) => {
                     waiting.push_back((at.0 - START, call.request));
                 }
                 RetryStep::Stop(_) => {
@@ -293,9 +295,9 @@
     }
 }
 
-/// One of sixteen endpoints answers every call with an error at once, or ten
-/// times as slowly as the others. It always looks idle, so requests would flock
-/// to it, and callers would see errors while fifteen endpoints work.
+/// Guards against a bad endpoint that looks idle and attracts requests: one of sixteen fails every
+/// call at once, or is ten times slower than the others. Callers would see errors while fifteen
+/// endpoints work.
 #[test]
 fn a_bad_endpoint_costs_few_attempts_and_no_answers() {
     for bad in [BadEndpoint::FailsAtOnce, BadEndpoint::TenTimesSlow] {
@@ -310,8 +312,8 @@
     }
 }
 
-/// A rack switch dies and most endpoints fail. Were all of these passed over,
-/// the few that are left would get the whole load and die of it as well.
+/// Guards against ejecting most endpoints when a rack switch fails: the few that are left would get
+/// the whole load and fail as well.
 #[test]
 fn no_more_than_half_of_the_endpoints_are_ejected() {
     let entry = Entry::new(1);
@@ -319,6 +321,6 @@
     for _ in 0..5 {
         (0..ENDPOINTS).for_each(|endpoint| entry.fail(endpoint, now));
     }
-    let ejected = entry.cells.iter().filter(|cell| cell.is_ejected(now)).count();
+    let ejected = entry.trackers.iter().filter(|tracker| tracker.is_ejected(now)).count();
     assert_eq!(ejected, ENDPOINTS / 2);
 }
--- a/crates/entry/src/admin/reply.rs
+++ b/crates/entry/src/admin/reply.rs
@@ -1,8 +1,8 @@
-//! Reading the bodies of operators' calls, and the refusals they may get.
+//! Parsing of operators' requests, and error replies.
 
 use std::time::Duration;
 
-use cassiawheel_model::{FindingList, FindingPlace, record};
+use cassiawheel_model::{FindingList, InputFinding, record};
 use cassiawheel_runtime::http::{BodyError, ReplyBody, error_reply, json_reply, read_body_within};
 use hyper::{Response, StatusCode, body::Incoming};
 use macro_rules_attribute::apply;
@@ -10,31 +10,31 @@
 
 use crate::control::change::PresetError;
 
-/// Largest body of an operator's call, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// The answer to a call; a refusal is a response as well.
+/// Reply to a call; an error is a response as well.
 pub(super) type AdminReply = Result<Response<ReplyBody>, Response<ReplyBody>>;
 
-/// A refusal that names every fault of a body.
+/// Body of an error reply that lists every finding.
 #[apply(record!)]
 struct FindingsReply {
     error: String,
     message: String,
-    findings: Vec<FindingPlace>,
+    findings: Vec<InputFinding>,
 }
 
-/// The refusal of a body with findings.
+/// Error reply for a body with findings.
 pub(super) fn findings_reply(findings: &FindingList) -> Response<ReplyBody> {
     let reply = FindingsReply {
         error: "findings".to_owned(),
-        message: format!("nothing was stored; the body has {} findings", findings.places().len()),
-        findings: findings.places().to_vec(),
+        message: format!("nothing was stored; the body has {} findings", findings.as_slice().len()),
+        findings: findings.as_slice().to_vec(),
     };
     json_reply(StatusCode::UNPROCESSABLE_ENTITY, &reply)
 }
 
-/// Reads a whole JSON body; a refusal names the place of a wrong value.
+/// Reads a whole JSON body; the error names the path of an invalid value.
 pub(super) async fn read_json<T: DeserializeOwned>(
     body: Incoming,
     span: Duration,
@@ -45,8 +45,8 @@
             let message = format!("the body is longer than {MAX_BODY_BYTES} bytes");
             error_reply(StatusCode::PAYLOAD_TOO_LARGE, "too-long", message)
         }
-        BodyError::Cut => error_reply(StatusCode::BAD_REQUEST, "cut", "the body ended early"),
-        BodyError::Slow => {
+        BodyError::Truncated => error_reply(StatusCode::BAD_REQUEST, "cut", "the body ended early"),
+        BodyError::TimedOut => {
             let message = format!("the body did not arrive within {span:?}");
             error_reply(StatusCode::REQUEST_TIMEOUT, "slow", message)
         }
@@ -58,16 +58,16 @@
     Ok(value)
 }
 
-/// Reads an identifier of the path.
-pub(super) fn text_id<T>(what: &str, text: &str) -> Result<T, Response<ReplyBody>>
+/// Parses an identifier from the request path.
+pub(super) fn parse_id<T>(what: &str, text: &str) -> Result<T, Response<ReplyBody>>
 where
     T: std::str::FromStr<Err: std::fmt::Display>,
 {
     text.parse().map_err(|error| bad_request(format!("{what} {error}")))
 }
 
-/// The refusal that an error about presets leads to.
-pub(super) fn failed(error: PresetError) -> Response<ReplyBody> {
+/// Error reply for a failed operation on presets.
+pub(super) fn preset_error_reply(error: PresetError) -> Response<ReplyBody> {
     let (status, code) = match &error {
         PresetError::Store(_) => (StatusCode::SERVICE_UNAVAILABLE, "store"),
         PresetError::Manifest { .. } => (StatusCode::UNPROCESSABLE_ENTITY, "manifest"),
--- a/crates/entry/src/admin/status.rs
+++ b/crates/entry/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! What operators see.
+//! Status of the deployment as reported to operators.
 
 use std::collections::BTreeMap;
 
@@ -10,69 +10,69 @@
 
 use super::progress::{StageProgress, stage_progress};
 use crate::{
-    control::{ahead::staged_now, store::StoreHealth},
+    control::{staging::current_staging, store::StoreHealth},
     shared::EntryShared,
 };
 
 /// Reply to `GET /v1/status`.
 #[apply(record!)]
 pub(crate) struct StatusReply {
-    /// The preset in force, as this entry knows it.
+    /// Active preset of this entry.
     pub(crate) preset: Option<PresetName>,
-    /// Its revision.
+    /// Revision of the active preset.
     pub(crate) revision: PresetRevision,
-    /// Revision at each entry, this one included.
+    /// Revision at each entry, including this one.
     pub(crate) entries: BTreeMap<InstanceId, PresetRevision>,
-    /// Services of the preset in force.
+    /// Services of the active preset.
     pub(crate) services: BTreeMap<ServiceName, ServiceStatus>,
     /// Endpoints that this entry knows.
     pub(crate) endpoints: Vec<EndpointStatus>,
     /// Entries and endpoints that have not adopted the revision yet.
     pub(crate) behind: Vec<InstanceId>,
-    /// The preset that is staged ahead, if there is one.
-    pub(crate) ahead: Option<AheadStatus>,
-    /// Milliseconds since the table service last answered; none if it never did.
+    /// The preset that is staged ahead of its activation, if there is one.
+    pub(crate) ahead: Option<StagingStatus>,
+    /// Milliseconds since the table service last responded; none if it never did.
     pub(crate) store_age_ms: Option<u64>,
-    /// How the table service has answered lately.
+    /// Recent responses of the table service.
     pub(crate) store: StoreHealth,
 }
 
-/// A preset that is staged ahead.
+/// Status of a preset that is staged ahead of its activation.
 #[apply(record!)]
-pub(crate) struct AheadStatus {
-    /// The preset.
+pub(crate) struct StagingStatus {
+    /// Name of the preset.
     pub(crate) preset: PresetName,
-    /// When it was staged.
+    /// When staging was requested.
     pub(crate) staged_at: Timestamp,
-    /// Progress of its model services.
+    /// Progress of the preset's model services.
     pub(crate) services: BTreeMap<ServiceName, StageProgress>,
 }
 
-/// One service.
+/// Status of one service.
 #[apply(record!)]
 pub(crate) struct ServiceStatus {
-    /// The version wanted.
+    /// Version that the active preset names.
     pub(crate) version: Option<ModelVersion>,
-    /// Replicas wanted.
+    /// Number of replicas that the active preset names.
     pub(crate) replicas_wanted: u32,
-    /// Replicas that serve the wanted version.
+    /// Number of replicas that serve that version.
     pub(crate) replicas_ready: u32,
     /// Progress towards the version; none for plain services.
     pub(crate) progress: Option<StageProgress>,
 }
 
-/// One endpoint.
+/// Status of one endpoint.
 #[apply(record!)]
 pub(crate) struct EndpointStatus {
-    /// Its last report.
+    /// Last report of the endpoint's agent.
     pub(crate) report: EndpointReport,
-    /// Whether it leaves.
+    /// Whether the endpoint is leaving.
     pub(crate) leaving: bool,
 }
 
-/// Builds the status as this entry knows it.
+/// Builds the status from the state of this entry.
 pub(crate) fn build_status(shared: &EntryShared) -> StatusReply {
-    let force = shared.force.load_full();
+    let force = shared.active_preset.load_full();
     let revision = force.as_ref().map(|preset| preset.revision).unwrap_or_default();
     let endpoints = endpoint_statuses(shared);
     let mut services = BTreeMap::new();
@@ -87,7 +87,7 @@
             version: target.version.clone(),
             replicas_wanted: target.replicas,
             replicas_ready,
-            progress: progress_of(shared, name, target, &endpoints),
+            progress: service_progress(shared, name, target, &endpoints),
         };
         services.insert(name.clone(), status);
     }
@@ -100,7 +100,7 @@
         preset: force.map(|preset| preset.preset.clone()),
         revision,
         behind: behind(revision, &entries, &endpoints),
-        ahead: ahead_status(shared, &endpoints),
+        ahead: staging_status(shared, &endpoints),
         entries,
         services,
         endpoints,
@@ -121,16 +121,16 @@
     older.map(|(instance, _)| instance.clone()).collect()
 }
 
-fn ahead_status(shared: &EntryShared, endpoints: &[EndpointStatus]) -> Option<AheadStatus> {
-    let ahead = &staged_now(shared)?.staged;
+fn staging_status(shared: &EntryShared, endpoints: &[EndpointStatus]) -> Option<StagingStatus> {
+    let ahead = &current_staging(shared)?.staged;
     let services = ahead.content.services.iter().filter_map(|(name, target)| {
-        Some((name.clone(), progress_of(shared, name, target, endpoints)?))
+        Some((name.clone(), service_progress(shared, name, target, endpoints)?))
     });
     let (preset, staged_at) = (ahead.preset.clone(), ahead.staged_at);
-    Some(AheadStatus { preset, staged_at, services: services.collect() })
+    Some(StagingStatus { preset, staged_at, services: services.collect() })
 }
 
-fn progress_of(
+fn service_progress(
     shared: &EntryShared,
     service: &ServiceName,
     target: &ServiceTarget,
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -1,22 +1,21 @@
-//! Requests of callers.
+//! Handling of callers' requests.
 //!
 //! `accept → identify → admit → attempts (route → dispatch) → relay → outcome`
 //!
-//! Callers name a service in the path of their request, or, where the preset
-//! has a table of routes, a host and a path that the table leads to a service
-//! ([`routed`]). All filters after `identify` are the same for both; only the
-//! words in which an outcome is told differ.
+//! Callers name a service in the request path or, where the preset has a route table, use a host
+//! and path that the table maps to a service ([`routed`]). The stages after `identify` are the same
+//! for both; only the format of the reported outcome differs.
 
 mod admit;
 mod attempts;
+mod crash_detection;
 mod dispatch;
 mod events;
 mod identify;
-mod lost;
 mod outcome;
+mod passthrough;
 mod relay;
 mod routed;
-mod unchanged;
 
 use std::{
     net::SocketAddr,
@@ -24,7 +23,7 @@
     time::Duration,
 };
 
-use cassiawheel_decide::{advice::AdviceInput, advise};
+use cassiawheel_decide::{advice::EntryCandidate, advise};
 use cassiawheel_model::{OutcomeKind, Timestamp};
 use cassiawheel_runtime::http::{ReplyBody, error_reply, json_reply};
 use hyper::{Request, Response, StatusCode, body::Incoming};
@@ -38,13 +37,13 @@
 };
 use crate::shared::EntryShared;
 
-/// Path at which callers ask which entries to use.
+/// Path that returns the entries a caller should connect to.
 const ADVICE_PATH: &str = "/v1/entries";
 
-/// Path below which services are called.
+/// Path prefix of service requests.
 const SERVICE_PATH: &str = "/v1/services/";
 
-/// Answers one request of a caller.
+/// Handles one request that names its service in the path.
 pub(crate) async fn accept(
     shared: Arc<EntryShared>,
     request: Request<Incoming>,
@@ -55,27 +54,27 @@
         return advice_reply(&shared);
     }
     if !path.starts_with(SERVICE_PATH) {
-        let message = format!("no page {path}; services are under {SERVICE_PATH}NAME/");
+        let message = format!("unknown path {path}; services are under {SERVICE_PATH}NAME/");
         return error_reply(StatusCode::NOT_FOUND, "not-found", message);
     }
     let identified = match identify::identify(&shared, request).await {
         Ok(identified) => identified,
         Err(error) => return error.reply(),
     };
-    let mut guard = InFlight::begin(shared.clone());
+    let mut guard = RequestGuard::begin(shared.clone());
     match admit::admit(&shared, &identified).await {
         Ok(permit) => guard.permit = permit,
         Err(reason) => {
-            guard.count(OutcomeKind::NotRun);
+            guard.count_outcome(OutcomeKind::NotRun);
             let failed = FailedRequest::before_attempts(&shared, reason);
             return outcome::failure_reply(&identified.head, &failed);
         }
     }
     let mut attempts = RequestAttempts::new(shared, identified);
     match attempts.begin().await {
-        Ok(begun) => relay::answer_reply(guard, attempts, begun).await,
+        Ok(response) => relay::relay_reply(guard, attempts, response).await,
         Err(failed) => {
-            guard.count(failed.outcome.kind());
+            guard.count_outcome(failed.outcome.kind());
             outcome::failure_reply(attempts.head(), &failed)
         }
     }
@@ -83,7 +82,7 @@
 
 fn advice_reply(shared: &EntryShared) -> Response<ReplyBody> {
     let settings = &shared.settings;
-    let entries = advisable(shared);
+    let entries = advice_candidates(shared);
     let span = Duration::from_millis(settings.caller.advice_ms);
     let valid_until = Timestamp::now().deadline_after(span);
     let count = settings.caller.advice_addresses;
@@ -91,10 +90,10 @@
     json_reply(StatusCode::OK, &advise(&entries, domain, count, valid_until, &mut rand::rng()))
 }
 
-/// This entry and those that it knows.
-fn advisable(shared: &EntryShared) -> Vec<AdviceInput> {
+/// This entry and its known peers, as input for the advice to callers.
+fn advice_candidates(shared: &EntryShared) -> Vec<EntryCandidate> {
     let settings = &shared.settings;
-    let own = AdviceInput {
+    let own = EntryCandidate {
         caller_addr: settings.listen.caller,
         failure_domain: settings.place.failure_domain.clone(),
         in_flight: shared.in_flight.load(Ordering::Relaxed),
@@ -114,32 +113,32 @@
     let state = routed.overlay.lock();
     let others = peers.into_iter().map(|(instance, advice)| {
         let in_flight = state.store.load_of(&instance, now).unwrap_or_default();
-        AdviceInput { in_flight, ..advice }
+        EntryCandidate { in_flight, ..advice }
     });
     entries.extend(others);
     entries
 }
 
-/// Counts a request as in progress until its answer is whole or given up.
-pub(crate) struct InFlight {
+/// Counts a request as in progress until its response is complete or given up.
+pub(crate) struct RequestGuard {
     shared: Arc<EntryShared>,
     permit: Option<AdmitPermit>,
 }
 
-impl InFlight {
+impl RequestGuard {
     fn begin(shared: Arc<EntryShared>) -> Self {
         shared.in_flight.fetch_add(1, Ordering::Relaxed);
         shared.metrics.in_flight.inc();
         Self { shared, permit: None }
     }
 
-    /// Counts the request's outcome.
-    pub(crate) fn count(&self, kind: OutcomeKind) {
-        self.shared.metrics.count(kind);
+    /// Records the outcome of the request in the metrics.
+    pub(crate) fn count_outcome(&self, kind: OutcomeKind) {
+        self.shared.metrics.count_outcome(kind);
     }
 }
 
-impl Drop for InFlight {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         drop(self.permit.take());
         self.shared.in_flight.fetch_sub(1, Ordering::Relaxed);
--- a/crates/entry/src/caller/admit.rs
+++ b/crates/entry/src/caller/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: a request waits here, or is refused, when there are more than fit.
+//! Admission control: requests above the capacity wait in a queue or are refused.
 
 use std::{
     sync::{
@@ -16,50 +16,52 @@
 use super::identify::IdentifiedRequest;
 use crate::shared::EntryShared;
 
-/// Age at which the capacity is added up again, in milliseconds.
-const CAPACITY_MS: u64 = 20;
+/// Time in milliseconds for which a computed capacity is reused.
+const CAPACITY_TTL_MS: u64 = 20;
 
-/// Admission to one service.
+/// Admission queue of one service.
 #[derive(Debug)]
 pub(crate) struct EntryAdmission {
-    places: ServiceAdmission<Sender<AdmitVerdict>>,
+    queue: ServiceAdmission<Sender<AdmitVerdict>>,
     capacity: AtomicU32,
     measured_at: AtomicU64,
 }
 
-/// A place that an admitted request holds; given back when dropped.
+/// Admission of one request; frees the slot when dropped.
 pub(crate) struct AdmitPermit {
     admission: Arc<EntryAdmission>,
 }
 
-/// A place in the queue.
-struct WaitingPlace {
+/// Slot of a request that waits in the admission queue.
+struct QueueSlot {
     admission: Arc<EntryAdmission>,
     verdict: Receiver<AdmitVerdict>,
 }
 
 impl EntryAdmission {
-    /// An admission in which at most `most` requests wait.
-    pub(crate) fn new(most: usize) -> Self {
+    /// Creates a queue in which at most `max_waiting` requests wait.
+    pub(crate) fn new(max_waiting: usize) -> Self {
         Self {
-            places: ServiceAdmission::new(most),
+            queue: ServiceAdmission::new(max_waiting),
             capacity: AtomicU32::new(0),
             measured_at: AtomicU64::new(0),
         }
     }
 
-    /// Requests that this entry may have in progress at all endpoints; zero if
-    /// none serves, which routing tells better than a queue could.
-    fn refresh(&self, shared: &EntryShared, service: &ServiceName, now: Timestamp) -> u32 {
+    /// Number of requests that this entry may have in progress at all endpoints.
+    ///
+    /// Zero if no endpoint serves: routing reports that case more precisely than the queue could.
+    fn refresh_capacity(&self, shared: &EntryShared, service: &ServiceName, now: Timestamp) -> u32 {
         let measured_at = self.measured_at.load(Ordering::Relaxed);
-        if now.0 < measured_at + CAPACITY_MS {
+        if now.0 < measured_at + CAPACITY_TTL_MS {
             return self.capacity.load(Ordering::Relaxed);
         }
-        let preset = shared.force.load();
+        let preset = shared.active_preset.load();
         let target = preset.as_ref().and_then(|preset| preset.content.services.get(service));
-        let most = target.map_or(0, |target| target.max_in_flight);
+        let max_in_flight = target.map_or(0, |target| target.max_in_flight);
         let routes = shared.routes.load();
-        let capacity = routes.service(service).map_or(0, |routes| routes.capacity(most, now));
+        let capacity =
+            routes.service(service).map_or(0, |routes| routes.capacity(max_in_flight, now));
         self.capacity.store(capacity, Ordering::Relaxed);
         self.measured_at.store(now.0, Ordering::Relaxed);
         capacity
@@ -67,7 +69,7 @@
 
     fn release(&self) {
         let capacity = self.capacity.load(Ordering::Relaxed);
-        self.places.release(capacity, Timestamp::now(), tell);
+        self.queue.release(capacity, Timestamp::now(), send_verdict);
     }
 }
 
@@ -77,10 +79,10 @@
     }
 }
 
-impl Drop for WaitingPlace {
+impl Drop for QueueSlot {
     fn drop(&mut self) {
-        // The verdict may have come in the moment in which its caller hung up.
-        // Without this look the place would stay taken for ever.
+        // The caller may disconnect at the same moment as the request is admitted. Without this
+        // check the slot would never be freed.
         self.verdict.close();
         if let Ok(AdmitVerdict::Admitted) = self.verdict.try_recv() {
             self.admission.release();
@@ -88,49 +90,50 @@
     }
 }
 
-/// Tells a waiting request its verdict; false if its caller is gone.
-fn tell(waiting: Sender<AdmitVerdict>, verdict: AdmitVerdict) -> bool {
+/// Sends a waiting request its verdict; false if the caller has disconnected.
+fn send_verdict(waiting: Sender<AdmitVerdict>, verdict: AdmitVerdict) -> bool {
     waiting.try_send(verdict).is_ok()
 }
 
-/// Waits until the request may go on; none if there is nothing to wait for.
+/// Waits until the request is admitted; returns no permit if the service has no queue.
 pub(crate) async fn admit(
     shared: &EntryShared,
     request: &IdentifiedRequest,
 ) -> Result<Option<AdmitPermit>, NotRunReason> {
     let now = Timestamp::now();
     let (head, admit_by) = (&request.head, request.admit_by);
-    // Names that no preset has get no queue, or callers could fill the memory.
+    // Services that the preset does not contain get no queue. Otherwise callers could exhaust the
+    // memory with made-up names.
     let is_known = |preset: &Arc<ForcedPreset>| preset.content.services.contains_key(&head.service);
-    if !shared.force.load().as_ref().is_some_and(is_known) {
+    if !shared.active_preset.load().as_ref().is_some_and(is_known) {
         return Ok(None);
     }
     let admission = shared.admission(&head.service);
-    let capacity = admission.refresh(shared, &head.service, now);
+    let capacity = admission.refresh_capacity(shared, &head.service, now);
     if capacity == 0 {
         return Ok(None);
     }
-    if admission.places.admit_now(request.turn, capacity) {
+    if admission.queue.try_admit(request.tier, capacity) {
         return Ok(Some(AdmitPermit { admission }));
     }
     let ticket = AdmitTicket {
         workspace: head.workspace.clone(),
         priority: head.priority,
         deadline: admit_by,
-        turn: request.turn,
+        tier: request.tier,
     };
     let (sender, verdict) = bounded(1);
-    let place = WaitingPlace { admission: admission.clone(), verdict };
-    admission.places.wait(&ticket, sender, capacity, now, tell);
-    let half: Duration = admit_by.remaining(now) / 2;
-    let verdict = timeout(half, place.verdict.recv()).await;
+    let slot = QueueSlot { admission: admission.clone(), verdict };
+    admission.queue.enqueue(&ticket, sender, capacity, now, send_verdict);
+    let max_wait: Duration = admit_by.remaining(now) / 2;
+    let verdict = timeout(max_wait, slot.verdict.recv()).await;
     let refused = match verdict {
         Some(Ok(AdmitVerdict::Admitted)) => return Ok(Some(AdmitPermit { admission })),
         Some(Ok(AdmitVerdict::Refused(reason))) => reason,
         Some(Err(_)) => NotRunReason::Overloaded,
         None => NotRunReason::DeadlineTooClose,
     };
-    let (active, waiting) = (admission.places.active(), admission.places.waiting());
+    let (active, waiting) = (admission.queue.active(), admission.queue.waiting());
     log::info!(target: "admit", request:% = head.id, workspace:% = head.workspace, reason:% = refused, active = active, waiting = waiting, capacity = capacity; "Refused a request.");
     Err(refused)
 }
--- a/crates/entry/src/caller/attempts.rs
+++ b/crates/entry/src/caller/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request: route, dispatch, and again where allowed.
+//! The attempts of one request: route, dispatch and, where allowed, retry.
 
 use std::sync::{
     Arc,
@@ -6,8 +6,8 @@
 };
 
 use cassiawheel_decide::{
-    AttemptEnd, BAR_TIME, EndpointCell, EndpointPath, RepeatGuard, RetryBudget, RetryStep,
-    RetryTracker, RouteQuery, RouteSnapshot,
+    AttemptFailure, BAR_DURATION, EndpointPath, EndpointTracker, RepeatGuard, RetryBudget,
+    RetryStep, RetryTracker, RouteQuery, RouteSnapshot,
 };
 use cassiawheel_model::{
     Deadline, ForcedPreset, InstanceId, ModelVersion, NotRunReason, PresetRevision, Repeatability,
@@ -17,111 +17,111 @@
 use smol::Timer;
 
 use super::{
-    dispatch::{AnswerHead, AttemptStream, DispatchedRequest, dispatch},
+    crash_detection::{LostRun, RunTarget, await_turn, record_answered, record_lost_run},
+    dispatch::{AttemptStream, DispatchedRequest, ResponseHead, dispatch},
     identify::IdentifiedRequest,
-    lost::{LostRun, RunPlace, await_turn, note_answered, note_lost},
 };
 use crate::{crashes::SuspectRun, shared::EntryShared};
 
-/// When a refused caller should come back, in milliseconds.
+/// Retry delay that a refused caller is given, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Requests beyond its limit that an endpoint gets to make up for another one.
+/// Requests above its limit that an endpoint accepts as retries of failed attempts.
 ///
-/// An answer that broke off has cost its caller time and an engine work. When
-/// an engine dies the others are often full, and refusing would waste both;
-/// the requests of one dead engine are one or two for each of the others.
-const REPEAT_ROOM: u32 = 4;
+/// A response that broke off has cost the caller time and an engine work, and refusing the retry
+/// would waste both. When an engine dies, the others are often full; its requests amount to one or
+/// two for each of them.
+const RETRY_EXTRA_SLOTS: u32 = 4;
 
-/// Lowest status of a failure that is the endpoint's own.
+/// Lowest status code that is treated as a failure of the endpoint.
 const SERVER_ERROR: u16 = 500;
 
-/// An answer that has begun.
-pub(crate) struct BegunAnswer {
-    /// The rest of the answer.
+/// A response whose head has arrived.
+pub(crate) struct StartedResponse {
+    /// The rest of the response.
     pub(crate) stream: AttemptStream,
-    /// HTTP status of the endpoint.
+    /// HTTP status from the endpoint.
     pub(crate) status: u16,
-    /// Header fields that pass from end to end.
+    /// End-to-end header fields.
     pub(crate) headers: HeaderMap,
-    /// The version that answers.
+    /// Model version that produced the response.
     pub(crate) version: Option<ModelVersion>,
-    /// The preset under which it ran.
+    /// Revision of the preset under which the request ran.
     pub(crate) revision: PresetRevision,
-    /// Whether it repeats the recorded answer of an earlier run.
+    /// Whether this is the recorded response of an earlier run.
     pub(crate) replayed: bool,
-    /// Attempts that it took.
+    /// Number of attempts made.
     pub(crate) attempts: u32,
-    /// Where it runs.
-    run: RunPlace,
-    /// Counts the request at its endpoint until the answer ends.
-    _load: EndpointLoad,
+    /// Endpoint that produces the response.
+    target: RunTarget,
+    /// Counts the request at its endpoint until the response ends.
+    _load: LoadGuard,
 }
 
-/// A request that got no answer.
+/// A request that ended without a response.
 pub(crate) struct FailedRequest {
-    /// What its caller is told.
+    /// Outcome that is reported to the caller.
     pub(crate) outcome: RequestOutcome,
-    /// The preset under which it was routed last.
+    /// Revision of the preset under which the request was last routed.
     pub(crate) revision: PresetRevision,
-    /// Attempts made.
+    /// Number of attempts made.
     pub(crate) attempts: u32,
 }
 
 impl FailedRequest {
-    /// A request that was refused before any attempt.
+    /// Creates the result of a request that was refused before any attempt.
     pub(crate) fn before_attempts(shared: &EntryShared, reason: NotRunReason) -> Self {
-        let revision = shared.force.load().as_ref().map(|preset| preset.revision);
-        let outcome = final_outcome(AttemptEnd::NotRun(reason));
+        let revision = shared.active_preset.load().as_ref().map(|preset| preset.revision);
+        let outcome = final_outcome(AttemptFailure::NotRun(reason));
         Self { outcome, revision: revision.unwrap_or_default(), attempts: 0 }
     }
 }
 
-/// One request's count at its endpoint and its service.
-pub(crate) struct EndpointLoad {
-    cell: Arc<EndpointCell>,
+/// Counts one request at its endpoint and its service until dropped.
+pub(crate) struct LoadGuard {
+    tracker: Arc<EndpointTracker>,
     service: Arc<AtomicU32>,
 }
 
-impl EndpointLoad {
-    /// Takes over a request that is counted at the endpoint already.
-    fn taken(cell: Arc<EndpointCell>, service: Arc<AtomicU32>) -> Self {
+impl LoadGuard {
+    /// Takes over a request that the endpoint's counter already includes.
+    fn adopt(tracker: Arc<EndpointTracker>, service: Arc<AtomicU32>) -> Self {
         service.fetch_add(1, Ordering::Relaxed);
-        Self { cell, service }
+        Self { tracker, service }
     }
 }
 
-impl Drop for EndpointLoad {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
-        self.cell.end();
+        self.tracker.release();
         self.service.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// The attempts of one request.
+/// State of one request across its attempts.
 pub(crate) struct RequestAttempts {
     shared: Arc<EntryShared>,
-    /// The request.
+    /// The request to send.
     pub(crate) request: IdentifiedRequest,
-    /// The last event that the caller has, for streams that may be resumed.
+    /// Id of the last event that the caller has received, for resumable streams.
     pub(crate) last_event: Option<u64>,
     budget: Arc<RetryBudget>,
     tracker: RetryTracker,
     excluded: Vec<InstanceId>,
-    /// The only version that may answer, once a part of an answer was sent.
+    /// The only version that may respond, once part of a response was sent.
     version: Option<ModelVersion>,
     revision: PresetRevision,
-    /// Keeps other runs of a request under which endpoints have ended waiting.
+    /// Delays other runs of a suspect request, one during which endpoints have crashed.
     suspect_run: Option<SuspectRun>,
 }
 
 impl RequestAttempts {
-    /// A request that has not been tried yet.
+    /// Prepares the attempts of a request and adds it to the retry budget.
     pub(crate) fn new(shared: Arc<EntryShared>, request: IdentifiedRequest) -> Self {
         let head = &request.head;
         let tracker = RetryTracker::new(RepeatGuard::of(head), head.deadline, request.max_attempts);
         let budget = shared.retry_budget(&head.service);
-        budget.earn();
+        budget.deposit();
         Self {
             shared,
             last_event: request.last_event,
@@ -135,73 +135,72 @@
         }
     }
 
-    /// The request's head.
+    /// Routing data of the request.
     pub(crate) fn head(&self) -> &RequestHead {
         &self.request.head
     }
 
-    /// Tries until an answer begins or the request is given up.
-    pub(crate) async fn begin(&mut self) -> Result<BegunAnswer, FailedRequest> {
+    /// Makes attempts until a response starts or the request is given up.
+    pub(crate) async fn begin(&mut self) -> Result<StartedResponse, FailedRequest> {
         loop {
-            match self.try_preset().await {
-                Ok(begun) if self.may_ask_another(&begun) => {
-                    let end = AttemptEnd::Unknown(format!("answered {}", begun.status));
-                    if self.after(end).await.is_err() {
-                        // The failure is the endpoint's own answer, and the
-                        // last one that there will be.
-                        return Ok(begun);
+            match self.attempt().await {
+                Ok(response) if self.may_retry_elsewhere(&response) => {
+                    let end = AttemptFailure::Unknown(format!("answered {}", response.status));
+                    if self.await_retry(end).await.is_err() {
+                        // No retry is allowed, so the endpoint's own error response is passed on.
+                        return Ok(response);
                     }
                 }
-                Ok(begun) => return Ok(begun),
-                Err(end) => self.after(end).await?,
+                Ok(response) => return Ok(response),
+                Err(end) => self.await_retry(end).await?,
             }
         }
     }
 
-    /// Whether an endpoint failed at a request that another one may answer.
-    fn may_ask_another(&self, begun: &BegunAnswer) -> bool {
+    /// Whether another endpoint may succeed where this one reported a server error.
+    fn may_retry_elsewhere(&self, response: &StartedResponse) -> bool {
         self.request.is_direct()
-            && begun.status >= SERVER_ERROR
+            && response.status >= SERVER_ERROR
             && self.head().repeat == Repeatability::Idempotent
     }
 
-    /// Tries again after an answer was cut of which a part has been sent.
+    /// Retries after a response was cut off that had been sent in part.
     ///
-    /// The answer begins anew; only `version` may give it.
-    pub(crate) async fn begin_again(
+    /// The new response starts from the beginning; only `version` may produce it.
+    pub(crate) async fn retry_cut(
         &mut self,
-        cut: &BegunAnswer,
+        cut: &StartedResponse,
         version: Option<ModelVersion>,
-        end: AttemptEnd,
-    ) -> Result<BegunAnswer, FailedRequest> {
+        end: AttemptFailure,
+    ) -> Result<StartedResponse, FailedRequest> {
         self.version = version;
-        let lost = LostRun { place: &cut.run, answering: cut.stream.has_data(), end: &end };
-        note_lost(&self.shared, &self.request, lost).await;
+        let lost_run = LostRun { target: &cut.target, answering: cut.stream.has_data(), end: &end };
+        record_lost_run(&self.shared, &self.request, lost_run).await;
         self.suspect_run = None;
-        self.after(end).await?;
+        self.await_retry(end).await?;
         self.begin().await
     }
 
-    async fn try_preset(&mut self) -> Result<BegunAnswer, AttemptEnd> {
+    async fn attempt(&mut self) -> Result<StartedResponse, AttemptFailure> {
         let preset =
-            preset_in_force(&self.shared, &self.request.head).map_err(AttemptEnd::NotRun)?;
+            preset_in_force(&self.shared, &self.request.head).map_err(AttemptFailure::NotRun)?;
         self.revision = preset.revision;
         self.suspect_run = None;
         let turn = await_turn(&self.shared, &self.request).await;
-        self.suspect_run = turn.map_err(AttemptEnd::NotRun)?;
-        self.try_once(&preset).await
+        self.suspect_run = turn.map_err(AttemptFailure::NotRun)?;
+        self.route_and_dispatch(&preset).await
     }
 
-    /// Notes that the answer was whole.
-    pub(crate) fn note_answered(&self) {
-        note_answered(&self.shared, &self.request);
+    /// Records that the response was complete.
+    pub(crate) fn record_answered(&self) {
+        record_answered(&self.shared, &self.request);
     }
 
-    /// Waits until the next attempt, if one is allowed.
-    async fn after(&mut self, end: AttemptEnd) -> Result<(), FailedRequest> {
+    /// Waits for the next attempt, or fails if no retry is allowed.
+    async fn await_retry(&mut self, end: AttemptFailure) -> Result<(), FailedRequest> {
         let now = Timestamp::now();
-        let next_at = match self.tracker.after(end, &self.budget, now, &mut rand::rng()) {
-            RetryStep::Again(next_at) => next_at,
+        let next_at = match self.tracker.next_step(end, &self.budget, now, &mut rand::rng()) {
+            RetryStep::Retry(next_at) => next_at,
             RetryStep::Reroute(next_at) => {
                 self.excluded.pop();
                 next_at
@@ -215,7 +214,10 @@
         Ok(())
     }
 
-    async fn try_once(&mut self, preset: &ForcedPreset) -> Result<BegunAnswer, AttemptEnd> {
+    async fn route_and_dispatch(
+        &mut self,
+        preset: &ForcedPreset,
+    ) -> Result<StartedResponse, AttemptFailure> {
         let (shared, head) = (&self.shared, &self.request.head);
         let now = Timestamp::now();
         let allowed = shared.allowed_versions(&head.service, now);
@@ -227,8 +229,8 @@
             excluded: &self.excluded,
             version: self.version.as_ref(),
             allowed: allowed.as_deref(),
-            extra_room: if self.tracker.attempts() > 0 && self.request.is_direct() {
-                REPEAT_ROOM
+            extra_capacity: if self.tracker.attempts() > 0 && self.request.is_direct() {
+                RETRY_EXTRA_SLOTS
             } else {
                 0
             },
@@ -236,24 +238,24 @@
             max_in_flight: target.map_or(0, |target| target.max_in_flight),
             now,
         };
-        let choice = routes.take(&query, &mut rand::rng());
+        let choice = routes.acquire(&query, &mut rand::rng());
         let (Some(choice), Some(service)) = (choice, routes.service(&head.service)) else {
             log::info!(target: "route", request:% = head.id, workspace:% = head.workspace, service:% = head.service, revision = preset.revision.0, excluded = self.excluded.len(); "No endpoint for a request.");
-            return Err(AttemptEnd::NotRun(no_endpoint(&routes, head)));
+            return Err(AttemptFailure::NotRun(no_endpoint_reason(&routes, head)));
         };
         let candidate = choice.candidate;
         log::info!(target: "route", request:% = head.id, workspace:% = head.workspace, endpoint:% = candidate.instance, reason = choice.reason.as_str(), cost = choice.cost, near = candidate.is_near, candidates = choice.candidates, revision = preset.revision.0, attempt = self.tracker.attempts() + 1; "Chose an endpoint.");
-        let load = EndpointLoad::taken(candidate.cell.clone(), service.in_flight().clone());
+        let load = LoadGuard::adopt(candidate.tracker.clone(), service.in_flight().clone());
         let (instance, path) = (candidate.instance.clone(), candidate.path);
         let candidate_version = candidate.version.clone();
         let version = match path {
             EndpointPath::Agent => candidate.version.clone(),
-            // The endpoint refuses if it holds another one after all.
+            // The endpoint refuses the request if it serves another version after all.
             EndpointPath::Direct(_) => candidate.version.clone().filter(|_| allowed.is_some()),
         };
         drop(routes);
         self.excluded.push(instance.clone());
-        self.tracker.begin();
+        self.tracker.begin_attempt();
         shared.metrics.attempts.inc();
         let routed = RequestHead { revision: preset.revision, version, ..head.clone() };
         let sent = DispatchedRequest {
@@ -262,29 +264,30 @@
             request: &self.request,
             last_event: self.last_event,
         };
-        let begin_by = shared.begin_by(&head.service, candidate_version.as_ref());
-        let begun: AnswerHead = match dispatch(shared, path, sent, &load.cell, begin_by).await {
-            Ok(begun) => begun,
-            Err(end) => {
-                note_end(shared, &routed, self.excluded.last(), &load.cell, &end);
-                let place = RunPlace { instance, path };
-                let lost = LostRun { place: &place, answering: false, end: &end };
-                note_lost(shared, &self.request, lost).await;
-                return Err(end);
-            }
-        };
-        load.cell.succeed();
+        let start_by = shared.start_by(&head.service, candidate_version.as_ref());
+        let response: ResponseHead =
+            match dispatch(shared, path, sent, &load.tracker, start_by).await {
+                Ok(response) => response,
+                Err(end) => {
+                    record_failure(shared, &routed, self.excluded.last(), &load.tracker, &end);
+                    let target = RunTarget { instance, path };
+                    let lost_run = LostRun { target: &target, answering: false, end: &end };
+                    record_lost_run(shared, &self.request, lost_run).await;
+                    return Err(end);
+                }
+            };
+        load.tracker.record_success();
         let delay_ms = Timestamp::now().since(now).as_millis() as u64;
-        log::info!(target: "answer", request:% = self.request.head.id, endpoint:% = instance, status = begun.status, delay_ms = delay_ms; "An answer begins.");
-        Ok(BegunAnswer {
-            stream: begun.stream,
-            status: begun.status,
-            headers: begun.headers,
-            version: begun.version,
-            revision: begun.revision,
-            replayed: begun.replayed,
+        log::info!(target: "answer", request:% = self.request.head.id, endpoint:% = instance, status = response.status, delay_ms = delay_ms; "An answer begins.");
+        Ok(StartedResponse {
+            stream: response.stream,
+            status: response.status,
+            headers: response.headers,
+            version: response.version,
+            revision: response.revision,
+            replayed: response.replayed,
             attempts: self.tracker.attempts(),
-            run: RunPlace { instance, path },
+            target: RunTarget { instance, path },
             _load: load,
         })
     }
@@ -297,15 +300,15 @@
     if head.deadline.is_past(Timestamp::now()) {
         return Err(NotRunReason::DeadlineTooClose);
     }
-    let preset = shared.force.load_full().ok_or(NotRunReason::NotReady)?;
+    let preset = shared.active_preset.load_full().ok_or(NotRunReason::NotReady)?;
     if !preset.content.services.contains_key(&head.service) {
         return Err(NotRunReason::UnknownService);
     }
     Ok(preset)
 }
 
-/// Why no endpoint was found: none serves, or each is at its limit.
-fn no_endpoint(routes: &RouteSnapshot, head: &RequestHead) -> NotRunReason {
+/// Distinguishes a service without endpoints from one whose endpoints are all at their limits.
+fn no_endpoint_reason(routes: &RouteSnapshot, head: &RequestHead) -> NotRunReason {
     match routes.service(&head.service) {
         Some(service) if service.in_flight().load(Ordering::Relaxed) > 0 => {
             NotRunReason::Overloaded
@@ -314,52 +317,55 @@
     }
 }
 
-/// Learns from an attempt that gave no answer.
-fn note_end(
+/// Updates the state of the endpoint after an attempt without a response.
+fn record_failure(
     shared: &EntryShared,
     head: &RequestHead,
     instance: Option<&InstanceId>,
-    cell: &EndpointCell,
-    end: &AttemptEnd,
+    tracker: &EndpointTracker,
+    end: &AttemptFailure,
 ) {
     let now = Timestamp::now();
     match end {
-        // Another attempt with the key may be the cause, and not this endpoint.
-        AttemptEnd::Unanswered(_) => {}
-        AttemptEnd::NotRun(NotRunReason::Overloaded) => cell.refuse(now),
-        // No version was asked for, so it is the process that is another one.
-        // It refuses at once and so seems to be idle; without this look it would
-        // draw request after request until its row lapses.
-        AttemptEnd::NotRun(NotRunReason::VersionMismatch) if head.version.is_none() => {
+        // Another attempt with the same idempotency key may be the cause, so the endpoint is not
+        // blamed.
+        AttemptFailure::Unanswered(_) => {}
+        AttemptFailure::NotRun(NotRunReason::Overloaded) => tracker.record_refusal(now),
+        // The request named no version, so another process answers at this address. It refuses at
+        // once and therefore looks idle; unless it is dropped here, it would attract further
+        // requests until its row expires.
+        AttemptFailure::NotRun(NotRunReason::VersionMismatch) if head.version.is_none() => {
             if let Some(instance) = instance {
-                shared.forget_listed(instance);
+                shared.drop_listed(instance);
             }
         }
-        AttemptEnd::NotRun(NotRunReason::ConnectFailed)
-        | AttemptEnd::Unknown(_)
-        | AttemptEnd::Lost(_) => {
+        AttemptFailure::NotRun(NotRunReason::ConnectFailed)
+        | AttemptFailure::Unknown(_)
+        | AttemptFailure::Lost(_) => {
             let routes = shared.routes.load();
-            let ejected =
-                routes.service(&head.service).zip(instance).is_some_and(|(s, i)| s.fail(i, now));
+            let ejected = routes
+                .service(&head.service)
+                .zip(instance)
+                .is_some_and(|(s, i)| s.record_failure(i, now));
             if let (true, Some(instance)) = (ejected, instance) {
                 log::warn!(target: "route", endpoint:% = instance; "Ejected an endpoint that fails.");
             }
         }
-        AttemptEnd::NotRun(_) => {}
+        AttemptFailure::NotRun(_) => {}
     }
 }
 
-fn final_outcome(end: AttemptEnd) -> RequestOutcome {
+fn final_outcome(end: AttemptFailure) -> RequestOutcome {
     match end {
-        AttemptEnd::NotRun(reason) => RequestOutcome::NotRun {
+        AttemptFailure::NotRun(reason) => RequestOutcome::NotRun {
             reason,
             retry_at: match reason {
-                NotRunReason::Quarantined => Timestamp::now().deadline_after(BAR_TIME),
+                NotRunReason::Quarantined => Timestamp::now().deadline_after(BAR_DURATION),
                 _ => Deadline(Timestamp::now().0 + RETRY_AFTER_MS),
             },
         },
-        AttemptEnd::Unknown(detail) | AttemptEnd::Lost(detail) | AttemptEnd::Unanswered(detail) => {
-            RequestOutcome::Unknown { detail }
-        }
+        AttemptFailure::Unknown(detail)
+        | AttemptFailure::Lost(detail)
+        | AttemptFailure::Unanswered(detail) => RequestOutcome::Unknown { detail },
     }
 }
--- a/crates/entry/src/caller/lost.rs
+++ b/crates/entry/src/caller/crash_detection.rs
@@ -1,66 +1,68 @@
-//! Runs whose connection to the endpoint ended before the answer did.
+//! Detection of endpoints that crash while they run a request.
 //!
-//! `lost run → has the endpoint ended → book of requests under which endpoints end`
+//! `lost run → has the endpoint crashed → crash book`
 //!
-//! A connection also ends for other reasons: a reset link, a spoilt answer, a planned
-//! stop. Only where nobody listens any more at the address of an endpoint that did not
-//! leave has the endpoint ended by itself.
+//! A connection also ends for other reasons: a reset link, a corrupt response or a planned stop. An
+//! endpoint counts as crashed only if it was not leaving and its address refuses connections.
 
 use std::{io::ErrorKind, net::SocketAddr, time::Duration};
 
-use cassiawheel_decide::{AttemptEnd, CrashVerdict, EndpointPath, rank::subject_of};
-use cassiawheel_model::{CrashEvent, CrashRow, InstanceId, NotRunReason, RequestDigest, Timestamp};
+use cassiawheel_decide::{AttemptFailure, CrashVerdict, EndpointPath, rank::subject_of};
+use cassiawheel_model::{
+    CrashEvent, CrashRecord, InstanceId, NotRunReason, RequestDigest, Timestamp,
+};
 use cassiawheel_runtime::{dial, timeout};
 use smol::Timer;
 
 use super::identify::IdentifiedRequest;
 use crate::{
     crashes::{SuspectRun, suspect_rank},
-    routed::RoutedInterface,
+    routed::RoutedState,
     shared::EntryShared,
 };
 
-/// Time in which an address of another region refuses a connection.
-const PROBE_TIME: Duration = Duration::from_millis(100);
+/// Longest wait for an address, also in another region, to refuse a connection.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time between looks whether the run of a suspect may begin.
-const TURN_TIME: Duration = Duration::from_millis(20);
+/// Interval at which a waiting suspect request checks whether it may run.
+const TURN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Where a request runs.
-pub(super) struct RunPlace {
-    /// The endpoint.
+/// Endpoint that runs a request.
+pub(super) struct RunTarget {
+    /// Instance of the endpoint.
     pub(super) instance: InstanceId,
-    /// How it is reached.
+    /// How the endpoint is reached.
     pub(super) path: EndpointPath,
 }
 
-/// A run that ended without a whole answer.
+/// A run that ended without a complete response.
 pub(super) struct LostRun<'a> {
-    /// Where it ran.
-    pub(super) place: &'a RunPlace,
-    /// Whether some bytes of the answer had come.
+    /// Endpoint that ran the request.
+    pub(super) target: &'a RunTarget,
+    /// Whether part of the response body had arrived.
     pub(super) answering: bool,
-    /// How it ended.
-    pub(super) end: &'a AttemptEnd,
+    /// How the attempt ended.
+    pub(super) end: &'a AttemptFailure,
 }
 
-/// Notes that an endpoint ended under a request, if that is how the run ended.
-pub(super) async fn note_lost(
+/// Records a crash if the run ended because its endpoint crashed.
+pub(super) async fn record_lost_run(
     shared: &EntryShared,
     request: &IdentifiedRequest,
     lost: LostRun<'_>,
 ) {
-    let (AttemptEnd::Lost(cause), EndpointPath::Direct(addr)) = (lost.end, lost.place.path) else {
+    let (AttemptFailure::Lost(cause), EndpointPath::Direct(addr)) = (lost.end, lost.target.path)
+    else {
         return;
     };
     let Some(routed) = &shared.routed else {
         return;
     };
     let ended_at = Timestamp::now();
-    let instance = &lost.place.instance;
+    let instance = &lost.target.instance;
     let digest = request.digest();
-    let has_ended = !leaves(routed, instance) && refuses(addr).await;
-    log::info!(target: "direct", request:% = request.head.id, digest:% = digest, endpoint:% = instance, answering = lost.answering, ended = has_ended, cause:% = cause; "An endpoint was lost under a request.");
+    let has_ended = !has_left(routed, instance) && refuses_connections(addr).await;
+    log::info!(target: "direct", request:% = request.head.id, digest:% = digest, endpoint:% = instance, answering = lost.answering, ended = has_ended, cause:% = cause; "Lost an endpoint while it ran a request.");
     if has_ended {
         let endpoint = subject_of(instance.as_str());
         let event = match lost.answering {
@@ -71,8 +73,8 @@
     }
 }
 
-/// Notes that a request was answered whole, if endpoints have ended under it.
-pub(super) fn note_answered(shared: &EntryShared, request: &IdentifiedRequest) {
+/// Records that a suspect request was answered completely.
+pub(super) fn record_answered(shared: &EntryShared, request: &IdentifiedRequest) {
     let Some(routed) = shared.routed.as_ref().filter(|routed| !routed.crashes.is_empty()) else {
         return;
     };
@@ -82,30 +84,30 @@
     }
 }
 
-fn note(routed: &RoutedInterface, digest: RequestDigest, event: CrashEvent, at: Timestamp) {
+fn note(routed: &RoutedState, digest: RequestDigest, event: CrashEvent, at: Timestamp) {
     let now = Timestamp::now();
-    let row = CrashRow { digest, event, age_ms: now.since(at).as_millis() as u32 };
+    let row = CrashRecord { digest, event, age_ms: now.since(at).as_millis() as u32 };
     let mut state = routed.overlay.lock();
-    if state.crashes.note(row, None, now) {
-        routed.crashes.learn(&state.crashes, &[row], None);
+    if state.crashes.record(row, None, now) {
+        routed.crashes.apply_rows(&state.crashes, &[row], None);
         drop(state);
-        routed.overlay.note_change();
+        routed.overlay.notify_change();
     }
 }
 
-/// Whether an endpoint leaves as planned, or has left.
-fn leaves(routed: &RoutedInterface, instance: &InstanceId) -> bool {
+/// Whether an endpoint is leaving as planned or has already left.
+fn has_left(routed: &RoutedState, instance: &InstanceId) -> bool {
     let listing = routed.listing();
     !listing.endpoints().any(|listed| listed.instance == *instance && !listed.is_leaving)
 }
 
-/// Whether `addr` refuses connections; false if it does not answer in time.
-async fn refuses(addr: SocketAddr) -> bool {
-    let dialled = timeout(PROBE_TIME, dial(addr, None)).await;
+/// Whether `addr` refuses connections; false if it does not respond within the timeout.
+async fn refuses_connections(addr: SocketAddr) -> bool {
+    let dialled = timeout(PROBE_TIMEOUT, dial(addr, None)).await;
     matches!(dialled, Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// Refuses a request under which too many endpoints have ended.
+/// Refuses a request that is quarantined because endpoints crashed while running it.
 pub(super) fn refuse_barred(
     shared: &EntryShared,
     request: &IdentifiedRequest,
@@ -121,13 +123,13 @@
         return Ok(());
     }
     shared.metrics.quarantined.inc();
-    log::info!(target: "quarantine", request:% = request.head.id, digest:% = digest; "Refused a barred request.");
+    log::info!(target: "quarantine", request:% = request.head.id, digest:% = digest; "Refused a quarantined request.");
     Err(NotRunReason::Quarantined)
 }
 
-/// Waits until the request may run as far as ends of endpoints under it tell.
+/// Waits until a suspect request may run.
 ///
-/// A suspect gets the only run of its kind at this entry.
+/// An entry makes only one run of a suspect request at a time.
 pub(super) async fn await_turn(
     shared: &EntryShared,
     request: &IdentifiedRequest,
@@ -153,14 +155,14 @@
                 refuse_barred(shared, request)?;
                 return Ok(None);
             }
-            Some(verdict) if verdict.turn_at(rank, entries).is_past(now) => {
-                if let Some(run) = routed.crashes.begin_suspect(digest) {
+            Some(verdict) if verdict.not_before(rank, entries).is_past(now) => {
+                if let Some(run) = routed.crashes.begin_suspect_run(digest) {
                     note(routed, digest, CrashEvent::Begun, now);
                     return Ok(Some(run));
                 }
             }
             Some(_) => {}
         }
-        Timer::after(TURN_TIME).await;
+        Timer::after(TURN_CHECK_INTERVAL).await;
     }
 }
--- a/crates/entry/src/caller/events.rs
+++ b/crates/entry/src/caller/events.rs
@@ -1,13 +1,12 @@
-//! Streams of events, passed on as they arrive.
+//! Event streams, relayed as they arrive.
 //!
-//! Where the route allows it, another endpoint goes on with a stream that
-//! breaks off, and its events follow under the head of the first. The caller
-//! notices a pause at most.
+//! If the route allows it, another endpoint continues a stream that breaks off, and its events
+//! follow under the head of the first response. The caller notices at most a pause.
 
 use std::{io, time::Duration};
 
 use bytes::Bytes;
-use cassiawheel_decide::{AttemptEnd, EventSplicer, RepeatGuard};
+use cassiawheel_decide::{AttemptFailure, EventSplicer, RepeatGuard};
 use cassiawheel_model::{OutcomeKind, Timestamp};
 use cassiawheel_runtime::{
     http::{ReplyBody, full_body},
@@ -18,54 +17,54 @@
 use hyper::{Response, body::Frame};
 
 use super::{
-    InFlight,
-    attempts::{BegunAnswer, RequestAttempts},
-    dispatch::AnswerPart,
-    unchanged::reply_with,
+    RequestGuard,
+    attempts::{RequestAttempts, StartedResponse},
+    dispatch::ResponsePart,
+    passthrough::reply_with,
 };
 
-/// Longest pause between events before another endpoint is asked to go on.
+/// Longest gap between events before another endpoint is asked to continue the stream.
 ///
-/// A busy engine makes an event every 40 to 120 ms; callers count a pause of
-/// 300 ms as late and leave after some two seconds.
-const PAUSE_TIME: Duration = Duration::from_millis(1_200);
+/// A busy engine produces an event every 40 to 120 ms. Callers count a gap of 300 ms as late and
+/// disconnect after about two seconds.
+const MAX_EVENT_GAP: Duration = Duration::from_millis(1_200);
 
-/// One step of a stream.
+/// Result of reading an event stream.
 enum EventStep {
     Events(Bytes),
     End,
-    Cut(AttemptEnd),
+    Cut(AttemptFailure),
     Silent,
 }
 
-/// Reads the events of one answer, over as many endpoints as it takes.
+/// Reads the events of one response, from several endpoints in turn if needed.
 struct EventReader {
     attempts: RequestAttempts,
-    begun: BegunAnswer,
+    response: StartedResponse,
     splicer: EventSplicer,
 }
 
-/// Passes a stream of events on.
+/// Creates a reply that relays an event stream.
 pub(super) fn stream_reply(
-    guard: InFlight,
+    guard: RequestGuard,
     attempts: RequestAttempts,
-    begun: BegunAnswer,
+    response: StartedResponse,
 ) -> Response<ReplyBody> {
-    let mut reply = reply_with(&begun, full_body(""));
+    let mut reply = reply_with(&response, full_body(""));
     let splicer = EventSplicer::new(attempts.last_event);
-    let reader = EventReader { attempts, begun, splicer };
+    let reader = EventReader { attempts, response, splicer };
     let frames = stream::unfold(Some((guard, reader)), |state| async move {
         let (guard, mut reader) = state?;
         match reader.next_or_resumed().await {
             Ok(Some(events)) => Some((Ok(Frame::data(events)), Some((guard, reader)))),
             Ok(None) => {
-                reader.attempts.note_answered();
-                guard.count(OutcomeKind::Complete);
+                reader.attempts.record_answered();
+                guard.count_outcome(OutcomeKind::Complete);
                 None
             }
             Err(detail) => {
-                guard.count(OutcomeKind::Unknown);
-                log::warn!(target: "outcome", request:% = reader.attempts.head().id, event:? = reader.splicer.last_id(), attempts = reader.begun.attempts, cause:% = detail; "A stream was cut.");
+                guard.count_outcome(OutcomeKind::Unknown);
+                log::warn!(target: "outcome", request:% = reader.attempts.head().id, event:? = reader.splicer.last_id(), attempts = reader.response.attempts, cause:% = detail; "A stream was cut.");
                 Some((Err(io::Error::other(detail)), None))
             }
         }
@@ -75,7 +74,7 @@
 }
 
 impl EventReader {
-    /// The next events, from another endpoint if this one breaks off; none at the end.
+    /// Returns the next events, resuming at another endpoint if needed; none at the end.
     async fn next_or_resumed(&mut self) -> Result<Option<Bytes>, String> {
         loop {
             match self.next().await {
@@ -87,64 +86,63 @@
         }
     }
 
-    /// Has another endpoint go on with a silent stream, if one can.
+    /// Resumes a silent stream at another endpoint if possible.
     ///
-    /// Silence does not prove that the endpoint is gone: its answer may be whole and
-    /// wait on a full link. A caller whose stream is cut where nobody goes on loses
-    /// what would have arrived, so it stays with the endpoint until its deadline.
+    /// Silence does not prove that the endpoint is gone: its response may be complete but delayed
+    /// by a congested link. If no endpoint can resume, cutting the stream would lose those events,
+    /// so it waits for this endpoint until the deadline.
     async fn resume_or_wait(&mut self) {
-        let silent = AttemptEnd::Unknown("the endpoint fell silent".to_owned());
+        let silent = AttemptFailure::Unknown("the endpoint fell silent".to_owned());
         if let Err(cause) = self.resume(silent).await {
-            log::info!(target: "outcome", request:% = self.attempts.head().id, cause:% = cause; "Waits for a silent stream.");
+            log::info!(target: "outcome", request:% = self.attempts.head().id, cause:% = cause; "Cannot resume a silent stream; waiting for its endpoint.");
         }
     }
 
-    /// Has another endpoint go on after the last event that was passed on; changes
-    /// nothing if none does.
-    async fn resume(&mut self, end: AttemptEnd) -> Result<(), String> {
+    /// Resumes at another endpoint after the last event sent; keeps the current stream on failure.
+    async fn resume(&mut self, end: AttemptFailure) -> Result<(), String> {
         self.attempts.last_event = self.splicer.last_id();
         if RepeatGuard::of(self.attempts.head()) == RepeatGuard::Idempotent {
             log::info!(target: "outcome", request:% = self.attempts.head().id, event:? = self.attempts.last_event, cause:? = end; "Resumes a stream.");
         }
-        let begun = self.attempts.begin_again(&self.begun, None, end).await;
-        let begun = begun.map_err(|failed| format!("{:?}", failed.outcome))?;
-        if begun.status != self.begun.status {
-            return Err(format!("another endpoint answered {}", begun.status));
+        let response = self.attempts.retry_cut(&self.response, None, end).await;
+        let response = response.map_err(|failed| format!("{:?}", failed.outcome))?;
+        if response.status != self.response.status {
+            return Err(format!("another endpoint answered {}", response.status));
         }
-        self.splicer.break_off();
-        self.begun = begun;
+        self.splicer.discard_partial();
+        self.response = response;
         Ok(())
     }
 
     async fn next(&mut self) -> EventStep {
         loop {
             let left = self.attempts.head().deadline.remaining(Timestamp::now());
-            let part = match timeout(left.min(PAUSE_TIME), self.begun.stream.next()).await {
+            let part = match timeout(left.min(MAX_EVENT_GAP), self.response.stream.next()).await {
                 Some(part) => part,
-                None if left <= PAUSE_TIME => {
+                None if left <= MAX_EVENT_GAP => {
                     return cut("the deadline was reached");
                 }
                 None => return EventStep::Silent,
             };
             match part {
-                AnswerPart::Data(bytes) => match self.splicer.push(&bytes) {
+                ResponsePart::Data(bytes) => match self.splicer.push(&bytes) {
                     Ok(events) if events.is_empty() => {}
                     Ok(events) => return EventStep::Events(Bytes::from(events)),
                     Err(error) => return cut(error),
                 },
-                AnswerPart::End(_) => {
+                ResponsePart::End(_) => {
                     return match self.splicer.finish() {
                         Ok(()) => EventStep::End,
                         Err(error) => cut(error),
                     };
                 }
-                AnswerPart::Cut(detail) => return EventStep::Cut(AttemptEnd::Lost(detail)),
+                ResponsePart::Cut(detail) => return EventStep::Cut(AttemptFailure::Lost(detail)),
             }
         }
     }
 }
 
-/// An answer that cannot be passed on though its connection has not ended.
+/// A stream that cannot be relayed although its connection is still open.
 fn cut(cause: impl ToString) -> EventStep {
-    EventStep::Cut(AttemptEnd::Unknown(cause.to_string()))
+    EventStep::Cut(AttemptFailure::Unknown(cause.to_string()))
 }
--- a/crates/entry/src/cli.rs
+++ b/crates/entry/src/cli.rs
@@ -1,11 +1,11 @@
 //! The command line: `serve`, `check-config` and the operator's commands.
 
 mod client;
+mod deployment;
 mod diff;
 mod exit;
 mod preset;
 mod table;
-mod watch;
 
 use std::{
     path::{Path, PathBuf},
@@ -24,10 +24,10 @@
     RowClient, ServerTable,
 };
 
-use crate::RoutedEdges;
+use crate::RoutedAdapters;
 use exit::{CommandError, EXIT_CODES};
 
-/// What a newcomer does first; `argh` would run its lines together in a doc comment.
+/// Usage example below the help text; `argh` would join its lines in a doc comment.
 const FIRST_SESSION: &str = "\
 A first session, with an entry's operator address and a token of its settings:
   export CASSIAWHEEL_ADMIN=10.0.0.11:7002 CASSIAWHEEL_TOKEN=...
@@ -49,9 +49,9 @@
     Serve(ServeArgs),
     CheckConfig(CheckArgs),
     Preset(preset::PresetArgs),
-    Rollout(watch::RolloutArgs),
-    Status(watch::StatusArgs),
-    Drain(watch::DrainArgs),
+    Rollout(deployment::RolloutArgs),
+    Status(deployment::StatusArgs),
+    Drain(deployment::DrainArgs),
 }
 
 /// Runs an entry until SIGTERM; then drains and ends.
@@ -86,9 +86,9 @@
         EntryCommand::Serve(args) => serve(args.config.as_deref()),
         EntryCommand::CheckConfig(args) => check(&args.file),
         EntryCommand::Preset(args) => preset::run(args),
-        EntryCommand::Rollout(args) => watch::rollout(args),
-        EntryCommand::Status(args) => watch::status(args),
-        EntryCommand::Drain(args) => watch::drain(args),
+        EntryCommand::Rollout(args) => deployment::rollout(args),
+        EntryCommand::Status(args) => deployment::status(args),
+        EntryCommand::Drain(args) => deployment::drain(args),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
@@ -99,7 +99,7 @@
     }
 }
 
-/// The arguments, or the exit code after help or a wrong usage was printed.
+/// Parses the arguments; returns the exit code if help or a usage error was printed.
 fn parse_args() -> Result<EntryArgs, ExitCode> {
     let given: Vec<String> = std::env::args().collect();
     let given: Vec<&str> = given.iter().skip(1).map(String::as_str).collect();
@@ -132,7 +132,7 @@
     let (settings, routed) = boot.entry_settings().map_err(findings)?;
     let client = HttpClient::default();
     let rows = RowClient::new(client, boot.store_addr(), boot.store_timeout());
-    let edges = RoutedEdges {
+    let adapters = RoutedAdapters {
         settings: routed,
         callers: Arc::new(PlatformCallers),
         endpoints: Arc::new(PlatformEndpoints),
@@ -141,7 +141,7 @@
         table: Arc::new(PlatformTable::new(rows)),
         origin: Arc::new(PlatformOrigin::default()),
     };
-    Ok(crate::run_routed(settings, edges)?)
+    Ok(crate::run_routed(settings, adapters)?)
 }
 
 fn check(file: &Path) -> Result<(), CommandError> {
--- a/crates/entry/src/cli/watch.rs
+++ b/crates/entry/src/cli/deployment.rs
@@ -1,4 +1,4 @@
-//! The commands that watch the deployment, and the planned stop of an instance.
+//! Commands that show the deployment or drain an instance.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -64,7 +64,7 @@
     instance: InstanceId,
 }
 
-/// How far one service has come.
+/// Rollout progress of one service.
 #[apply(record!)]
 struct RolloutProgress {
     service: ServiceName,
@@ -75,7 +75,7 @@
     replicas_staged: u32,
     /// Verified chunks of the version at endpoints that do not hold all of it.
     chunks_ready: u64,
-    /// Chunks of the version that those endpoints have to have.
+    /// Chunks of the version that those endpoints have to hold.
     chunks_total: u64,
 }
 
@@ -97,7 +97,7 @@
 pub(super) fn drain(args: DrainArgs) -> Result<(), CommandError> {
     let client = connect(args.admin, args.token_file, args.json)?;
     let path = format!("/v1/drain/{}", args.instance);
-    let reply: DrainReply = client.call(Method::POST, &path, Vec::new())?.accepted()?;
+    let reply: DrainReply = client.call(Method::POST, &path, Vec::new())?.parse_success()?;
     client.print(&reply, |reply| {
         format!("{} was asked to leave; watch it with `cassiawheel status`", reply.instance)
     })
--- a/crates/entry/src/control/change.rs
+++ b/crates/entry/src/control/change.rs
@@ -1,15 +1,14 @@
-//! Changing presets in the table service.
+//! Storing presets and activating them through the table service.
 //!
-//! Putting a preset in force writes three rows in one transaction: `force`,
-//! guarded by the revision that was read; `change/<revision>`, the history;
-//! and `change-id/<id>`, by which a change whose answer was lost is found
-//! again and never made twice. What follows from each answer of the table
-//! service is decided by `ChangeWriter`.
+//! Activating a preset writes three rows in one transaction: `force`, guarded by the revision that
+//! was read; `change/<revision>`, the history; and `change-id/<id>`, which identifies a change
+//! whose response was lost, so that a retry does not apply it twice. `ChangeWriter` decides the
+//! next step after each response of the table service.
 
 use std::sync::Arc;
 
 use cassiawheel_decide::{
-    ChangeAnswer, ChangeRecord, ChangeRequest, ChangeStep, ChangeVerdict, ChangeWriter,
+    ChangeAnswer, ChangeOutcome, ChangeRecord, ChangeRequest, ChangeStep, ChangeWriter,
 };
 use cassiawheel_edge::{
     StoreError, TableGuard, TableRow, TableStore, TableWrite, WeightError, WriteOutcome,
@@ -21,43 +20,43 @@
 use macro_rules_attribute::apply;
 
 use super::{
+    peers,
     poll::{FORCE_ROW, read_force},
-    spread,
 };
 use crate::shared::EntryShared;
 
-/// What the keys of the records of changes begin with.
+/// Key prefix of the rows that record changes by id.
 const CHANGE_ID_PREFIX: &str = "change-id/";
 
-/// What became of a change.
+/// Result of a change.
 #[apply(record!)]
 #[serde(rename_all = "kebab-case", tag = "result")]
 pub(crate) enum ChangeReply {
-    /// In force as of this revision.
+    /// The preset is active as of this revision.
     Accepted {
-        /// The change in the history.
+        /// The change as recorded in the history.
         preset: Arc<ForcedPreset>,
     },
-    /// Refused: another change won.
+    /// Refused because another change was applied first.
     Conflict {
-        /// The change that won, if it could be read.
+        /// The change that was applied, if it could be read.
         winner: Option<Arc<ForcedPreset>>,
     },
-    /// It took no effect and never will.
+    /// The change had no effect and never will.
     NotAccepted {
-        /// Why.
+        /// Cause of the failure.
         detail: String,
     },
-    /// It may have taken effect; ask again with the same change id.
+    /// The change may have taken effect; retry with the same change id.
     Unknown {
-        /// The change id to ask again by.
+        /// Change id to retry with.
         change: ChangeId,
-        /// Why.
+        /// Why the result is unknown.
         detail: String,
     },
 }
 
-/// The row of a stored preset.
+/// Key of the row of a stored preset.
 pub(crate) fn preset_row(name: &PresetName) -> String {
     format!("preset/{name}")
 }
@@ -70,36 +69,36 @@
     format!("{CHANGE_ID_PREFIX}{change}")
 }
 
-/// Why a preset could not be stored or read.
+/// Error while storing or reading a preset.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PresetError {
-    /// The table service failed.
+    /// The call of the table service failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The version's manifest could not be pinned.
+    /// The manifest of a version could not be read from the origin.
     #[error("services.{service}.version: the manifest of {version} cannot be read: {error}")]
     Manifest {
-        /// The service.
+        /// Service that names the version.
         service: String,
-        /// The version.
+        /// Version whose manifest is missing.
         version: String,
-        /// What went wrong.
+        /// Cause of the failure.
         error: WeightError,
     },
-    /// The version's name stands for other bytes already.
+    /// The version name is already bound to a different manifest.
     #[error(
         "services.{service}.version: {version} stands for other bytes since it was first stored; publish them under a new name"
     )]
     VersionBound {
-        /// The service.
+        /// Service that names the version.
         service: String,
-        /// The version.
+        /// Version that is bound already.
         version: String,
     },
-    /// The row is not a preset.
-    #[error("the stored preset is damaged: {0}")]
+    /// The row does not contain a valid preset.
+    #[error("the stored preset cannot be decoded: {0}")]
     Damaged(String),
-    /// There is no such preset.
+    /// No preset with this name is stored.
     #[error("there is no preset {0}")]
     Missing(PresetName),
     /// Another operator changed the preset at the same time.
@@ -120,7 +119,7 @@
             Some(manifest) => manifest,
             None => origin_manifest(shared, service, version).await?,
         };
-        if !is_bound(shared.table.as_ref(), version, manifest).await? {
+        if !bind_version(shared.table.as_ref(), version, manifest).await? {
             let (service, version) = (service.to_string(), version.to_string());
             return Err(PresetError::VersionBound { service, version });
         }
@@ -141,12 +140,12 @@
     Ok(manifest.digest)
 }
 
-/// Binds `version` to `manifest` for ever; false if it is bound to another one.
+/// Binds `version` to `manifest` permanently; false if it is bound to another manifest.
 ///
-/// Answers, requests and reports name a version, not its bytes. Were one name
-/// used for two sets of bytes, an endpoint with the old ones would count as
-/// ready, and nobody could tell from an answer which of them gave it.
-async fn is_bound(
+/// Responses, requests and reports name a version, not its bytes. If one name were used for two
+/// sets of bytes, an endpoint with the old bytes would count as ready, and a response would not
+/// show which of them produced it.
+async fn bind_version(
     table: &dyn TableStore,
     version: &ModelVersion,
     manifest: ManifestDigest,
@@ -164,7 +163,7 @@
     }
 }
 
-/// Stores a preset without putting it in force.
+/// Stores a preset without activating it.
 pub(crate) async fn put_preset(
     table: &dyn TableStore,
     name: &PresetName,
@@ -192,7 +191,7 @@
     serde_json::from_value(row.value).map_err(|error| PresetError::Damaged(error.to_string()))
 }
 
-/// All changes of the preset in force, oldest first.
+/// Returns all changes of the active preset, oldest first.
 pub(crate) async fn history(table: &dyn TableStore) -> Result<Vec<ForcedPreset>, PresetError> {
     let rows = table.scan("change/").await?;
     let parse = |row: TableRow| serde_json::from_value(row.value);
@@ -202,7 +201,7 @@
         .map_err(|error| PresetError::Damaged(error.to_string()))
 }
 
-/// Puts a stored preset in force, as its writer decides step by step.
+/// Activates a stored preset, executing the steps that `ChangeWriter` requests.
 pub(crate) async fn force_preset(
     shared: &EntryShared,
     request: ChangeRequest,
@@ -221,23 +220,23 @@
         };
         step = writer.next(answer, Timestamp::now());
     };
-    log::info!(target: "preset", change:% = change, verdict:? = verdict; "A change was decided.");
-    Ok(reply_of(shared, change, verdict))
+    log::info!(target: "preset", change:% = change, verdict:? = verdict; "A change was completed.");
+    Ok(change_reply(shared, change, verdict))
 }
 
-fn reply_of(shared: &EntryShared, change: ChangeId, verdict: ChangeVerdict) -> ChangeReply {
+fn change_reply(shared: &EntryShared, change: ChangeId, verdict: ChangeOutcome) -> ChangeReply {
     match verdict {
-        ChangeVerdict::Accepted(preset) => {
-            spread::adopt(shared, &preset);
+        ChangeOutcome::Accepted(preset) => {
+            peers::adopt(shared, &preset);
             ChangeReply::Accepted { preset }
         }
-        ChangeVerdict::Conflict(winner) => ChangeReply::Conflict { winner },
-        ChangeVerdict::NotAccepted(detail) => ChangeReply::NotAccepted { detail },
-        ChangeVerdict::Unknown(detail) => ChangeReply::Unknown { change, detail },
+        ChangeOutcome::Conflict(winner) => ChangeReply::Conflict { winner },
+        ChangeOutcome::NotAccepted(detail) => ChangeReply::NotAccepted { detail },
+        ChangeOutcome::Unknown(detail) => ChangeReply::Unknown { change, detail },
     }
 }
 
-fn failed(error: StoreError) -> ChangeAnswer {
+fn store_failure(error: StoreError) -> ChangeAnswer {
     match error {
         StoreError::Unknown(_) => ChangeAnswer::Lost(error.to_string()),
         StoreError::NoEffect(_) | StoreError::RateLimited { .. } => {
@@ -249,14 +248,14 @@
 async fn find_record(shared: &EntryShared, change: &ChangeId) -> Result<ChangeAnswer, PresetError> {
     match shared.table.read(&change_id_row(change)).await {
         Ok(row) => Ok(ChangeAnswer::Record(row.map(parse_record).transpose()?)),
-        Err(error) => Ok(failed(error)),
+        Err(error) => Ok(store_failure(error)),
     }
 }
 
 async fn read_preset(shared: &EntryShared, name: &PresetName) -> Result<ChangeAnswer, PresetError> {
     match get_preset(shared.table.as_ref(), name).await {
         Ok(content) => Ok(ChangeAnswer::Preset(content)),
-        Err(PresetError::Store(error)) => Ok(failed(error)),
+        Err(PresetError::Store(error)) => Ok(store_failure(error)),
         Err(error) => Err(error),
     }
 }
@@ -264,7 +263,7 @@
 async fn find_force(shared: &EntryShared) -> ChangeAnswer {
     match read_force(shared.table.as_ref()).await {
         Ok(row) => ChangeAnswer::Force(row),
-        Err(error) => failed(error),
+        Err(error) => store_failure(error),
     }
 }
 
@@ -283,8 +282,8 @@
         new_row(change_row(preset.revision), value),
     ];
     match shared.table.write(&writes, true).await {
-        Ok(verdicts) => verdict_answer(&verdicts),
-        Err(error) => Ok(failed(error)),
+        Ok(verdicts) => write_answer(&verdicts),
+        Err(error) => Ok(store_failure(error)),
     }
 }
 
@@ -296,15 +295,15 @@
     let key = change_id_row(change);
     let write = TableWrite { key, guard: TableGuard::Absent, value: to_value(record)? };
     match shared.table.write(&[write], true).await {
-        Ok(verdicts) => verdict_answer(&verdicts),
-        Err(error) => Ok(failed(error)),
+        Ok(verdicts) => write_answer(&verdicts),
+        Err(error) => Ok(store_failure(error)),
     }
 }
 
-/// Reads the rows that stood in the way out of the answer itself.
+/// Takes the conflicting rows from the response to the write itself.
 ///
-/// A read after the write could be answered from an earlier state and miss them.
-fn verdict_answer(verdicts: &[WriteOutcome]) -> Result<ChangeAnswer, PresetError> {
+/// A read after the write could be served from an earlier state and miss them.
+fn write_answer(verdicts: &[WriteOutcome]) -> Result<ChangeAnswer, PresetError> {
     if verdicts.iter().all(|verdict| matches!(verdict, WriteOutcome::Written(_))) {
         return Ok(ChangeAnswer::Written);
     }
--- a/crates/entry/src/control/entries.rs
+++ b/crates/entry/src/control/entries.rs
@@ -1,7 +1,7 @@
-//! Finding the other entries through the platform's store.
+//! Discovery of other entries through the table service.
 //!
-//! The settings name some that may have moved since. Each entry leaves its
-//! address and its region in a row of the store.
+//! The addresses in the settings may be out of date. Each entry therefore stores its address and
+//! region in a row.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,30 +10,30 @@
 use rand::Rng;
 use smol::Timer;
 
-use super::dependency::DependencyWatch;
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use super::dependency::DependencyMonitor;
+use crate::{routed::RoutedState, shared::EntryShared};
 
-/// Waits after a failed call, in milliseconds; drawn anew each time.
-const AGAIN_MS: std::ops::Range<u64> = 300..900;
+/// Random delay before a failed call is retried, in milliseconds.
+const RETRY_DELAY_MS: std::ops::Range<u64> = 300..900;
 
-/// Leaves this entry's address in the store and notes those that did so before.
-pub(crate) async fn register(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
-    let mut watch = DependencyWatch::new("registry");
+/// Stores this entry's address and records the addresses that other entries have stored.
+pub(crate) async fn register(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
+    let mut monitor = DependencyMonitor::new("registry");
     loop {
-        match write_and_scan(&shared).await {
+        match scan_and_write(&shared).await {
             Ok(places) => {
-                watch.regained();
-                routed.overlay.lock().note_entries(places.into_iter());
+                monitor.record_success();
+                routed.overlay.lock().add_known_entries(places.into_iter());
                 return;
             }
-            Err(error) => watch.lost(&error),
+            Err(error) => monitor.record_failure(&error),
         }
-        let wait = rand::rng().random_range(AGAIN_MS);
+        let wait = rand::rng().random_range(RETRY_DELAY_MS);
         Timer::after(Duration::from_millis(wait)).await;
     }
 }
 
-async fn write_and_scan(
+async fn scan_and_write(
     shared: &EntryShared,
 ) -> Result<Vec<(SocketAddr, Option<RegionName>)>, StoreError> {
     let table = shared.table.as_ref();
@@ -48,7 +48,7 @@
     let (key, value) = EntryRow::encode(inner, &place.instance, &place.region);
     let known = rows.iter().find(|row| row.key == key);
     let guard = known.map_or(TableGuard::Absent, |row| TableGuard::Revision(row.revision));
-    // A conflict means that the row is there already, which is all that is wanted.
+    // A conflict means that the row already exists, so it is no error.
     table.write(&[TableWrite { key, guard, value }], true).await?;
     Ok(places)
 }
--- a/crates/entry/src/control/listing.rs
+++ b/crates/entry/src/control/listing.rs
@@ -1,40 +1,40 @@
-//! Reading the platform's list of endpoints in turns, and telling the others.
+//! Reading the platform's list of endpoints in turn, and distributing its changes.
 
 use std::{sync::Arc, time::Duration};
 
-use cassiawheel_decide::ListingNews;
+use cassiawheel_decide::ListingUpdate;
 use cassiawheel_edge::{FeedError, FeedPage};
 use cassiawheel_model::{ListedEndpoint, ListedRow, Timestamp};
 use cassiawheel_wire::{ControlMessage, WireSender};
 use rand::Rng;
 use smol::Timer;
 
-use super::{dependency::DependencyWatch, spread};
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use super::{dependency::DependencyMonitor, peers};
+use crate::{routed::RoutedState, shared::EntryShared};
 
-/// Longest sleep between looks whether it is this entry's turn.
-const LOOK_TIME: Duration = Duration::from_millis(250);
+/// Longest sleep between checks whether it is this entry's turn to read.
+const TURN_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between looks whether something is known of the list.
-const ASK_TIME: Duration = Duration::from_millis(100);
+/// Interval between requests for the list while it is unknown.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time after its start within which an entry discovers the others.
-const SETTLE_TIME: Duration = Duration::from_millis(1_500);
+/// Time after its start in which an entry discovers the others.
+const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
 
-/// Waits after a failed read, in milliseconds; drawn anew each time.
-const AGAIN_MS: std::ops::Range<u64> = 200..500;
+/// Random delay before a failed read is retried, in milliseconds.
+const RETRY_DELAY_MS: std::ops::Range<u64> = 200..500;
 
-/// Follows the list for ever.
-pub(crate) async fn follow_listing(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
-    let mut watch = DependencyWatch::new("list");
-    let mut again_at = Timestamp::now().deadline_after(Duration::ZERO);
+/// Follows the list; runs until the process ends.
+pub(crate) async fn follow_listing(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
+    let mut monitor = DependencyMonitor::new("list");
+    let mut retry_at = Timestamp::now().deadline_after(Duration::ZERO);
     let mut history_lost = false;
     loop {
         let now = Timestamp::now();
         settle(&shared, &routed, now);
-        let due = routed.listing().read_at(read_rank(&shared, now)).max(again_at);
-        if !due.is_past(now) {
-            Timer::after(due.remaining(now).min(LOOK_TIME)).await;
+        let next_read_at = routed.listing().next_read_at(read_rank(&shared, now)).max(retry_at);
+        if !next_read_at.is_past(now) {
+            Timer::after(next_read_at.remaining(now).min(TURN_CHECK_INTERVAL)).await;
             continue;
         }
         let base = if history_lost { 0 } else { routed.listing().position() };
@@ -44,127 +44,127 @@
         };
         match read {
             Ok(page) => {
-                watch.regained();
+                monitor.record_success();
                 history_lost = false;
-                take_page(&shared, &routed, page, base, now);
+                apply_page(&shared, &routed, page, base, now);
             }
             Err(FeedError::HistoryLost) => history_lost = true,
             Err(FeedError::Store(error)) => {
-                watch.lost(&error);
-                let wait = rand::rng().random_range(AGAIN_MS);
-                again_at = Timestamp::now().deadline_after(Duration::from_millis(wait));
+                monitor.record_failure(&error);
+                let wait = rand::rng().random_range(RETRY_DELAY_MS);
+                retry_at = Timestamp::now().deadline_after(Duration::from_millis(wait));
             }
         }
     }
 }
 
-/// Which entry this is in the order of those that read the list for all.
+/// Rank of this entry among those that read the list for all.
 ///
-/// An entry that has just started has no neighbours and would take itself for the first.
-/// If all that start together read again for that reason, each would send the others
-/// whatever had registered meanwhile.
+/// An entry that has just started has no neighbours and would rank itself first. If all entries
+/// that start together read again for that reason, each would send the others whatever had
+/// registered meanwhile.
 fn read_rank(shared: &EntryShared, now: Timestamp) -> u32 {
     let has_others = !shared.settings.peers.is_empty();
-    let is_new = now.since(Timestamp(shared.incarnation)) < SETTLE_TIME;
+    let is_new = now.since(Timestamp(shared.incarnation)) < DISCOVERY_TIME;
     let is_alone = shared.peers().values().next().is_none();
     if has_others && is_new && is_alone { u32::MAX } else { shared.own_rank() }
 }
 
-fn take_page(
+fn apply_page(
     shared: &EntryShared,
-    routed: &RoutedInterface,
+    routed: &RoutedState,
     page: FeedPage<ListedRow>,
     base: u64,
     asked_at: Timestamp,
 ) {
-    let news = ListingNews { rows: page.rows, base, position: page.position, asked_at };
+    let update = ListingUpdate { rows: page.rows, base, position: page.position, asked_at };
     let now = Timestamp::now();
     let mut listing = routed.listing();
     let is_first = listing.position() == 0;
     let before: Vec<_> = listing.endpoints().cloned().collect();
-    let told = listing.take_read(news, now);
+    let to_send = listing.apply_read(update, now);
     let changed = !listing.endpoints().eq(before.iter());
     drop(listing);
-    // What a process reads at its start is news to itself. The others read at
-    // theirs, or follow the list already; told by each of 45 entries that start
-    // at once, the whole list fills the links between regions for seconds.
+    // The first read of a process is new only to itself: the others have their own first read or
+    // already follow the list. If each of 45 entries that start together sent the whole list, it
+    // would fill the links between regions for seconds.
     if !is_first {
-        tell(shared, told, &before);
+        send_changes(shared, to_send, &before);
     }
     if changed {
         log_change(shared, routed, "read");
     }
 }
 
-/// Sends the other entries what they have to know; rows that only repeat a heartbeat stay out.
-fn tell(shared: &EntryShared, news: ListingNews, before: &[ListedEndpoint]) {
-    let is_news = |row: &ListedRow| match &row.endpoint {
+/// Sends changes to the other entries, without rows that only repeat a heartbeat.
+fn send_changes(shared: &EntryShared, update: ListingUpdate, before: &[ListedEndpoint]) {
+    let is_change = |row: &ListedRow| match &row.endpoint {
         Some(endpoint) => !before.contains(endpoint),
         None => true,
     };
-    let rows = news.rows.into_iter().filter(|row| news.base == 0 || is_news(row)).collect();
+    let rows = update.rows.into_iter().filter(|row| update.base == 0 || is_change(row)).collect();
     let message = ControlMessage::Listing {
         rows,
-        base: news.base,
-        position: news.position,
-        age_ms: Timestamp::now().since(news.asked_at).as_millis() as u64,
+        base: update.base,
+        position: update.position,
+        age_ms: Timestamp::now().since(update.asked_at).as_millis() as u64,
     };
-    spread::send_to_peers(shared, &message);
+    peers::send_to_peers(shared, &message);
 }
 
-fn settle(shared: &EntryShared, routed: &RoutedInterface, now: Timestamp) {
+fn settle(shared: &EntryShared, routed: &RoutedState, now: Timestamp) {
     let mut listing = routed.listing();
-    let rows = listing.settle(now);
+    let rows = listing.expire_missing(now);
     let (position, asked_at) = (listing.position(), listing.asked_at());
     drop(listing);
     let Some(asked_at) = asked_at.filter(|_| !rows.is_empty()) else {
         return;
     };
-    tell(shared, ListingNews { rows, base: position, position, asked_at }, &[]);
+    send_changes(shared, ListingUpdate { rows, base: position, position, asked_at }, &[]);
     log_change(shared, routed, "not-returned");
 }
 
-/// Takes in what another entry tells of the list.
-pub(crate) fn hear_listing(
+/// Applies part of the list received from another entry.
+pub(crate) fn handle_listing(
     shared: &EntryShared,
-    routed: &RoutedInterface,
+    routed: &RoutedState,
     sender: &WireSender,
-    news: ListingNews,
+    update: ListingUpdate,
 ) {
     let mut listing = routed.listing();
     let before: Vec<_> = listing.endpoints().cloned().collect();
-    let is_known = listing.take_told(&news);
+    let is_known = listing.apply_update(&update);
     let changed = !listing.endpoints().eq(before.iter());
     drop(listing);
     if !is_known {
-        ask_whole(routed, sender);
+        request_listing(routed, sender);
     }
     if changed {
         log_change(shared, routed, "told");
     }
 }
 
-/// Asks an entry for the whole list, unless another one is about to send it.
-pub(crate) fn ask_whole(routed: &RoutedInterface, sender: &WireSender) {
-    if routed.listing().begin_asking(Timestamp::now()) {
+/// Requests the whole list from an entry, unless another entry is expected to send it.
+pub(crate) fn request_listing(routed: &RoutedState, sender: &WireSender) {
+    if routed.listing().begin_snapshot_request(Timestamp::now()) {
         let _ = sender.try_send(ControlMessage::ListingWanted);
     }
 }
 
-/// Asks an entry for the whole list until something is known of it.
+/// Requests the whole list from an entry until part of it is known.
 ///
-/// While the table service is away nobody reads, so that no word of a change would
-/// make this entry ask; it would refuse every request though the others serve.
-pub(crate) async fn ask_until_known(routed: Arc<RoutedInterface>, sender: WireSender) {
+/// While the table service is unavailable no entry reads, so no change arrives that would trigger a
+/// request. This entry would then refuse every request although the others serve.
+pub(crate) async fn request_until_known(routed: Arc<RoutedState>, sender: WireSender) {
     while routed.listing().position() == 0 && !sender.is_closed() {
-        ask_whole(&routed, &sender);
-        Timer::after(ASK_TIME).await;
+        request_listing(&routed, &sender);
+        Timer::after(REQUEST_INTERVAL).await;
     }
 }
 
-/// Sends the whole list to an entry that knows too little of it.
-pub(crate) fn send_whole(routed: &RoutedInterface, sender: &WireSender) {
-    let Some(whole) = routed.listing().whole() else {
+/// Sends the whole list to an entry that lacks part of it.
+pub(crate) fn send_listing(routed: &RoutedState, sender: &WireSender) {
+    let Some(whole) = routed.listing().snapshot() else {
         return;
     };
     let age_ms = Timestamp::now().since(whole.asked_at).as_millis() as u64;
@@ -172,7 +172,7 @@
     let _ = sender.try_send(ControlMessage::Listing { rows, base: 0, position, age_ms });
 }
 
-fn log_change(shared: &EntryShared, routed: &RoutedInterface, source: &str) {
+fn log_change(shared: &EntryShared, routed: &RoutedState, source: &str) {
     let listing = routed.listing();
     let (position, count) = (listing.position(), listing.endpoints().count());
     let leaving = listing.endpoints().filter(|listed| listed.is_leaving).count();
--- a/crates/entry/src/control/manifest_cache.rs
+++ b/crates/entry/src/control/manifest_cache.rs
@@ -1,4 +1,4 @@
-//! Manifests that this entry passes on to agents and other entries.
+//! Cache of the manifests that this entry sends to agents and other entries.
 
 use std::{
     collections::VecDeque,
@@ -8,13 +8,13 @@
 
 use cassiawheel_model::{Deadline, ManifestDigest, Timestamp, WeightManifest};
 
-/// Manifests that are kept; versions that are named within seconds of each other.
-const MOST_HELD: usize = 4;
+/// Maximum number of cached manifests, enough for versions named within seconds of each other.
+const MAX_CACHED: usize = 4;
 
-/// Time in which another entry is expected to send a manifest.
-const ANSWER_TIME: Duration = Duration::from_millis(200);
+/// Time within which another entry is expected to send a manifest.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The manifests that this entry has.
+/// Manifests that this entry holds.
 #[derive(Default)]
 pub(crate) struct ManifestCache {
     inner: Mutex<CacheInner>,
@@ -22,46 +22,47 @@
 
 #[derive(Default)]
 struct CacheInner {
-    /// Newest last.
-    held: VecDeque<Arc<WeightManifest>>,
-    /// The manifest that was asked for last, and until when its answer is expected.
-    asked: Option<(ManifestDigest, Deadline)>,
+    /// Manifests in order of arrival, newest last.
+    manifests: VecDeque<Arc<WeightManifest>>,
+    /// The manifest requested last, and the deadline for its reply.
+    requested: Option<(ManifestDigest, Deadline)>,
 }
 
 impl ManifestCache {
-    /// Keeps a manifest, if it is consistent.
-    pub(crate) fn keep(&self, manifest: Arc<WeightManifest>) {
+    /// Adds a manifest if it is consistent.
+    pub(crate) fn insert(&self, manifest: Arc<WeightManifest>) {
         if let Err(error) = manifest.verify() {
-            log::warn!(target: "preset", version:% = manifest.version, cause:% = error; "A manifest that was told is dropped.");
+            log::warn!(target: "preset", version:% = manifest.version, cause:% = error; "Dropped an inconsistent manifest.");
             return;
         }
         let mut inner = self.lock();
         if inner.find(manifest.digest).is_some() {
             return;
         }
-        inner.held.push_back(manifest);
-        if inner.held.len() > MOST_HELD {
-            inner.held.pop_front();
+        inner.manifests.push_back(manifest);
+        if inner.manifests.len() > MAX_CACHED {
+            inner.manifests.pop_front();
         }
     }
 
-    /// The manifest with `digest`, if it is held.
+    /// Returns the manifest with `digest` if it is cached.
     pub(crate) fn find(&self, digest: ManifestDigest) -> Option<Arc<WeightManifest>> {
         self.lock().find(digest)
     }
 
-    /// Whether to ask for a manifest now: it is missing and no answer is expected.
+    /// Whether to request a manifest now: it is missing and no reply is expected.
     ///
-    /// All entries tell of a version within milliseconds; asked of each of them,
-    /// the manifest would come as many times.
-    pub(crate) fn begin_asking(&self, digest: ManifestDigest, now: Timestamp) -> bool {
+    /// All entries announce a version within milliseconds. If each of them were asked, the manifest
+    /// would arrive as many times.
+    pub(crate) fn begin_request(&self, digest: ManifestDigest, now: Timestamp) -> bool {
         let mut inner = self.lock();
-        let is_expected =
-            inner.asked.is_some_and(|(asked, until)| asked == digest && !until.is_past(now));
+        let is_expected = inner
+            .requested
+            .is_some_and(|(requested, until)| requested == digest && !until.is_past(now));
         if is_expected || inner.find(digest).is_some() {
             return false;
         }
-        inner.asked = Some((digest, now.deadline_after(ANSWER_TIME)));
+        inner.requested = Some((digest, now.deadline_after(REPLY_TIMEOUT)));
         true
     }
 
@@ -72,6 +73,6 @@
 
 impl CacheInner {
     fn find(&self, digest: ManifestDigest) -> Option<Arc<WeightManifest>> {
-        self.held.iter().find(|manifest| manifest.digest == digest).cloned()
+        self.manifests.iter().find(|manifest| manifest.digest == digest).cloned()
     }
 }
--- a/crates/entry/src/control/manifests.rs
+++ b/crates/entry/src/control/manifests.rs
@@ -1,37 +1,37 @@
-//! Pinning the bytes of named versions.
+//! Pinning the manifests of named versions.
 //!
-//! The origin may send damaged bytes, also of a manifest, and nothing signs
-//! one. Two equal reads are taken for the real thing; damage never comes out
-//! the same twice. The manifest is told to the other entries, so that one of
-//! them does this work, and all of them pass it on to agents.
+//! The origin may send damaged bytes, also for a manifest, and manifests are not signed. Two
+//! identical reads are taken as correct because damage differs from read to read. The manifest is
+//! sent to the other entries, so only one entry does this work and all of them can send it to
+//! agents.
 
 use std::{sync::Arc, time::Duration};
 
 use cassiawheel_decide::{ManifestSearch, SearchStep};
-use cassiawheel_model::{ManifestDigest, ModelVersion, NamedVersion, Timestamp, WeightManifest};
+use cassiawheel_model::{ManifestDigest, ModelVersion, TargetVersion, Timestamp, WeightManifest};
 use cassiawheel_runtime::timeout;
 use cassiawheel_wire::{ControlMessage, WireSender};
 use smol::Timer;
 
-use super::{operators::take_version, spread};
-use crate::{routed::RoutedInterface, shared::EntryShared};
+use super::{operators::apply_version, peers};
+use crate::{routed::RoutedState, shared::EntryShared};
 
 /// Longest wait for a manifest of a few kilobytes.
 ///
-/// It is there within some 20 ms, or some hundred while chunks leave the origin;
-/// a longer wait holds a connection at an origin that is silent.
-const READ_TIME: Duration = Duration::from_secs(1);
+/// It normally arrives within 20 ms, or a few hundred while the origin sends chunks; a longer wait
+/// would occupy a connection at an origin that does not respond.
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest wait before the others' word of a version is looked for again.
-const TICK: Duration = Duration::from_millis(250);
+/// Longest sleep before versions announced by other entries are checked again.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between looks whether the origin's address is known.
-const PLACE_STEP: Duration = Duration::from_millis(10);
+/// Interval between checks whether the origin's address is known.
+const ORIGIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Pins every named version for ever.
-pub(crate) async fn pin_versions(shared: Arc<EntryShared>, routed: Arc<RoutedInterface>) {
+/// Pins every named version; runs until the process ends.
+pub(crate) async fn pin_versions(shared: Arc<EntryShared>, routed: Arc<RoutedState>) {
     loop {
-        match first_unpinned(&routed) {
+        match newest_unpinned(&routed) {
             Some(named) => pin(&shared, &routed, &named.version).await,
             None => {
                 timeout(Duration::from_secs(1), routed.versions_changed()).await;
@@ -41,68 +41,68 @@
 }
 
 /// Pins `version`, or waits until another entry has done so or a newer one is named.
-async fn pin(shared: &EntryShared, routed: &RoutedInterface, version: &ModelVersion) {
+async fn pin(shared: &EntryShared, routed: &RoutedState, version: &ModelVersion) {
     let own = shared.settings.place.instance.clone();
     let mut search = ManifestSearch::new(own, version.as_str(), Timestamp::now());
     while is_unpinned(routed, version) {
         let peers: Vec<_> = shared.peers().iter().map(|(instance, _)| instance.clone()).collect();
         let step = search.next(&peers, Timestamp::now(), &mut rand::rng());
         match step {
-            // It comes with the preset, which may be some milliseconds behind the versions.
+            // The origin's address comes with the preset, which may arrive some milliseconds after
+            // the version.
             SearchStep::Origin if shared.origin_place().is_none() => {
-                Timer::after(PLACE_STEP).await;
+                Timer::after(ORIGIN_CHECK_INTERVAL).await;
             }
             SearchStep::Origin => {
-                let asked_at = Timestamp::now();
+                let requested_at = Timestamp::now();
                 match read_twice(shared, version).await {
-                    Some(manifest) => tell_pinned(shared, routed, version, manifest),
-                    None => search.origin_failed(asked_at, None, peers.len(), Timestamp::now()),
+                    Some(manifest) => publish_pinned(shared, routed, version, manifest),
+                    None => search.origin_failed(requested_at, None, peers.len(), Timestamp::now()),
                 }
             }
-            // The others tell what they have pinned without being asked.
-            SearchStep::Others(_) => {}
+            // Other entries send manifests that they have pinned without a request.
+            SearchStep::Peers(_) => {}
             SearchStep::Wait(until) => {
-                let span = until.remaining(Timestamp::now()).min(TICK);
+                let span = until.remaining(Timestamp::now()).min(CHECK_INTERVAL);
                 timeout(span, routed.versions_changed()).await;
             }
         }
     }
 }
 
-/// Tells everybody which bytes `version` consists of.
-fn tell_pinned(
+/// Announces the manifest of `version` to all entries.
+fn publish_pinned(
     shared: &EntryShared,
-    routed: &RoutedInterface,
+    routed: &RoutedState,
     version: &ModelVersion,
     manifest: WeightManifest,
 ) {
-    // The search may have taken seconds. Told with the age that the version had
-    // before it, an entry that hears of it only now would take it for younger and
-    // let older ones answer for too long.
-    let Some(named) = first_unpinned(routed).filter(|named| named.version == *version) else {
+    // The search may have taken seconds. With the age from before the search, an entry that learns
+    // of the version only now would consider it younger and allow older versions for too long.
+    let Some(named) = newest_unpinned(routed).filter(|named| named.version == *version) else {
         return;
     };
-    let pinned = NamedVersion { manifest: Some(manifest.digest), ..named };
+    let pinned = TargetVersion { manifest: Some(manifest.digest), ..named };
     let manifest = Arc::new(manifest);
-    routed.manifests.keep(manifest.clone());
-    // Goes before the version, so that whoever orders it has it.
-    spread::send_to_peers(shared, &ControlMessage::Manifest(manifest));
-    take_version(shared, routed, &pinned);
+    routed.manifests.insert(manifest.clone());
+    // Sent before the version, so that receivers have it when they order the version.
+    peers::send_to_peers(shared, &ControlMessage::Manifest(manifest));
+    apply_version(shared, routed, &pinned);
 }
 
-/// Asks whoever told of a pinned version for its manifest, if it is missing here.
-pub(crate) fn ask_teller(routed: &RoutedInterface, teller: &WireSender, named: &NamedVersion) {
+/// Requests the manifest of a pinned version from the sender if it is missing here.
+pub(crate) fn request_manifest(routed: &RoutedState, sender: &WireSender, named: &TargetVersion) {
     let Some(manifest) = named.manifest else {
         return;
     };
-    if routed.manifests.begin_asking(manifest, Timestamp::now()) {
-        let _ = teller.try_send(ControlMessage::ManifestWanted { manifest });
+    if routed.manifests.begin_request(manifest, Timestamp::now()) {
+        let _ = sender.try_send(ControlMessage::ManifestWanted { manifest });
     }
 }
 
-/// Tells the process at the other end of `sender` the manifest with this digest.
-pub(crate) fn answer(
-    routed: Option<&RoutedInterface>,
+/// Sends the manifest with this digest over `sender`, or reports that it is unknown.
+pub(crate) fn send_manifest(
+    routed: Option<&RoutedState>,
     sender: &WireSender,
     manifest: ManifestDigest,
 ) {
@@ -113,18 +113,17 @@
     let _ = sender.try_send(message);
 }
 
-fn is_unpinned(routed: &RoutedInterface, version: &ModelVersion) -> bool {
-    first_unpinned(routed).is_some_and(|left| left.version == *version)
+fn is_unpinned(routed: &RoutedState, version: &ModelVersion) -> bool {
+    newest_unpinned(routed).is_some_and(|left| left.version == *version)
 }
 
-/// The newest named version whose bytes are not known, as old as it is now.
-fn first_unpinned(routed: &RoutedInterface) -> Option<NamedVersion> {
+/// Returns the newest named version without a manifest, with its current age.
+fn newest_unpinned(routed: &RoutedState) -> Option<TargetVersion> {
     let versions = routed.versions.load();
     let named = versions.named(Timestamp::now());
-    // The newest one is what endpoints have to serve; the origin may have
-    // dropped the others.
+    // Endpoints have to serve the newest version; the origin may have dropped the others.
     named.into_iter().rev().find(|named| {
-        let wanted = versions.wanted(&named.model).map(|wanted| wanted.number);
+        let wanted = versions.newest(&named.model).map(|wanted| wanted.number);
         named.manifest.is_none() && wanted == Some(named.number)
     })
 }
@@ -143,14 +142,14 @@
 }
 
 async fn read_once(shared: &EntryShared, version: &ModelVersion) -> Option<WeightManifest> {
-    match timeout(READ_TIME, shared.origin.manifest(version)).await {
+    match timeout(READ_TIMEOUT, shared.origin.manifest(version)).await {
         Some(Ok(manifest)) => Some(manifest),
         Some(Err(error)) => {
-            log::info!(target: "preset", version:% = version, cause:% = error; "A manifest cannot be read.");
+            log::info!(target: "preset", version:% = version, cause:% = error; "Cannot read a manifest.");
             None
         }
         None => {
-            log::info!(target: "preset", version:% = version; "A manifest takes too long.");
+            log::info!(target: "preset", version:% = version; "Timed out reading a manifest.");
             None
         }
     }
