--- a/crates/entry/src/control/spread.rs
+++ b/crates/entry/src/control/peers.rs
@@ -1,7 +1,7 @@
-//! Spreading the preset in force and heartbeats between entries and to agents.
+//! Exchange of presets and heartbeats with other entries and agents.
 //!
-//! A preset is pushed once to everyone; a push that was lost, for example to a
-//! full queue, is made up for by heartbeats, which tell the receiver's revision.
+//! A preset is pushed once to every process. Heartbeats carry the receiver's revision, so a push
+//! that was lost, for example to a full queue, is detected and repeated.
 
 use std::{
     net::SocketAddr,
@@ -10,8 +10,8 @@
 };
 
 use cassiawheel_decide::{
-    ListingNews, PeerEntry,
-    advice::AdviceInput,
+    ListingUpdate, PeerEntry,
+    advice::EntryCandidate,
     rank::{first_ranked, subject_of},
 };
 use cassiawheel_model::{
@@ -22,53 +22,52 @@
 
 use super::{drains, gossip, listing, manifests, operators, orders, pull};
 use crate::{
-    routed::RoutedInterface,
+    routed::RoutedState,
     shared::{EntryShared, PeerLink},
 };
 
-/// Time between heartbeats of an entry.
-const BEAT_TIME: Duration = Duration::from_millis(500);
+/// Interval between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest time between whole heartbeats of an entry.
-const WHOLE_TIME: Duration = Duration::from_secs(2);
+/// Longest time between full heartbeats.
+const FULL_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Wait before another entry is dialled again.
-const DIAL_AGAIN: Duration = Duration::from_millis(250);
+/// Delay before another entry is dialled again.
+const REDIAL_DELAY: Duration = Duration::from_millis(250);
 
-/// Most entries that an entry dials.
+/// Maximum number of entries that an entry dials.
 ///
-/// With as many links in from others, a preset reaches hundreds of entries in
-/// three hops; a few links more than one cost little and keep the graph
-/// connected while a third of them is cut.
+/// With as many incoming links, a preset reaches hundreds of entries in three hops. The additional
+/// links cost little and keep the graph connected while a third of them is cut.
 const MAX_DIALLED: usize = 12;
 
-/// Time between looks whether a connection that the other end made is still up.
-const LINKED_TIME: Duration = Duration::from_millis(1_000);
+/// Interval between checks whether a connection made by the other entry is still open.
+const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Time between looks whether the start hold is over.
-const SETTLE_STEP: Duration = Duration::from_millis(20);
+/// Interval between checks whether the start hold is over.
+const START_HOLD_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Considers a preset and passes it on if it is new here.
+/// Offers a preset to this entry and pushes it on if it becomes active.
 pub(crate) fn adopt(shared: &EntryShared, preset: &Arc<ForcedPreset>) {
     if shared.offer_preset(preset) {
-        push_everywhere(shared, preset);
+        push_preset(shared, preset);
     }
 }
 
-/// Waits until every source was heard at the start, then uses the highest preset.
-pub(crate) async fn settle(shared: Arc<EntryShared>) {
+/// Waits until all preset sources have been read at the start, then activates the newest preset.
+pub(crate) async fn await_start_hold(shared: Arc<EntryShared>) {
     while !shared.start_hold().is_over(Timestamp::now()) {
-        Timer::after(SETTLE_STEP).await;
+        Timer::after(START_HOLD_CHECK_INTERVAL).await;
     }
-    if let Some(preset) = shared.publish_held() {
-        push_everywhere(&shared, &preset);
+    if let Some(preset) = shared.end_start_hold() {
+        push_preset(&shared, &preset);
     }
 }
 
-fn push_everywhere(shared: &EntryShared, preset: &Arc<ForcedPreset>) {
+fn push_preset(shared: &EntryShared, preset: &Arc<ForcedPreset>) {
     if let Some(routed) = &shared.routed {
-        // A table of routes is large, and some neighbours have it already:
-        // only its revision is pushed, and who lacks it pulls it.
+        // Route tables are large and some neighbours already have this one, so only the revision is
+        // pushed and entries that lack the preset pull it.
         gossip::announce_revision(routed);
         return;
     }
@@ -79,8 +78,7 @@
     send_to_peers(shared, &message);
 }
 
-/// Sends to every other entry: over the links that it has with each of them, or
-/// from neighbour to neighbour.
+/// Sends a message to every other entry, over direct connections or by flooding the overlay.
 pub(crate) fn send_to_peers(shared: &EntryShared, message: &ControlMessage) {
     if let Some(routed) = &shared.routed {
         let own = &shared.settings.place.instance;
@@ -90,8 +88,12 @@
     shared.peer_links().retain(|peer| peer.sender.try_send(message.clone()).is_ok());
 }
 
-/// Handles what another entry tells over the connection of `sender`.
-pub(crate) fn handle_peer(shared: &Arc<EntryShared>, sender: &WireSender, message: ControlMessage) {
+/// Handles a message from the entry at the other end of `sender`.
+pub(crate) fn handle_peer_message(
+    shared: &Arc<EntryShared>,
+    sender: &WireSender,
+    message: ControlMessage,
+) {
     match message {
         ControlMessage::Force(preset) => adopt(shared, &preset),
         ControlMessage::EntryBeat {
@@ -105,22 +107,22 @@
             advised,
             inner_addr,
         } => {
-            note_link(shared, sender, inner_addr);
-            heal(shared, sender, revision);
-            let advice = AdviceInput { caller_addr, failure_domain, in_flight, leaving };
-            let heard_at = Timestamp::now();
-            let peer = PeerEntry { advice, incarnation, revision, advised, heard_at };
-            shared.peers().hear(&instance, peer);
+            record_link_addr(shared, sender, inner_addr);
+            send_if_newer(shared, sender, revision);
+            let advice = EntryCandidate { caller_addr, failure_domain, in_flight, leaving };
+            let last_seen = Timestamp::now();
+            let peer = PeerEntry { advice, incarnation, revision, advised, last_seen };
+            shared.peers().apply_heartbeat(&instance, peer);
         }
         ControlMessage::ReportWanted => {
-            let _ = sender.try_send(beat_message(shared));
+            let _ = sender.try_send(heartbeat_message(shared));
         }
         ControlMessage::Leaving { instance, incarnation } => {
-            take_leaving(shared, &instance, incarnation);
+            mark_leaving(shared, &instance, incarnation);
         }
-        ControlMessage::Drain { instance } => drains::drain_here(shared, &instance),
+        ControlMessage::Drain { instance } => drains::drain_local(shared, &instance),
         ControlMessage::PresetWanted => {
-            if let Some(preset) = shared.force.load_full() {
+            if let Some(preset) = shared.active_preset.load_full() {
                 let _ = sender.try_send(ControlMessage::Force(preset));
             }
         }
@@ -145,67 +147,68 @@
 }
 
 /// Marks an entry or an agent as leaving.
-fn take_leaving(shared: &EntryShared, instance: &InstanceId, incarnation: u64) {
+fn mark_leaving(shared: &EntryShared, instance: &InstanceId, incarnation: u64) {
     let now = Timestamp::now();
-    shared.peers().leave(instance, incarnation, now);
+    shared.peers().mark_leaving(instance, incarnation, now);
     log::info!(target: "roster", instance:% = instance; "A process leaves.");
     if shared.routed.is_some() {
-        shared.roster().leave(instance, incarnation, now);
+        shared.roster().mark_leaving(instance, incarnation, now);
         shared.rebuild_routes();
     }
 }
 
-/// Handles what only entries tell each other whose callers are routed by a table.
+/// Handles messages that are used only where callers are routed by a table.
 fn handle_routed(shared: &Arc<EntryShared>, sender: &WireSender, message: ControlMessage) {
     let Some(routed) = &shared.routed else {
         return;
     };
     match message {
         ControlMessage::Named(named) => {
-            operators::take_version(shared, routed, &named);
-            manifests::ask_teller(routed, sender, &named);
+            operators::apply_version(shared, routed, &named);
+            manifests::request_manifest(routed, sender, &named);
         }
         ControlMessage::ManifestWanted { manifest } => {
-            manifests::answer(Some(routed), sender, manifest);
+            manifests::send_manifest(Some(routed), sender, manifest);
         }
-        ControlMessage::Manifest(manifest) => routed.manifests.keep(manifest),
+        ControlMessage::Manifest(manifest) => routed.manifests.insert(manifest),
         ControlMessage::Listing { rows, base, position, age_ms } => {
             let asked_at = Timestamp(Timestamp::now().0.saturating_sub(age_ms));
-            let news = ListingNews { rows, base, position, asked_at };
-            listing::hear_listing(shared, routed, sender, news);
+            let update = ListingUpdate { rows, base, position, asked_at };
+            listing::handle_listing(shared, routed, sender, update);
         }
-        ControlMessage::ListingWanted => listing::send_whole(routed, sender),
-        ControlMessage::Orders(orders) => orders::deliver(shared, orders),
+        ControlMessage::ListingWanted => listing::send_listing(routed, sender),
+        ControlMessage::Orders(orders) => orders::forward_orders(shared, orders),
         _ => {}
     }
 }
 
-/// Notes which entry is at the other end of a connection.
-fn note_link(shared: &EntryShared, sender: &WireSender, addr: SocketAddr) {
+/// Records the address of the entry at the other end of a connection.
+fn record_link_addr(shared: &EntryShared, sender: &WireSender, addr: SocketAddr) {
     let mut links = shared.peer_links();
-    if let Some(link) = links.iter_mut().find(|link| link.sender.is_same(sender)) {
+    if let Some(link) = links.iter_mut().find(|link| link.sender.same_connection(sender)) {
         link.addr = Some(addr);
     }
 }
 
-/// Whether a connection to the entry at `addr` is up, whichever end made it.
+/// Whether a connection to the entry at `addr` is open, whichever end made it.
 fn is_linked(shared: &EntryShared, addr: SocketAddr) -> bool {
     let links = shared.peer_links();
     links.iter().any(|link| link.addr == Some(addr) && !link.sender.is_closed())
 }
 
-/// Sends the preset in force to an entry whose heartbeat shows an older one, or
-/// asks for a newer one.
-fn heal(shared: &EntryShared, sender: &WireSender, revision: PresetRevision) {
-    if let Some(preset) = shared.force.load_full().filter(|preset| preset.revision > revision) {
+/// Sends the active preset to an entry whose heartbeat shows an older revision.
+fn send_if_newer(shared: &EntryShared, sender: &WireSender, revision: PresetRevision) {
+    if let Some(preset) =
+        shared.active_preset.load_full().filter(|preset| preset.revision > revision)
+    {
         let _ = sender.try_send(ControlMessage::Force(preset));
     }
 }
 
-/// Pulls the preset in force from a neighbour that has a newer one.
-pub(crate) fn pull_from(
+/// Pulls the preset from a neighbour that has a newer one.
+pub(crate) fn pull_if_newer(
     shared: &Arc<EntryShared>,
-    routed: &Arc<RoutedInterface>,
+    routed: &Arc<RoutedState>,
     sender: &WireSender,
     instance: &InstanceId,
     revision: PresetRevision,
@@ -214,12 +217,12 @@
     let domain = state.store.record(instance).map(|record| record.failure_domain.clone());
     drop(state);
     if let Some(domain) = domain {
-        pull::hear_revision(shared, routed, sender, instance, &domain, revision);
+        pull::handle_revision(shared, routed, sender, instance, &domain, revision);
     }
 }
 
-/// The entries that this one dials: the same choice after every restart.
-pub(crate) fn chosen_peers(settings: &EntrySettings) -> Vec<SocketAddr> {
+/// Selects the entries that this one dials; the choice is the same after every restart.
+pub(crate) fn dialled_peers(settings: &EntrySettings) -> Vec<SocketAddr> {
     let names: Vec<_> = settings.peers.iter().map(ToString::to_string).collect();
     let subject = subject_of(settings.place.instance.as_str());
     first_ranked(subject, names.iter().map(String::as_str), MAX_DIALLED)
@@ -228,36 +231,36 @@
         .collect()
 }
 
-/// Keeps a connection to the entry at `addr`.
-pub(crate) async fn keep_peer(shared: Arc<EntryShared>, addr: SocketAddr) {
+/// Keeps a connection to the entry at `addr` open.
+pub(crate) async fn maintain_peer(shared: Arc<EntryShared>, addr: SocketAddr) {
     let local = Some(shared.settings.listen.inner.ip());
     loop {
         if is_linked(&shared, addr) {
-            Timer::after(LINKED_TIME).await;
+            Timer::after(LINK_CHECK_INTERVAL).await;
             continue;
         }
         match connect(addr, &shared.settings.inner_key, local).await {
             Ok((sender, receiver)) => {
                 let _ = sender.try_send(shared.hello());
-                converse(&shared, sender, receiver, Some(addr)).await;
+                serve_peer(&shared, sender, receiver, Some(addr)).await;
             }
-            Err(_) => shared.start_hold().heard(addr),
+            Err(_) => shared.start_hold().mark_answered(addr),
         }
-        Timer::after(DIAL_AGAIN).await;
+        Timer::after(REDIAL_DELAY).await;
     }
 }
 
-/// Talks with another entry until the connection ends; `dialled` if this end made it.
-pub(crate) async fn converse(
+/// Serves a connection to another entry until it ends; `dialled` is set if this end made it.
+pub(crate) async fn serve_peer(
     shared: &Arc<EntryShared>,
     sender: WireSender,
     mut receiver: WireReceiver,
     dialled: Option<SocketAddr>,
 ) {
-    // The preset goes before the heartbeat, so that the other end has it once
-    // it takes this entry as heard.
-    greet(shared, &sender);
-    let _ = sender.try_send(beat_message(shared));
+    // The preset is sent before the heartbeat, so that the other end has it when it marks this
+    // source as read.
+    send_initial_state(shared, &sender);
+    let _ = sender.try_send(heartbeat_message(shared));
     shared.peer_links().push(PeerLink { sender: sender.clone(), addr: None });
     let mut other = None;
     while let Ok(message) = receiver.recv().await {
@@ -265,34 +268,34 @@
             continue;
         };
         if let ControlMessage::EntryAlive { in_flight } = message {
-            hear_alive(shared, &sender, other.as_ref(), in_flight);
+            handle_alive(shared, &sender, other.as_ref(), in_flight);
             continue;
         }
-        let is_beat = matches!(message, ControlMessage::EntryBeat { .. });
-        other = told_process(&message).or(other);
-        handle_peer(shared, &sender, message);
-        if let Some(addr) = dialled.filter(|_| is_beat) {
-            shared.start_hold().heard(addr);
+        let is_heartbeat = matches!(message, ControlMessage::EntryBeat { .. });
+        other = heartbeat_process(&message).or(other);
+        handle_peer_message(shared, &sender, message);
+        if let Some(addr) = dialled.filter(|_| is_heartbeat) {
+            shared.start_hold().mark_answered(addr);
         }
     }
     sender.close();
 }
 
-/// Tells an entry at the other end of a new connection what it may lack.
-fn greet(shared: &EntryShared, sender: &WireSender) {
-    if let Some(preset) = shared.force.load_full() {
+/// Sends the active preset over a new connection.
+fn send_initial_state(shared: &EntryShared, sender: &WireSender) {
+    if let Some(preset) = shared.active_preset.load_full() {
         let _ = sender.try_send(ControlMessage::Force(preset));
     }
 }
 
-/// The process at the other end of a connection.
+/// Identity of the process at the other end of a connection.
 struct PeerProcess {
     instance: InstanceId,
     incarnation: u64,
 }
 
-/// The process that a whole heartbeat comes from.
-fn told_process(message: &ControlMessage) -> Option<PeerProcess> {
+/// Returns the process that sent a full heartbeat.
+fn heartbeat_process(message: &ControlMessage) -> Option<PeerProcess> {
     match message {
         ControlMessage::EntryBeat { instance, incarnation, .. } => {
             Some(PeerProcess { instance: instance.clone(), incarnation: *incarnation })
@@ -301,8 +304,8 @@
     }
 }
 
-/// Takes a short heartbeat of `other`; asks for a whole one if it was dropped meanwhile.
-fn hear_alive(
+/// Handles a short heartbeat; requests a full one if the sender is no longer known.
+fn handle_alive(
     shared: &EntryShared,
     sender: &WireSender,
     other: Option<&PeerProcess>,
@@ -310,37 +313,37 @@
 ) {
     let now = Timestamp::now();
     let known = other
-        .and_then(|other| shared.peers().alive(&other.instance, other.incarnation, in_flight, now));
+        .and_then(|other| shared.peers().touch(&other.instance, other.incarnation, in_flight, now));
     match known {
-        Some(revision) => heal(shared, sender, revision),
+        Some(revision) => send_if_newer(shared, sender, revision),
         None => {
             let _ = sender.try_send(ControlMessage::ReportWanted);
         }
     }
 }
 
-/// Sends heartbeats to the other entries: a whole one on change and now and
-/// then, in case one was lost, and short ones between.
-pub(crate) async fn beat(shared: Arc<EntryShared>) {
+/// Sends heartbeats to the other entries: full ones on change and at an interval, in case one was
+/// lost, and short ones in between.
+pub(crate) async fn send_heartbeats(shared: Arc<EntryShared>) {
     let mut last = None;
-    let mut whole_at = Timestamp::now();
+    let mut full_sent_at = Timestamp::now();
     loop {
         let now = Timestamp::now();
-        let message = beat_message(&shared);
-        let unchanged = last.as_ref().is_some_and(|last| equal_but_for_load(last, &message));
-        if unchanged && now.since(whole_at) < WHOLE_TIME {
+        let message = heartbeat_message(&shared);
+        let is_unchanged = last.as_ref().is_some_and(|last| equal_except_load(last, &message));
+        if is_unchanged && now.since(full_sent_at) < FULL_HEARTBEAT_INTERVAL {
             let in_flight = shared.in_flight.load(Ordering::Relaxed);
             send_to_peers(&shared, &ControlMessage::EntryAlive { in_flight });
         } else {
             send_to_peers(&shared, &message);
-            whole_at = now;
+            full_sent_at = now;
             last = Some(message);
         }
-        Timer::after(BEAT_TIME).await;
+        Timer::after(HEARTBEAT_INTERVAL).await;
     }
 }
 
-fn equal_but_for_load(last: &ControlMessage, message: &ControlMessage) -> bool {
+fn equal_except_load(last: &ControlMessage, message: &ControlMessage) -> bool {
     let mut last = last.clone();
     if let (
         ControlMessage::EntryBeat { in_flight: before, .. },
@@ -352,14 +355,14 @@
     last == *message
 }
 
-fn beat_message(shared: &EntryShared) -> ControlMessage {
+fn heartbeat_message(shared: &EntryShared) -> ControlMessage {
     let settings = &shared.settings;
     ControlMessage::EntryBeat {
         instance: settings.place.instance.clone(),
         incarnation: shared.incarnation,
         caller_addr: settings.listen.caller,
         failure_domain: settings.place.failure_domain.clone(),
-        revision: shared.force.load().as_ref().map(|p| p.revision).unwrap_or_default(),
+        revision: shared.active_preset.load().as_ref().map(|p| p.revision).unwrap_or_default(),
         in_flight: shared.in_flight.load(Ordering::Relaxed),
         leaving: shared.leaving.load(Ordering::Acquire),
         advised: shared.is_advised(),
@@ -367,13 +370,13 @@
     }
 }
 
-/// Tells the other entries that this one leaves.
+/// Announces to the other entries that this one is leaving.
 pub(crate) fn announce_leaving(shared: &EntryShared) {
     shared.leaving.store(true, Ordering::Release);
     let instance: InstanceId = shared.settings.place.instance.clone();
     let incarnation = shared.incarnation;
     send_to_peers(shared, &ControlMessage::Leaving { instance, incarnation });
     if let Some(routed) = &shared.routed {
-        gossip::refresh_own(shared, routed);
+        gossip::refresh_own_record(shared, routed);
     }
 }
--- a/crates/entry/src/control/poll.rs
+++ b/crates/entry/src/control/poll.rs
@@ -1,34 +1,34 @@
-//! Reading the preset in force from the table service.
+//! Polling the active preset from the table service.
 
 use std::{sync::Arc, time::Duration};
 
-use cassiawheel_decide::{ForceRow, budget::poll_wait_ms};
+use cassiawheel_decide::{ForceRow, budget::poll_backoff_ms};
 use cassiawheel_edge::{StoreError, TableRow, TableStore};
 use cassiawheel_model::PresetRevision;
 use rand::Rng;
 use smol::Timer;
 
 use super::{
-    ahead::{self, AHEAD_ROW},
-    spread,
+    peers,
+    staging::{self, STAGING_ROW},
 };
 use crate::shared::EntryShared;
 
-/// The row of the preset in force.
+/// Key of the row with the active preset.
 pub(crate) const FORCE_ROW: &str = "force";
 
-/// The row of the preset in force.
+/// Reads the row with the active preset.
 pub(crate) async fn read_force(table: &dyn TableStore) -> Result<Option<ForceRow>, StoreError> {
     table.read(FORCE_ROW).await?.map(parse_force).transpose()
 }
 
 fn parse_force(row: TableRow) -> Result<ForceRow, StoreError> {
     let preset = serde_json::from_value(row.value)
-        .map_err(|error| StoreError::Unknown(format!("the row {FORCE_ROW} is damaged: {error}")))?;
+        .map_err(|error| StoreError::Unknown(format!("cannot decode row {FORCE_ROW}: {error}")))?;
     Ok(ForceRow { preset: Arc::new(preset), row_revision: row.revision })
 }
 
-/// The rows that a poll reads at once.
+/// Rows that one poll reads.
 struct PolledRows {
     force: Option<ForceRow>,
     ahead: Option<TableRow>,
@@ -39,48 +39,49 @@
     for row in table.scan(FORCE_ROW).await? {
         match row.key.as_str() {
             FORCE_ROW => rows.force = Some(parse_force(row)?),
-            AHEAD_ROW => rows.ahead = Some(row),
+            STAGING_ROW => rows.ahead = Some(row),
             _ => {}
         }
     }
     Ok(rows)
 }
 
-/// Reads the preset in force again and again.
+/// Polls the active preset; runs until the process ends.
 pub(crate) async fn poll_force(shared: Arc<EntryShared>) {
     let mut failures = 0;
     loop {
         match read_rows(shared.table.as_ref()).await {
             Ok(found) => {
                 failures = 0;
-                ahead::take_row(&shared, found.ahead);
+                staging::apply_row(&shared, found.ahead);
                 if let Some(row) = found.force {
-                    warn_of_older(&shared, row.preset.revision);
-                    spread::adopt(&shared, &row.preset);
+                    warn_if_older(&shared, row.preset.revision);
+                    peers::adopt(&shared, &row.preset);
                 }
             }
             Err(error) => {
                 failures += 1;
-                let revision = shared.force.load().as_ref().map(|p| p.revision).unwrap_or_default();
+                let revision =
+                    shared.active_preset.load().as_ref().map(|p| p.revision).unwrap_or_default();
                 let PresetRevision(revision) = revision;
                 log::warn!(target: "preset", revision = revision, cause:% = error; "The table service cannot be read.");
             }
         }
-        shared.start_hold().heard(shared.settings.platform.table);
-        let wait_ms = poll_wait_ms(shared.settings.control.poll_ms, failures);
+        shared.start_hold().mark_answered(shared.settings.platform.table);
+        let wait_ms = poll_backoff_ms(shared.settings.control.poll_ms, failures);
         Timer::after(jittered(wait_ms)).await;
     }
 }
 
-/// Tells operators that the table service answers from an earlier state.
-fn warn_of_older(shared: &EntryShared, stored: PresetRevision) {
+/// Logs a warning if the table service returned an earlier state.
+fn warn_if_older(shared: &EntryShared, stored: PresetRevision) {
     let known = shared.known_revision();
     if stored < known {
         log::warn!(target: "preset", stored = stored.0, known = known.0; "The table service has an older preset than this entry.");
     }
 }
 
-/// `base_ms` less or more a quarter, so that entries do not poll in step.
+/// Varies `base_ms` randomly by up to a quarter, so that entries do not poll in step.
 fn jittered(base_ms: u64) -> Duration {
     let quarter = base_ms / 4;
     Duration::from_millis(rand::rng().random_range(base_ms - quarter..=base_ms + quarter))
--- /dev/null
+++ b/crates/entry/src/counters.rs
@@ -0,0 +1,40 @@
+//! Trackers of endpoints and request counts of services that outlive the route snapshots referring to them.
+
+use std::{
+    collections::HashMap,
+    sync::{Arc, atomic::AtomicU32},
+};
+
+use cassiawheel_decide::{EndpointTracker, RestartDetector};
+use cassiawheel_model::{InstanceId, ServiceName};
+
+/// Trackers of all endpoints and request counts of all services.
+#[derive(Debug, Default)]
+pub(crate) struct CounterRegistry {
+    endpoints: HashMap<InstanceId, Arc<EndpointTracker>>,
+    /// Endpoint processes that the counters belong to.
+    pub(crate) processes: RestartDetector,
+    services: HashMap<ServiceName, Arc<AtomicU32>>,
+}
+
+impl CounterRegistry {
+    /// Returns the tracker of an endpoint.
+    pub(crate) fn endpoint(&mut self, instance: &InstanceId) -> Arc<EndpointTracker> {
+        self.endpoints.entry(instance.clone()).or_default().clone()
+    }
+
+    /// Discards the tracker of an endpoint.
+    pub(crate) fn reset(&mut self, instance: &InstanceId) {
+        self.endpoints.remove(instance);
+    }
+
+    /// Returns the number of requests that this entry has in progress at a service.
+    pub(crate) fn service(&mut self, service: &ServiceName) -> Arc<AtomicU32> {
+        self.services.entry(service.clone()).or_default().clone()
+    }
+
+    /// Drops trackers of endpoints that neither a snapshot nor a request refers to.
+    pub(crate) fn drop_unused(&mut self) {
+        self.endpoints.retain(|_, tracker| Arc::strong_count(tracker) > 1);
+    }
+}
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -1,8 +1,8 @@
-//! What the request path knows of requests under which endpoints have ended.
+//! Crash data as the request path uses it.
 //!
-//! The facts lie in the state of the overlay, from where neighbours get them; a copy
-//! of the verdicts is read without a lock. It is empty on a calm day, and requests
-//! are not even digested then.
+//! The rows are part of the overlay state, from where they are sent to neighbours; a copy of the
+//! verdicts is read without a lock. It is empty unless endpoints have crashed, and requests are
+//! then not even digested.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -10,76 +10,82 @@
 };
 
 use arc_swap::ArcSwap;
-use cassiawheel_decide::{CrashBook, CrashVerdict, LinkNumber, rank::rendezvous_weight};
-use cassiawheel_model::{CrashEvent, CrashRow, InstanceId, RequestDigest};
+use cassiawheel_decide::{CrashTracker, CrashVerdict, LinkId, rank::rendezvous_weight};
+use cassiawheel_model::{CrashEvent, CrashRecord, InstanceId, RequestDigest};
 use smol::channel::{Receiver, Sender, bounded};
 
-/// Verdicts on requests, and runs of suspects that this entry has under way.
-pub(crate) struct CrashWatch {
+/// Lock-free copy of the verdicts on requests, and the runs of suspect requests at this entry.
+pub(crate) struct VerdictCache {
     verdicts: ArcSwap<HashMap<RequestDigest, CrashVerdict>>,
     running: Mutex<HashSet<RequestDigest>>,
-    barred: (Sender<()>, Receiver<()>),
+    own_barred: (Sender<()>, Receiver<()>),
 }
 
-/// The only run of a suspect at this entry, until it is dropped.
+/// The only run of a suspect request at this entry, until it is dropped.
 pub(crate) struct SuspectRun {
-    watch: Arc<CrashWatch>,
+    cache: Arc<VerdictCache>,
     digest: RequestDigest,
 }
 
 impl Drop for SuspectRun {
     fn drop(&mut self) {
-        self.watch.running().remove(&self.digest);
+        self.cache.running().remove(&self.digest);
     }
 }
 
-impl Default for CrashWatch {
+impl Default for VerdictCache {
     fn default() -> Self {
-        Self { verdicts: ArcSwap::default(), running: Mutex::default(), barred: bounded(1) }
+        Self { verdicts: ArcSwap::default(), running: Mutex::default(), own_barred: bounded(1) }
     }
 }
 
-impl CrashWatch {
-    /// Completes when an own run has had a request barred.
-    pub(crate) async fn barred(&self) {
-        let _ = self.barred.1.recv().await;
+impl VerdictCache {
+    /// Completes when a run at this entry caused a request to be barred (quarantined).
+    pub(crate) async fn await_own_barred(&self) {
+        let _ = self.own_barred.1.recv().await;
     }
 
-    /// Whether nothing speaks against any request.
+    /// Whether there are no verdicts.
     pub(crate) fn is_empty(&self) -> bool {
         self.verdicts.load().is_empty()
     }
 
-    /// What is known of a request; none if no endpoint has ended under it.
+    /// Returns the verdict on a request; none if no endpoint has crashed while running it.
     pub(crate) fn verdict(&self, digest: RequestDigest) -> Option<CrashVerdict> {
         self.verdicts.load().get(&digest).copied()
     }
 
-    /// Takes up the verdicts of `book` after it has learned `rows`, from a neighbour over
-    /// the link `source` or from an own run.
-    pub(crate) fn learn(&self, book: &CrashBook, rows: &[CrashRow], source: Option<LinkNumber>) {
+    /// Updates the verdicts from `tracker` after `rows` changed it.
+    ///
+    /// `source` is the link that the rows came from; none for rows from a run at this entry.
+    pub(crate) fn apply_rows(
+        &self,
+        tracker: &CrashTracker,
+        rows: &[CrashRecord],
+        source: Option<LinkId>,
+    ) {
         if rows.is_empty() {
             return;
         }
-        self.renew(book);
+        self.refresh(tracker);
         for row in rows {
-            let verdict = book.verdict(row.digest);
+            let verdict = tracker.verdict(row.digest);
             log_row(row, verdict, source);
             if source.is_none() && matches!(verdict, CrashVerdict::Barred { .. }) {
-                let _ = self.barred.0.try_send(());
+                let _ = self.own_barred.0.try_send(());
             }
         }
     }
 
-    /// Takes up the verdicts of `book`.
-    pub(crate) fn renew(&self, book: &CrashBook) {
-        self.verdicts.store(Arc::new(book.verdicts()));
+    /// Replaces the verdicts with those of `tracker`.
+    pub(crate) fn refresh(&self, tracker: &CrashTracker) {
+        self.verdicts.store(Arc::new(tracker.verdicts()));
     }
 
-    /// Begins a run of a suspect; none while another one is under way here.
-    pub(crate) fn begin_suspect(self: &Arc<Self>, digest: RequestDigest) -> Option<SuspectRun> {
+    /// Starts a run of a suspect request; none while this entry has another run of it.
+    pub(crate) fn begin_suspect_run(self: &Arc<Self>, digest: RequestDigest) -> Option<SuspectRun> {
         let begins = self.running().insert(digest);
-        begins.then(|| SuspectRun { watch: self.clone(), digest })
+        begins.then(|| SuspectRun { cache: self.clone(), digest })
     }
 
     fn running(&self) -> MutexGuard<'_, HashSet<RequestDigest>> {
@@ -87,32 +93,32 @@
     }
 }
 
-fn log_row(row: &CrashRow, verdict: CrashVerdict, source: Option<LinkNumber>) {
+fn log_row(row: &CrashRecord, verdict: CrashVerdict, source: Option<LinkId>) {
     let learned = if source.is_some() { "neighbour" } else { "own run" };
     match (row.event, verdict) {
         (CrashEvent::Begun, _) => {
-            log::debug!(target: "quarantine", digest:% = row.digest, age_ms = row.age_ms, learned = learned; "A run of a suspect request begins.");
+            log::debug!(target: "quarantine", digest:% = row.digest, age_ms = row.age_ms, learned = learned; "Started a run of a suspect request.");
         }
         (CrashEvent::Answered, _) => {
-            log::info!(target: "quarantine", digest:% = row.digest, age_ms = row.age_ms, learned = learned; "A suspect request was answered whole.");
+            log::info!(target: "quarantine", digest:% = row.digest, age_ms = row.age_ms, learned = learned; "A suspect request was answered completely.");
         }
         (event, CrashVerdict::Barred { .. }) => {
-            log::warn!(target: "quarantine", digest:% = row.digest, event:? = event, age_ms = row.age_ms, learned = learned; "Barred a request under which endpoints end.");
+            log::warn!(target: "quarantine", digest:% = row.digest, event:? = event, age_ms = row.age_ms, learned = learned; "Quarantined a request because endpoints crash while running it.");
         }
         (event, _) => {
-            log::info!(target: "quarantine", digest:% = row.digest, event:? = event, age_ms = row.age_ms, learned = learned; "An endpoint ended under a request.");
+            log::info!(target: "quarantine", digest:% = row.digest, event:? = event, age_ms = row.age_ms, learned = learned; "An endpoint crashed while running a request.");
         }
     }
 }
 
-/// Rank of the entry `own` among `others` for a request, where zero goes first, and how
-/// many entries there are.
+/// Rank of the entry `own` among all entries for a request, where zero is first, and the number of
+/// entries.
 pub(crate) fn suspect_rank<'a>(
     digest: RequestDigest,
     own: &InstanceId,
     others: impl Iterator<Item = &'a InstanceId>,
 ) -> (usize, usize) {
-    let subject = digest.subject();
+    let subject = digest.rendezvous_key();
     let weight = rendezvous_weight(subject, own.as_str());
     let weights = others.map(|other| rendezvous_weight(subject, other.as_str()));
     weights.fold((0, 1), |(rank, entries), other| (rank + usize::from(other > weight), entries + 1))
--- a/crates/entry/src/direct.rs
+++ b/crates/entry/src/direct.rs
@@ -1,16 +1,15 @@
-//! Requests that go to endpoints without an agent between.
+//! Client that sends requests to endpoints directly instead of through an agent.
 //!
 //! `pool (a connection) → send → head (is it this request's, was it run) → body`
 //!
-//! Dropping an answer closes its connection, by which the endpoint learns that
-//! nobody waits any more.
+//! Dropping a response closes its connection, which cancels the request at the endpoint.
 
 mod pool;
 
 use std::{net::SocketAddr, sync::Arc};
 
 use bytes::Bytes;
-use cassiawheel_decide::AttemptEnd;
+use cassiawheel_decide::AttemptFailure;
 use cassiawheel_edge::{EndpointProtocol, ForwardMetadata, ResponseMetadata};
 use cassiawheel_model::{InstanceId, NotRunReason, Repeatability, RequestHead, Timestamp};
 use cassiawheel_runtime::{spawn, timeout};
@@ -18,38 +17,38 @@
 use hyper::{HeaderMap, Request, Response, StatusCode, body::Incoming, http::response::Parts};
 
 use self::pool::{ConnectionPool, EndpointConnection};
-use crate::limits::LimitWatch;
+use crate::limits::LimitTracker;
 
-/// Largest body of a refusal that is read for the sake of its connection, in bytes.
-const REFUSAL_BYTES: usize = 16 << 10;
+/// Largest body of a refusal that is read to reuse the connection, in bytes.
+const MAX_REFUSAL_BYTES: usize = 16 << 10;
 
-/// The client of endpoints.
+/// HTTP client for endpoints.
 pub(crate) struct DirectClient {
     protocol: Arc<dyn EndpointProtocol>,
-    limits: Arc<LimitWatch>,
+    limits: Arc<LimitTracker>,
     pool: ConnectionPool,
 }
 
-/// An endpoint and where it is reached.
+/// An endpoint and its address.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DirectTarget<'a> {
-    /// The endpoint's process.
+    /// Instance of the endpoint.
     pub(crate) instance: &'a InstanceId,
-    /// Its address.
+    /// Address to connect to.
     pub(crate) addr: SocketAddr,
 }
 
-/// The head of an answer and the stream of its rest.
-pub(crate) struct DirectAnswer {
+/// Head of a response and the stream of its rest.
+pub(crate) struct DirectResponse {
     /// Status and header fields.
     pub(crate) parts: Parts,
-    /// What they tell.
+    /// Metadata that the header fields carry.
     pub(crate) marks: ResponseMetadata,
-    /// The rest.
+    /// The rest of the response.
     pub(crate) stream: DirectStream,
 }
 
-/// The rest of an answer.
+/// The rest of a response.
 pub(crate) struct DirectStream {
     body: Incoming,
     client: Arc<DirectClient>,
@@ -57,28 +56,28 @@
     marks: ResponseMetadata,
 }
 
-/// One step of the rest of an answer.
+/// One part of the rest of a response.
 pub(crate) enum DirectPart {
-    /// Some bytes.
+    /// Bytes of the body.
     Data(Bytes),
-    /// The end of a whole answer.
+    /// End of a complete response.
     End,
-    /// The answer broke off.
+    /// The response was cut off, with the cause.
     Cut(String),
 }
 
 impl DirectClient {
-    /// A client without connections.
-    pub(crate) fn new(protocol: Arc<dyn EndpointProtocol>, limits: Arc<LimitWatch>) -> Self {
+    /// Creates a client without connections.
+    pub(crate) fn new(protocol: Arc<dyn EndpointProtocol>, limits: Arc<LimitTracker>) -> Self {
         Self { protocol, limits, pool: ConnectionPool::default() }
     }
 
-    /// Drops the connections of endpoints for which `is_listed` does not hold.
-    pub(crate) fn keep_only(&self, is_listed: impl Fn(&InstanceId) -> bool) {
-        self.pool.keep_only(is_listed);
+    /// Closes the connections of endpoints for which `is_listed` is false.
+    pub(crate) fn retain_listed(&self, is_listed: impl Fn(&InstanceId) -> bool) {
+        self.pool.retain_listed(is_listed);
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub(crate) async fn send(
         self: &Arc<Self>,
         target: DirectTarget<'_>,
@@ -86,14 +85,15 @@
         fields: &HeaderMap,
         body: &Bytes,
         leg: &ForwardMetadata<'_>,
-    ) -> Result<DirectAnswer, AttemptEnd> {
+    ) -> Result<DirectResponse, AttemptFailure> {
         let request = self.request(head, fields, body, leg)?;
         let (reply, connection) = self.exchange(target, head, request).await?;
         let (parts, body) = reply.into_parts();
         let marks = self.protocol.read_metadata(&parts);
-        // A refusal may come from another process, or from one that has not looked at its limit.
+        // Refusals are skipped unless they state a limit: they may come from another process, or
+        // from one that has not checked its limit.
         if marks.limit.is_some() || !marks.not_run {
-            self.limits.hear(target.instance, marks.limit);
+            self.limits.observe(target.instance, marks.limit);
         }
         let stream = DirectStream {
             body,
@@ -102,10 +102,10 @@
             marks: marks.clone(),
         };
         match check_head(head, &parts, &marks) {
-            Ok(()) => Ok(DirectAnswer { parts, marks, stream }),
+            Ok(()) => Ok(DirectResponse { parts, marks, stream }),
             Err(end) => {
-                if matches!(end, AttemptEnd::NotRun(_)) {
-                    stream.reclaim();
+                if matches!(end, AttemptFailure::NotRun(_)) {
+                    stream.reuse_connection();
                 }
                 Err(end)
             }
@@ -118,28 +118,27 @@
         fields: &HeaderMap,
         body: &Bytes,
         leg: &ForwardMetadata<'_>,
-    ) -> Result<Request<Full<Bytes>>, AttemptEnd> {
+    ) -> Result<Request<Full<Bytes>>, AttemptFailure> {
         let request = Request::builder().method(head.method.as_str()).uri(head.path.as_str());
         let mut request = request.body(Full::new(body.clone())).map_err(|error| {
-            log::error!(target: "direct", request:% = head.id, cause:% = error; "A request cannot be written.");
-            AttemptEnd::NotRun(NotRunReason::ConnectFailed)
+            log::error!(target: "direct", request:% = head.id, cause:% = error; "Cannot build a request.");
+            AttemptFailure::NotRun(NotRunReason::ConnectFailed)
         })?;
         *request.headers_mut() = fields.clone();
         self.protocol.write_metadata(request.headers_mut(), leg);
         Ok(request)
     }
 
-    /// Sends over an idle connection, or over a new one.
+    /// Sends over an idle connection or a new one.
     ///
-    /// A request that may not be repeated always gets a new one: an idle
-    /// connection may have been closed by the endpoint a moment ago, and then
-    /// nobody can tell whether the request was run.
+    /// A request that must not be repeated always gets a new connection. The endpoint may have just
+    /// closed an idle one, and then it would be unknown whether the request was run.
     async fn exchange(
         &self,
         target: DirectTarget<'_>,
         head: &RequestHead,
         mut request: Request<Full<Bytes>>,
-    ) -> Result<(Response<Incoming>, EndpointConnection), AttemptEnd> {
+    ) -> Result<(Response<Incoming>, EndpointConnection), AttemptFailure> {
         if head.repeat == Repeatability::Idempotent {
             while let Some(mut connection) = self.pool.take(target.instance, Timestamp::now()) {
                 match connection.send(request, head.deadline).await {
@@ -153,45 +152,44 @@
         }
         let mut connection = pool::connect(target, head.deadline).await.map_err(|detail| {
             log::info!(target: "direct", request:% = head.id, endpoint:% = target.instance, cause:% = detail; "Cannot connect to an endpoint.");
-            AttemptEnd::NotRun(NotRunReason::ConnectFailed)
+            AttemptFailure::NotRun(NotRunReason::ConnectFailed)
         })?;
         match connection.send(request, head.deadline).await {
             Ok(reply) => Ok((reply, connection)),
             Err(failure) if failure.unsent.is_some() => {
-                Err(AttemptEnd::NotRun(NotRunReason::ConnectFailed))
+                Err(AttemptFailure::NotRun(NotRunReason::ConnectFailed))
             }
             Err(failure) => Err(failure.into_end()),
         }
     }
 }
 
-/// Whether the answer is one to this request, and the endpoint's own.
+/// Checks that the response belongs to this request and comes from the endpoint itself.
 fn check_head(
     head: &RequestHead,
     parts: &Parts,
     marks: &ResponseMetadata,
-) -> Result<(), AttemptEnd> {
-    // Answers can arrive crossed: an endpoint may send a second answer to an
-    // earlier request, and it would be taken for the next one's. The id that
-    // every endpoint repeats tells them apart.
+) -> Result<(), AttemptFailure> {
+    // An endpoint may send a second response to an earlier request, which would be mistaken for the
+    // response to the next one. The request id that every endpoint echoes tells them apart.
     if marks.request.as_deref() != Some(head.id.as_str()) {
-        return Err(AttemptEnd::Unknown("the answer belongs to another request".to_owned()));
+        return Err(AttemptFailure::Unknown("the answer belongs to another request".to_owned()));
     }
     if marks.not_run {
         let reason = match parts.status {
             StatusCode::MISDIRECTED_REQUEST => NotRunReason::VersionMismatch,
             _ => NotRunReason::Overloaded,
         };
-        return Err(AttemptEnd::NotRun(reason));
+        return Err(AttemptFailure::NotRun(reason));
     }
     if parts.status.is_success() && !marks.is_signed {
-        return Err(AttemptEnd::Unknown("the answer is not signed".to_owned()));
+        return Err(AttemptFailure::Unknown("the answer is not signed".to_owned()));
     }
     Ok(())
 }
 
 impl DirectStream {
-    /// The next part.
+    /// Returns the next part.
     pub(crate) async fn next(&mut self) -> DirectPart {
         loop {
             match self.body.frame().await {
@@ -202,25 +200,25 @@
                 }
                 Some(Err(error)) => return DirectPart::Cut(error.to_string()),
                 None => {
-                    self.give_back();
+                    self.return_connection();
                     return DirectPart::End;
                 }
             }
         }
     }
 
-    fn give_back(&mut self) {
+    fn return_connection(&mut self) {
         if let Some(connection) = self.connection.take().filter(|_| !self.marks.closes_connection) {
             self.client.pool.put(connection, self.marks.idle_timeout, Timestamp::now());
         }
     }
 
-    /// Reads what is left of a refusal, so that its connection can be used again.
-    fn reclaim(mut self) {
+    /// Reads the rest of a refusal in the background so that its connection can be reused.
+    fn reuse_connection(mut self) {
         spawn(async move {
-            let rest = Limited::new(&mut self.body, REFUSAL_BYTES).collect();
-            if let Some(Ok(_)) = timeout(pool::RECLAIM_TIME, rest).await {
-                self.give_back();
+            let rest = Limited::new(&mut self.body, MAX_REFUSAL_BYTES).collect();
+            if let Some(Ok(_)) = timeout(pool::REFUSAL_TIMEOUT, rest).await {
+                self.return_connection();
             }
         })
         .detach();
--- a/crates/entry/src/direct/pool.rs
+++ b/crates/entry/src/direct/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints, kept while they are idle.
+//! Pool of idle connections to endpoints.
 
 use std::{
     collections::HashMap,
@@ -7,7 +7,7 @@
 };
 
 use bytes::Bytes;
-use cassiawheel_decide::AttemptEnd;
+use cassiawheel_decide::AttemptFailure;
 use cassiawheel_model::{Deadline, InstanceId, Timestamp};
 use cassiawheel_runtime::{dial, reset_on_close, spawn, timeout};
 use http_body_util::Full;
@@ -18,76 +18,75 @@
 use super::DirectTarget;
 
 /// Longest time to connect; a live endpoint takes a few milliseconds.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Longest time to read the body of a refusal.
-pub(super) const RECLAIM_TIME: Duration = Duration::from_millis(500);
+pub(super) const REFUSAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Idle connections kept to one endpoint.
+/// Maximum number of idle connections per endpoint.
 ///
-/// Endpoints limit the connections of all entries together, and entries that lose
-/// power leave theirs behind: those that are idle stay taken until the endpoint's
-/// own idle time is over. Four of each entry are a third of what an endpoint of 590
-/// admits from 45 entries, so that it has room for their return. An entry rarely has
-/// more idle at one endpoint: it sends it a request or two a second.
-const IDLE_CONNECTIONS: usize = 4;
-
-/// How long a connection is kept of which the endpoint does not tell it.
-const SHORT_IDLE: Duration = Duration::from_millis(300);
-
-/// Part of the endpoint's own idle time that is left unused, so that a request
-/// does not cross the endpoint's close.
+/// Endpoints limit the connections of all entries together. Connections of entries that lose power
+/// stay open until the endpoint's idle timeout. With four per entry, 45 entries use a third of the
+/// 590 connections that an endpoint admits, which leaves room for restarted entries. An entry sends
+/// an endpoint one or two requests a second and rarely has more idle connections.
+const MAX_IDLE_CONNECTIONS: usize = 4;
+
+/// Idle time of a connection whose endpoint does not state one.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_millis(300);
+
+/// Margin subtracted from the endpoint's idle timeout, so that a request is not sent while the
+/// endpoint closes the connection.
 const IDLE_MARGIN: Duration = Duration::from_millis(400);
 
-/// Largest buffer of a connection, in bytes.
+/// Maximum buffer size of a connection, in bytes.
 const BUFFER_BYTES: usize = 64 << 10;
 
 /// A connection to an endpoint; closed when dropped.
 pub(super) struct EndpointConnection {
     instance: InstanceId,
     sender: http1::SendRequest<Full<Bytes>>,
-    until: Deadline,
-    /// Drives the connection for as long as it is held.
+    idle_until: Deadline,
+    /// Task that drives the connection.
     _driver: Task<()>,
 }
 
-/// Why a request got no answer over a connection.
+/// Why a request got no response over a connection.
 pub(super) struct SendFailure {
-    /// The request itself, if it certainly was not sent.
+    /// The request itself, if it was certainly not sent.
     pub(super) unsent: Option<Box<Request<Full<Bytes>>>>,
-    /// What went wrong.
+    /// Cause of the failure.
     detail: String,
-    /// Whether the connection has ended.
-    ended: bool,
+    /// Whether the connection was closed.
+    is_closed: bool,
 }
 
 impl SendFailure {
-    /// How the attempt ended, of a request that may have been sent.
-    pub(super) fn into_end(self) -> AttemptEnd {
-        match self.ended {
-            true => AttemptEnd::Lost(self.detail),
-            false => AttemptEnd::Unknown(self.detail),
+    /// How the attempt ended, for a request that may have been sent.
+    pub(super) fn into_end(self) -> AttemptFailure {
+        match self.is_closed {
+            true => AttemptFailure::Lost(self.detail),
+            false => AttemptFailure::Unknown(self.detail),
         }
     }
 }
 
-/// Idle connections by endpoint process.
+/// Idle connections by endpoint instance.
 #[derive(Default)]
 pub(super) struct ConnectionPool {
     idle: Mutex<HashMap<InstanceId, Vec<EndpointConnection>>>,
 }
 
-/// Connects to an endpoint; the error tells why nothing was sent.
+/// Connects to an endpoint; the error describes why nothing was sent.
 pub(super) async fn connect(
     target: DirectTarget<'_>,
     deadline: Deadline,
 ) -> Result<EndpointConnection, String> {
     let addr = target.addr;
-    let span = deadline.remaining(Timestamp::now()).min(CONNECT_TIME);
+    let span = deadline.remaining(Timestamp::now()).min(CONNECT_TIMEOUT);
     let stream = match timeout(span, dial(addr, None)).await {
         Some(Ok(stream)) => stream,
         Some(Err(error)) => return Err(error.to_string()),
-        None => return Err("connecting takes too long".to_owned()),
+        None => return Err("timed out while connecting".to_owned()),
     };
     reset_on_close(&stream).map_err(|error| error.to_string())?;
     let mut builder = http1::Builder::new();
@@ -100,11 +99,11 @@
         }
     });
     let instance = target.instance.clone();
-    Ok(EndpointConnection { instance, sender, until: Deadline(0), _driver: driver })
+    Ok(EndpointConnection { instance, sender, idle_until: Deadline(0), _driver: driver })
 }
 
 impl EndpointConnection {
-    /// Sends a request and waits for the head of its answer until `deadline`.
+    /// Sends a request and waits for the head of the response until `deadline`.
     pub(super) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -115,23 +114,27 @@
             Some(Ok(reply)) => Ok(reply),
             Some(Err(mut failure)) => {
                 let unsent = failure.take_message().map(Box::new);
-                Err(SendFailure { unsent, detail: failure.into_error().to_string(), ended: true })
+                Err(SendFailure {
+                    unsent,
+                    detail: failure.into_error().to_string(),
+                    is_closed: true,
+                })
             }
             None => Err(SendFailure {
                 unsent: None,
                 detail: "the endpoint gave no answer in time".to_owned(),
-                ended: false,
+                is_closed: false,
             }),
         }
     }
 
     fn is_usable(&self, now: Timestamp) -> bool {
-        self.sender.is_ready() && !self.until.is_past(now)
+        self.sender.is_ready() && !self.idle_until.is_past(now)
     }
 }
 
 impl ConnectionPool {
-    /// The connection to an endpoint that was used last.
+    /// Takes the most recently used idle connection to an endpoint.
     pub(super) fn take(&self, instance: &InstanceId, now: Timestamp) -> Option<EndpointConnection> {
         let mut idle = self.lock();
         let connections = idle.get_mut(instance)?;
@@ -143,25 +146,25 @@
         None
     }
 
-    /// Keeps a connection whose answer is whole.
+    /// Returns a connection to the pool after its response was complete.
     pub(super) fn put(
         &self,
         mut connection: EndpointConnection,
         idle_time: Option<Duration>,
         now: Timestamp,
     ) {
-        let span = idle_time.map_or(SHORT_IDLE, |span| span.saturating_sub(IDLE_MARGIN));
-        connection.until = now.deadline_after(span);
+        let span = idle_time.map_or(DEFAULT_IDLE_TIME, |span| span.saturating_sub(IDLE_MARGIN));
+        connection.idle_until = now.deadline_after(span);
         let mut idle = self.lock();
         let connections = idle.entry(connection.instance.clone()).or_default();
         connections.retain(|other| other.is_usable(now));
-        if connections.len() < IDLE_CONNECTIONS {
+        if connections.len() < MAX_IDLE_CONNECTIONS {
             connections.push(connection);
         }
     }
 
-    /// Drops the connections of endpoints for which `is_listed` does not hold.
-    pub(super) fn keep_only(&self, is_listed: impl Fn(&InstanceId) -> bool) {
+    /// Closes the connections of endpoints for which `is_listed` is false.
+    pub(super) fn retain_listed(&self, is_listed: impl Fn(&InstanceId) -> bool) {
         self.lock().retain(|instance, _| is_listed(instance));
     }
 
--- a/crates/entry/src/inner.rs
+++ b/crates/entry/src/inner.rs
@@ -1,4 +1,4 @@
-//! The inner listener: agents and other entries connect here.
+//! Inner listener for connections from agents and other entries.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -13,14 +13,14 @@
 use smol::net::{TcpListener, TcpStream};
 
 use crate::{
-    control::{gossip, links, manifests, orders, spread},
+    control::{gossip, links, manifests, orders, peers},
     link::AgentLink,
-    overlay::entries_for,
+    overlay::entry_addrs_for,
     shared::EntryShared,
 };
 
 /// Longest wait for the hello of a new connection.
-const HELLO_TIME: Duration = Duration::from_secs(3);
+const HELLO_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Accepts connections until `shutdown`.
 pub(crate) async fn serve_inner(
@@ -43,10 +43,10 @@
             return;
         }
     };
-    let hello = match timeout(HELLO_TIME, receiver.recv()).await {
+    let hello = match timeout(HELLO_TIMEOUT, receiver.recv()).await {
         Some(Ok(WireMessage::Hello(hello))) => hello,
         Some(Ok(_) | Err(_)) | None => {
-            log::warn!(target: "inner", "A connection did not begin with a hello.");
+            log::warn!(target: "inner", "A connection did not start with a hello.");
             sender.close();
             return;
         }
@@ -55,16 +55,16 @@
         ProcessKind::Agent => serve_agent(&shared, hello, sender, receiver).await,
         ProcessKind::Entry => match &shared.routed {
             Some(routed) => links::accept(&shared, routed, sender, receiver, hello).await,
-            None => spread::converse(&shared, sender, receiver, None).await,
+            None => peers::serve_peer(&shared, sender, receiver, None).await,
         },
     }
 }
 
-/// Time between loads that an agent of another region tells, in milliseconds.
+/// Interval at which an agent in another region reports its load, in milliseconds.
 ///
-/// An entry sends an endpoint of another region only what its own region has no
-/// room for. Two words may be lost before the agent counts as silent, after 1.5 s.
-const FAR_LOAD_MS: u64 = 600;
+/// An entry sends an endpoint in another region only requests that its own region has no room for.
+/// Two messages may be lost before the agent counts as silent after 1.5 s.
+const REMOTE_LOAD_INTERVAL_MS: u64 = 600;
 
 async fn serve_agent(
     shared: &Arc<EntryShared>,
@@ -73,17 +73,17 @@
     mut receiver: WireReceiver,
 ) {
     let link = Arc::new(AgentLink::new(hello.instance, hello.incarnation, sender));
-    // An agent without candidates connects only to request them.
+    // With a route table, an agent that has no entry addresses connects only to request them.
     let mut is_added = shared.routed.is_none();
     if is_added {
         shared.add_link(link.clone());
     }
     orders::send_preset(shared, &link, PresetRevision::default());
-    let silence = Duration::from_millis(shared.settings.control.heartbeat_timeout_ms);
+    let silence_timeout = Duration::from_millis(shared.settings.control.heartbeat_timeout_ms);
     let mut region = None;
     loop {
         let received = match &shared.routed {
-            Some(_) => timeout(silence, receiver.recv()).await,
+            Some(_) => timeout(silence_timeout, receiver.recv()).await,
             None => Some(receiver.recv().await),
         };
         let Some(received) = received else {
@@ -92,7 +92,7 @@
         };
         match received {
             Ok(WireMessage::Control(ControlMessage::EntriesWanted { region })) => {
-                answer_entries(shared, &link, &region);
+                send_entries(shared, &link, &region);
             }
             Ok(WireMessage::Control(message)) => {
                 if !is_added && matches!(message, ControlMessage::Report(_)) {
@@ -100,15 +100,15 @@
                     is_added = true;
                 }
                 if let (None, ControlMessage::Report(report)) = (&region, &message) {
-                    ask_for_loads(shared, &link, &report.region);
+                    request_load_interval(shared, &link, &report.region);
                     region = Some(report.region.clone());
                 }
-                handle_agent_control(shared, &link, message);
+                handle_agent_message(shared, &link, message);
             }
             Ok(WireMessage::Request(message)) => link.deliver(message),
             Ok(WireMessage::Hello(_) | WireMessage::Chunk(_)) => {}
             Err(error) => {
-                log::info!(target: "inner", instance:% = link.instance, cause:% = error; "Connection to an agent ended.");
+                log::info!(target: "inner", instance:% = link.instance, cause:% = error; "The connection to an agent ended.");
                 break;
             }
         }
@@ -119,44 +119,45 @@
     }
 }
 
-/// Sends an agent the entries that it may connect to.
-fn answer_entries(shared: &EntryShared, link: &AgentLink, region: &RegionName) {
+/// Sends an agent the addresses of the entries that it may connect to.
+fn send_entries(shared: &EntryShared, link: &AgentLink, region: &RegionName) {
     let Some(routed) = &shared.routed else {
         return;
     };
     let state = routed.overlay.lock();
     let present = state.present(&shared.settings.place.instance);
-    let _ = link.sender.try_send(ControlMessage::Entries(entries_for(&present, region)));
+    let _ = link.sender.try_send(ControlMessage::Entries(entry_addrs_for(&present, region)));
 }
 
-/// Asks an agent of another region for fewer loads.
-fn ask_for_loads(shared: &EntryShared, link: &AgentLink, region: &RegionName) {
+/// Requests a longer load interval from an agent in another region.
+fn request_load_interval(shared: &EntryShared, link: &AgentLink, region: &RegionName) {
     if *region != shared.settings.place.region {
-        let _ = link.sender.try_send(ControlMessage::LoadWanted { every_ms: FAR_LOAD_MS });
+        let _ =
+            link.sender.try_send(ControlMessage::LoadWanted { every_ms: REMOTE_LOAD_INTERVAL_MS });
     }
 }
 
-fn handle_agent_control(shared: &Arc<EntryShared>, link: &AgentLink, message: ControlMessage) {
+fn handle_agent_message(shared: &Arc<EntryShared>, link: &AgentLink, message: ControlMessage) {
     match message {
         ControlMessage::Report(report) if report.instance == link.instance => {
             orders::send_preset(shared, link, report.revision);
-            take_report(shared, *report);
+            handle_report(shared, *report);
         }
-        ControlMessage::Beat(load) => take_beat(shared, link, load),
+        ControlMessage::Beat(load) => handle_heartbeat(shared, link, load),
         ControlMessage::Leaving { instance, incarnation } if instance == link.instance => {
-            shared.roster().leave(&instance, incarnation, Timestamp::now());
+            shared.roster().mark_leaving(&instance, incarnation, Timestamp::now());
             shared.rebuild_routes();
             if shared.routed.is_some() {
-                spread::send_to_peers(
+                peers::send_to_peers(
                     shared,
                     &ControlMessage::Leaving { instance: instance.clone(), incarnation },
                 );
             }
-            log::info!(target: "roster", instance:% = instance; "An endpoint leaves.");
+            log::info!(target: "roster", instance:% = instance; "An endpoint is leaving.");
         }
-        ControlMessage::Force(preset) => spread::adopt(shared, &preset),
+        ControlMessage::Force(preset) => peers::adopt(shared, &preset),
         ControlMessage::ManifestWanted { manifest } => {
-            manifests::answer(shared.routed.as_deref(), &link.sender, manifest);
+            manifests::send_manifest(shared.routed.as_deref(), &link.sender, manifest);
         }
         ControlMessage::Report(_)
         | ControlMessage::ReportWanted
@@ -181,47 +182,48 @@
     }
 }
 
-/// Takes a heartbeat that tells only the load.
-fn take_beat(shared: &EntryShared, link: &AgentLink, load: LoadReport) {
+/// Handles a heartbeat that carries only the load.
+fn handle_heartbeat(shared: &EntryShared, link: &AgentLink, load: LoadReport) {
     let mut roster = shared.roster();
-    let known = roster.beat(&link.instance, link.incarnation, load, Timestamp::now());
+    let known = roster.apply_load(&link.instance, link.incarnation, load, Timestamp::now());
     let known = known.map(|report| (report.revision, report.limit));
     drop(roster);
     let Some((revision, limit)) = known else {
         let _ = link.sender.try_send(ControlMessage::ReportWanted);
         return;
     };
-    // Heals a push that a full queue swallowed.
+    // Resends a preset that a full queue dropped.
     orders::send_preset(shared, link, revision);
     if let Some(routed) = &shared.routed {
         gossip::publish_load(routed, &link.instance, &load);
     }
-    shared.hear_load(&link.instance, &load, limit);
+    shared.update_load(&link.instance, &load, limit);
 }
 
-/// Takes a heartbeat with the whole state.
+/// Handles a heartbeat that carries the whole state.
 ///
-/// A rebuild of the routes costs time in proportion to the endpoints, so one
-/// for each heartbeat would cost its square. Only a changed state needs one;
-/// the load goes into the cell that all snapshots share.
-fn take_report(shared: &EntryShared, report: EndpointReport) {
+/// Rebuilding the routes takes time proportional to the number of endpoints, so a rebuild for each
+/// heartbeat would take quadratic time. Only a changed state needs one; the load is stored in
+/// counters that all snapshots share.
+fn handle_report(shared: &EntryShared, report: EndpointReport) {
     let (load, limit) = (report.load, report.limit);
     let instance = report.instance.clone();
     let mut roster = shared.roster();
     let known = roster.member(&instance).map(|member| member.report.state.clone());
     let changed = known.as_ref() != Some(&report.state);
-    let told = shared.routed.is_some().then(|| report.clone());
-    if !roster.hear(report, Timestamp::now()) {
+    let published = shared.routed.is_some().then(|| report.clone());
+    if !roster.apply_report(report, Timestamp::now()) {
         return;
     }
     drop(roster);
-    if let (Some(routed), Some(report)) = (&shared.routed, told) {
+    if let (Some(routed), Some(report)) = (&shared.routed, published) {
         gossip::publish_report(routed, &report);
-        // Requests may go to the endpoint as soon as it counts as connected.
-        gossip::refresh_own(shared, routed);
+        // The report is published at once because requests may be routed to the endpoint as soon as
+        // it counts as connected.
+        gossip::refresh_own_record(shared, routed);
     }
     shared.plan_stale.store(true, Ordering::Release);
-    shared.hear_load(&instance, &load, limit);
+    shared.update_load(&instance, &load, limit);
     if changed {
         shared.rebuild_routes();
     }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! State that the parts of an entry share.
+//! State shared by the components of an entry.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -25,88 +25,88 @@
 use crate::{
     admin::progress::ProgressMarks,
     caller::EntryAdmission,
-    cells::EndpointCells,
-    control::{ahead::AheadRow, spread, store::BudgetedTable},
+    control::{peers, staging::StagingRow, store::MeteredTable},
+    counters::CounterRegistry,
     link::AgentLink,
     metrics::EntryMetrics,
-    routed::{RoutedInterface, direct_candidates, reports_by_endpoint},
+    routed::{RoutedState, direct_candidates, reports_by_endpoint},
 };
 
-/// Longest time for which an entry that starts waits for every source of presets.
-const START_TIME: Duration = Duration::from_secs(1);
+/// Longest time for which a starting entry waits for all sources of presets.
+const START_HOLD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for which a request may still begin at an engine whose version gets no new ones.
+/// Time for which a request may still start at an engine whose version gets no new requests.
 ///
-/// New requests stop 900 ms before the version may not answer any more. One that
-/// waits in a full engine's queue for longer than that would begin too late.
-const BEGIN_TIME: Duration = Duration::from_millis(550);
+/// New requests stop 900 ms before the version may no longer answer. A request that waits in a full
+/// engine's queue for longer than this would start too late.
+const MAX_START_DELAY: Duration = Duration::from_millis(550);
 
 /// Time within which agents connect to an entry that has started.
-const CONNECT_TIME: Duration = Duration::from_secs(3);
+const AGENT_CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Everything that the parts of an entry share.
+/// State shared by the components of an entry.
 pub(crate) struct EntryShared {
-    /// The settings.
+    /// Settings of the entry.
     pub(crate) settings: EntrySettings,
-    /// Distinguishes this process from earlier ones at the instance.
+    /// Distinguishes this process from earlier ones of the same instance.
     pub(crate) incarnation: u64,
-    /// The table service.
+    /// Client of the table service.
     pub(crate) table: Arc<dyn TableStore>,
-    /// The origin of weights.
+    /// Origin of model weights.
     pub(crate) origin: Arc<dyn WeightSource>,
-    /// Metrics.
+    /// Metrics of the entry.
     pub(crate) metrics: EntryMetrics,
     /// Endpoints that requests may be routed to; read without a lock.
     pub(crate) routes: ArcSwap<RouteSnapshot>,
     admissions: ArcSwap<HashMap<ServiceName, Arc<EntryAdmission>>>,
     /// Connections to agents; read without a lock.
     pub(crate) links: ArcSwap<HashMap<InstanceId, Arc<AgentLink>>>,
-    /// The preset in force; read without a lock.
-    pub(crate) force: ArcSwapOption<ForcedPreset>,
-    /// The preset to stage ahead.
-    pub(crate) ahead: ArcSwapOption<AheadRow>,
-    /// Whether the plan lags behind the reports or the preset.
+    /// The active preset; read without a lock.
+    pub(crate) active_preset: ArcSwapOption<ForcedPreset>,
+    /// Row that names the preset to stage ahead of its activation.
+    pub(crate) staging: ArcSwapOption<StagingRow>,
+    /// Whether reports or the preset have changed since orders were last planned.
     pub(crate) plan_stale: AtomicBool,
-    /// The table service with its health; the same as `table`.
-    pub(crate) store: Arc<BudgetedTable>,
+    /// The same client as `table`, with its health.
+    pub(crate) store: Arc<MeteredTable>,
     /// Progress of services towards their versions, for forecasts.
     pub(crate) progress: Mutex<ProgressMarks>,
-    /// What the entry has where callers are routed by a table.
-    pub(crate) routed: Option<Arc<RoutedInterface>>,
-    retries: Arc<RetryBudget>,
-    /// Requests of callers in progress.
+    /// Additional state where callers are routed by a route table.
+    pub(crate) routed: Option<Arc<RoutedState>>,
+    default_retries: Arc<RetryBudget>,
+    /// Number of callers' requests in progress.
     pub(crate) in_flight: AtomicU32,
-    /// Whether this entry leaves.
+    /// Whether this entry is leaving.
     pub(crate) leaving: AtomicBool,
     advised: AtomicBool,
     holder: Mutex<PresetHolder>,
-    settled: AtomicBool,
+    start_hold_over: AtomicBool,
     start_hold: Mutex<StartHold>,
     roster: Mutex<EndpointRoster>,
-    cells: Mutex<EndpointCells>,
+    counters: Mutex<CounterRegistry>,
     peers: Mutex<EntryRoster>,
     peer_links: Mutex<Vec<PeerLink>>,
     requests: AtomicU64,
 }
 
 impl EntryShared {
-    /// The state of a process that has just started.
+    /// Creates the state of a process that has just started.
     pub(crate) fn new(
         settings: EntrySettings,
         table: Arc<dyn TableStore>,
         origin: Arc<dyn WeightSource>,
         metrics: EntryMetrics,
-        routed: Option<Arc<RoutedInterface>>,
+        routed: Option<Arc<RoutedState>>,
     ) -> Self {
         let now = Timestamp::now();
-        // Where the operators' rows can be followed, the first read of them is
-        // the newest state; other entries only know it later.
+        // Where the operators' rows can be followed, their first read is the newest state; other
+        // entries receive it later.
         let mut sources = match &routed {
             Some(_) => Vec::new(),
-            None => spread::chosen_peers(&settings),
+            None => peers::dialled_peers(&settings),
         };
         sources.push(settings.platform.table);
-        let store = Arc::new(BudgetedTable::new(table, &settings.control, &metrics));
+        let store = Arc::new(MeteredTable::new(table, &settings.control, &metrics));
         Self {
             settings,
             incarnation: now.0,
@@ -116,48 +116,48 @@
             routes: ArcSwap::default(),
             admissions: ArcSwap::default(),
             links: ArcSwap::default(),
-            force: ArcSwapOption::empty(),
-            ahead: ArcSwapOption::empty(),
+            active_preset: ArcSwapOption::empty(),
+            staging: ArcSwapOption::empty(),
             plan_stale: AtomicBool::new(false),
             store,
             progress: Mutex::default(),
             routed,
-            retries: Arc::default(),
+            default_retries: Arc::default(),
             in_flight: AtomicU32::new(0),
             leaving: AtomicBool::new(false),
             advised: AtomicBool::new(false),
             holder: Mutex::default(),
-            settled: AtomicBool::new(false),
-            start_hold: Mutex::new(StartHold::new(sources, now.deadline_after(START_TIME))),
+            start_hold_over: AtomicBool::new(false),
+            start_hold: Mutex::new(StartHold::new(sources, now.deadline_after(START_HOLD_TIMEOUT))),
             roster: Mutex::default(),
-            cells: Mutex::default(),
+            counters: Mutex::default(),
             peers: Mutex::default(),
             peer_links: Mutex::default(),
             requests: AtomicU64::new(0),
         }
     }
 
-    /// The endpoints that this entry knows.
+    /// Locks the roster of known endpoints.
     pub(crate) fn roster(&self) -> MutexGuard<'_, EndpointRoster> {
         self.roster.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// The other entries that this entry knows.
+    /// Locks the roster of other known entries.
     pub(crate) fn peers(&self) -> MutexGuard<'_, EntryRoster> {
         self.peers.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// What this entry waits for before it uses a preset.
+    /// Locks the start hold: the preset sources that this entry waits for when it starts.
     pub(crate) fn start_hold(&self) -> MutexGuard<'_, StartHold> {
         self.start_hold.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// Connections to other entries, whichever end dialled.
+    /// Locks the connections to other entries, whichever end dialled.
     pub(crate) fn peer_links(&self) -> MutexGuard<'_, Vec<PeerLink>> {
         self.peer_links.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// What opens a conversation with another process.
+    /// Returns the first message on a connection to another process.
     pub(crate) fn hello(&self) -> HelloMessage {
         HelloMessage {
             kind: ProcessKind::Entry,
@@ -166,70 +166,72 @@
         }
     }
 
-    /// Whether this entry leaves.
+    /// Whether this entry is leaving.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// The origin of weights, where it comes with the preset.
+    /// Returns the origin of weights if the active preset names one.
     pub(crate) fn origin_place(&self) -> Option<OriginPlace> {
-        let force = self.force.load();
-        let mut services = force.as_ref()?.content.services.values();
+        let active_preset = self.active_preset.load();
+        let mut services = active_preset.as_ref()?.content.services.values();
         services.find_map(|target| target.engine.as_ref()?.origin.clone())
     }
 
-    /// Entries that go before this one where one of them does the work of all.
+    /// Returns the number of entries that rank before this one for work that one entry does for
+    /// all.
     pub(crate) fn own_rank(&self) -> u32 {
         let own = &self.settings.place.instance;
         self.peers().iter().filter(|(instance, _)| *instance < own).count() as u32
     }
 
-    /// Retries that this entry may make for `service`.
+    /// Returns the budget for retries of requests to `service`.
     pub(crate) fn retry_budget(&self, service: &ServiceName) -> Arc<RetryBudget> {
         match &self.routed {
             Some(routed) => routed.retry_budget(service, self.peers().values().count() + 1),
-            None => self.retries.clone(),
+            None => self.default_retries.clone(),
         }
     }
 
-    /// The only versions that may answer requests for `service` now, if a newer one
-    /// was named so long ago that older ones may not any more.
+    /// Returns the only versions that may answer requests for `service` now.
+    ///
+    /// None unless a newer version was named long enough ago that older ones may no longer answer.
     pub(crate) fn allowed_versions(
         &self,
         service: &ServiceName,
         now: Timestamp,
     ) -> Option<Vec<ModelVersion>> {
         let routed = self.routed.as_ref()?;
-        let force = self.force.load();
-        let target = force.as_ref()?.content.services.get(service)?;
+        let active_preset = self.active_preset.load();
+        let target = active_preset.as_ref()?.content.services.get(service)?;
         routed.allowed_versions(target, now)
     }
 
-    /// Until when an answer to a request for `service` may begin from `version`.
-    pub(crate) fn begin_by(
+    /// Returns the time by which a response from `version` to a request for `service` must start.
+    pub(crate) fn start_by(
         &self,
         service: &ServiceName,
         version: Option<&ModelVersion>,
     ) -> Option<Deadline> {
         let routed = self.routed.as_ref()?;
-        let force = self.force.load();
-        let engine = force.as_ref()?.content.services.get(service)?.engine.as_ref()?;
-        let barred_from = routed.versions.load().barred_from(&engine.model, version?)?;
-        Some(Timestamp(barred_from.0).deadline_after(BEGIN_TIME))
+        let active_preset = self.active_preset.load();
+        let engine = active_preset.as_ref()?.content.services.get(service)?.engine.as_ref()?;
+        let expires_at = routed.versions.load().expires_at(&engine.model, version?)?;
+        Some(Timestamp(expires_at.0).deadline_after(MAX_START_DELAY))
     }
 
-    /// An id that no other request has.
-    pub(crate) fn next_request(&self) -> anyhow::Result<RequestId> {
+    /// Returns a request id that no other request has.
+    pub(crate) fn next_request_id(&self) -> anyhow::Result<RequestId> {
         let number = self.requests.fetch_add(1, Ordering::Relaxed);
         let instance = &self.settings.place.instance;
         Ok(RequestId::new(&format!("{instance}-{:x}-{number:x}", self.incarnation))?)
     }
 
-    /// Considers a preset; true if it is in force from now on.
+    /// Offers a preset; true if it became active.
     pub(crate) fn offer_preset(&self, preset: &Arc<ForcedPreset>) -> bool {
         let mut holder = self.holder();
         match holder.offer(preset.clone()) {
-            Adoption::Adopted if self.settled.load(Ordering::Acquire) => {
+            Adoption::Adopted if self.start_hold_over.load(Ordering::Acquire) => {
                 self.publish(preset);
                 true
             }
@@ -238,25 +240,24 @@
                 log::error!(target: "preset", revision = revision; "Two presets have the same revision.");
                 false
             }
-            Adoption::Adopted | Adoption::Known | Adoption::Older => false,
+            Adoption::Adopted | Adoption::Unchanged | Adoption::Stale => false,
         }
     }
 
-    /// Ends the hold of the start; the preset that is in force from now on, if one is known.
-    pub(crate) fn publish_held(&self) -> Option<Arc<ForcedPreset>> {
+    /// Ends the start hold and returns the preset that became active, if one is known.
+    pub(crate) fn end_start_hold(&self) -> Option<Arc<ForcedPreset>> {
         let holder = self.holder();
-        self.settled.store(true, Ordering::Release);
+        self.start_hold_over.store(true, Ordering::Release);
         let preset = holder.current()?.clone();
         self.publish(&preset);
         Some(preset)
     }
 
-    /// Whether callers may be sent here.
+    /// Whether callers may be advised to use this entry.
     ///
-    /// An entry that has just started has no preset, and then no endpoints
-    /// until agents have connected again; it would refuse whoever came. Once
-    /// it has had them it stays advised: without an endpoint of some service
-    /// it does no worse than its peers.
+    /// An entry that has just started has no preset, and then no endpoints until agents have
+    /// reconnected, so it would refuse all requests. Once it has had endpoints it stays advised:
+    /// without an endpoint of some service it does no worse than its peers.
     pub(crate) fn is_advised(&self) -> bool {
         if self.advised.load(Ordering::Relaxed) {
             return true;
@@ -266,15 +267,15 @@
         advised
     }
 
-    /// Whether a preset is in force and each of its services has an endpoint here,
-    /// or the time for them to come has passed.
+    /// Whether a preset is active and each of its services has an endpoint, or the time for agents
+    /// to connect has passed.
     fn has_endpoints(&self) -> bool {
-        let force = self.force.load();
-        let Some(preset) = force.as_ref() else {
+        let active_preset = self.active_preset.load();
+        let Some(preset) = active_preset.as_ref() else {
             return false;
         };
         let started_at = Timestamp(self.incarnation);
-        if Timestamp::now().since(started_at) > CONNECT_TIME {
+        if Timestamp::now().since(started_at) > AGENT_CONNECT_TIMEOUT {
             return true;
         }
         if let Some(routed) = &self.routed {
@@ -289,7 +290,7 @@
         })
     }
 
-    /// The highest revision heard of, even if it is not used yet.
+    /// Returns the highest known revision, even if it is not active yet.
     pub(crate) fn known_revision(&self) -> PresetRevision {
         self.holder().revision()
     }
@@ -298,22 +299,24 @@
         self.holder.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// Called under the holder's lock, so that two offers cannot publish in the
-    /// reverse of the order of their revisions.
+    /// Activates a preset.
+    ///
+    /// Called with the lock of the holder, so that two offers cannot publish in reverse order of
+    /// their revisions.
     fn publish(&self, preset: &Arc<ForcedPreset>) {
         let revision = preset.revision.0;
         if let Some(routed) = &self.routed {
-            routed.take_preset(preset);
+            routed.apply_preset(preset);
         }
-        self.force.store(Some(preset.clone()));
+        self.active_preset.store(Some(preset.clone()));
         if self.routed.is_some() {
-            // The list may be known already; without this look its endpoints
-            // would get nothing until it changes.
+            // The list may be known already; without a rebuild its endpoints would get no requests
+            // until the list changes.
             self.rebuild_routes();
         }
         self.plan_stale.store(true, Ordering::Release);
         self.metrics.revision.set(revision as i64);
-        log::info!(target: "preset", revision = revision, preset:% = preset.preset, change:% = preset.change; "A preset is in force.");
+        log::info!(target: "preset", revision = revision, preset:% = preset.preset, change:% = preset.change; "Activated a preset.");
     }
 
     /// Adds the connection to an agent.
@@ -325,7 +328,7 @@
         });
     }
 
-    /// Removes the connection to an agent, unless a newer one took its place.
+    /// Removes the connection to an agent unless a newer one has replaced it.
     pub(crate) fn remove_link(&self, link: &Arc<AgentLink>) {
         self.links.rcu(|links| {
             let mut links = HashMap::clone(links);
@@ -334,18 +337,18 @@
             }
             links
         });
-        // The agent may have connected again before the old connection's end
-        // was noticed; without this look it would vanish until its next report.
+        // The agent may have reconnected before the end of the old connection was noticed. Without
+        // this check it would be missing until its next report.
         if let Some(routed) = &self.routed {
             // Another entry may still be connected to the agent.
-            routed.overlay.note_change();
+            routed.overlay.notify_change();
         } else if !self.links.load().contains_key(&link.instance) {
-            self.roster().forget(&link.instance, link.incarnation);
+            self.roster().remove(&link.instance, link.incarnation);
             self.rebuild_routes();
         }
     }
 
-    /// The admission to a service.
+    /// Returns the admission queue of a service.
     pub(crate) fn admission(&self, service: &ServiceName) -> Arc<EntryAdmission> {
         if let Some(admission) = self.admissions.load().get(service) {
             return admission.clone();
@@ -359,12 +362,12 @@
         self.admissions.load().get(service).cloned().unwrap_or(fresh)
     }
 
-    /// Takes an agent's word of its endpoint's load.
-    pub(crate) fn hear_load(&self, agent: &InstanceId, load: &LoadReport, limit: u32) {
-        // The clocks of two machines differ; only the own one tells an age.
+    /// Updates the load of an endpoint from a message of its agent.
+    pub(crate) fn update_load(&self, agent: &InstanceId, load: &LoadReport, limit: u32) {
+        // The clocks of two machines differ, so the age is measured by the local clock.
         let load = LoadReport { measured_at: Timestamp::now(), ..*load };
         let Some(routed) = &self.routed else {
-            self.cells().of(agent).hear(&load, limit);
+            self.counters().endpoint(agent).apply_report(&load, limit);
             return;
         };
         let roster = self.roster();
@@ -372,51 +375,51 @@
             return;
         };
         let listing = routed.listing();
-        let listed = report.endpoint_addr.and_then(|a| listing.present_at(&report.service, a));
+        let listed = report.endpoint_addr.and_then(|a| listing.latest_at(&report.service, a));
         let Some(instance) = listed.map(|listed| listed.instance.clone()) else {
             return;
         };
         drop((listing, roster));
-        let cell = self.cells().of(&instance);
-        cell.hear(&load, cell.hard_limit());
+        let tracker = self.counters().endpoint(&instance);
+        tracker.apply_report(&load, tracker.hard_limit());
     }
 
-    /// Takes an endpoint out at whose address another process answers.
-    pub(crate) fn forget_listed(&self, instance: &InstanceId) {
+    /// Removes an endpoint from the list because another process answers at its address.
+    pub(crate) fn drop_listed(&self, instance: &InstanceId) {
         let Some(routed) = &self.routed else {
             return;
         };
-        let is_news = routed.listing().forget(instance);
-        if is_news {
-            log::info!(target: "list", endpoint:% = instance; "Another process answers for an endpoint.");
+        let is_new = routed.listing().forget(instance);
+        if is_new {
+            log::info!(target: "list", endpoint:% = instance; "Another process answers at the address of an endpoint.");
             self.rebuild_routes();
         }
     }
 
-    /// Publishes which endpoints requests may be routed to.
+    /// Publishes a snapshot of the endpoints that requests may be routed to.
     pub(crate) fn rebuild_routes(&self) {
         let roster = self.roster();
-        let mut cells = self.cells();
+        let mut counters = self.counters();
         let services = match &self.routed {
-            Some(routed) => self.listed_candidates(routed, &roster, &mut cells),
-            None => self.reported_candidates(&roster, &mut cells),
+            Some(routed) => self.listed_candidates(routed, &roster, &mut counters),
+            None => self.reported_candidates(&roster, &mut counters),
         };
-        cells.forget_unused();
+        counters.drop_unused();
         let routed = services.into_iter().map(|(service, candidates)| {
-            let in_flight = cells.service(&service);
+            let in_flight = counters.service(&service);
             (service, ServiceRoutes::new(candidates, in_flight))
         });
         let snapshot = RouteSnapshot::new(routed.collect());
-        // Stored under the roster's lock: a snapshot from before a word of
-        // leaving must not replace one from after it.
+        // Stored while the roster is locked: a snapshot from before an endpoint began to leave must
+        // not replace one from after it.
         self.routes.store(Arc::new(snapshot));
     }
 
-    /// Endpoints whose agents serve.
+    /// Returns the endpoints whose agents report that they serve.
     fn reported_candidates(
         &self,
         roster: &EndpointRoster,
-        cells: &mut EndpointCells,
+        counters: &mut CounterRegistry,
     ) -> ServiceCandidates {
         let own_domain = &self.settings.place.failure_domain;
         let mut services = ServiceCandidates::new();
@@ -425,73 +428,73 @@
             let EndpointState::Serving { version, .. } = &report.state else {
                 continue;
             };
-            let cell = cells.of(&report.instance);
-            if cell.limit() == 0 {
-                cell.hear(&report.load, report.limit);
+            let tracker = counters.endpoint(&report.instance);
+            if tracker.limit() == 0 {
+                tracker.apply_report(&report.load, report.limit);
             }
             services.entry(report.service.clone()).or_default().push(RouteCandidate {
                 instance: report.instance.clone(),
                 version: version.clone(),
                 is_near: report.failure_domain == *own_domain,
                 path: EndpointPath::Agent,
-                cell,
+                tracker,
             });
         }
         services
     }
 
-    /// Endpoints that the platform lists, as far as they serve.
+    /// Returns the endpoints in the platform's list that serve.
     fn listed_candidates(
         &self,
-        routed: &RoutedInterface,
+        routed: &RoutedState,
         roster: &EndpointRoster,
-        cells: &mut EndpointCells,
+        counters: &mut CounterRegistry,
     ) -> ServiceCandidates {
         let mut services = ServiceCandidates::new();
-        let Some(preset) = self.force.load_full() else {
+        let Some(preset) = self.active_preset.load_full() else {
             return services;
         };
-        let mut load_cells = HashMap::new();
+        let mut counters_by_agent = HashMap::new();
         let reports = reports_by_endpoint(roster.members().map(|member| &member.report));
         let listing = routed.listing();
         for candidate in direct_candidates(&listing, &preset, &reports) {
             let listed = candidate.listed;
-            if cells.lives.begin(&listed.instance, listed.born_at) {
-                cells.reset(&listed.instance);
-                routed.direct.keep_only(|instance| *instance != listed.instance);
+            if counters.processes.observe_start(&listed.instance, listed.born_at) {
+                counters.reset(&listed.instance);
+                routed.direct.retain_listed(|instance| *instance != listed.instance);
             }
-            let cell = cells.of(&listed.instance);
-            cell.set_limit(candidate.limit);
+            let tracker = counters.endpoint(&listed.instance);
+            tracker.set_hard_limit(candidate.limit);
             if let Some(report) = reports.get(&listed.addr) {
-                load_cells.insert(subject_of(report.instance.as_str()), cell.clone());
+                counters_by_agent.insert(subject_of(report.instance.as_str()), tracker.clone());
             }
             services.entry(listed.service.clone()).or_default().push(RouteCandidate {
                 instance: listed.instance.clone(),
                 version: candidate.version,
                 is_near: routed.settings.near_domains.contains(&listed.failure_domain),
                 path: EndpointPath::Direct(listed.addr),
-                cell,
+                tracker,
             });
         }
         let listed: HashSet<_> = listing.endpoints().map(|listed| &listed.instance).collect();
-        routed.direct.keep_only(|instance| listed.contains(instance));
-        cells.lives.keep_only(|instance| listed.contains(instance));
-        routed.load_cells.store(Arc::new(load_cells));
+        routed.direct.retain_listed(|instance| listed.contains(instance));
+        counters.processes.keep_only(|instance| listed.contains(instance));
+        routed.counters_by_agent.store(Arc::new(counters_by_agent));
         services
     }
 
-    fn cells(&self) -> MutexGuard<'_, EndpointCells> {
-        self.cells.lock().unwrap_or_else(|poison| poison.into_inner())
+    fn counters(&self) -> MutexGuard<'_, CounterRegistry> {
+        self.counters.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 }
 
 /// A connection to another entry.
 pub(crate) struct PeerLink {
-    /// Messages to it.
+    /// Sender of messages to the other entry.
     pub(crate) sender: WireSender,
-    /// Its inner address, once it has told it.
+    /// Inner address of the other entry, once its heartbeat has stated it.
     pub(crate) addr: Option<SocketAddr>,
 }
 
-/// Endpoints by the service that they belong to.
+/// Candidates by service.
 type ServiceCandidates = HashMap<ServiceName, Vec<RouteCandidate>>;
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,13 +1,12 @@
-//! Domain types that every part of cassiawheel shares.
+//! Domain types shared by all crates of cassiawheel.
 //!
-//! Nothing here performs I/O or reads a clock: identifiers, deadlines,
-//! manifests, presets, requests and settings, together with the findings that
-//! a check of operator input reports.
+//! Identifiers, deadlines, manifests, presets, requests and settings, and the
+//! findings reported by checks of operator input. Nothing here performs I/O, and
+//! only [`Timestamp::now`] reads a clock.
 
 #[macro_use]
 mod derives;
 
-pub mod callers;
 pub mod endpoint;
 pub mod finding;
 pub mod flags;
@@ -19,17 +18,18 @@
 pub mod outcome;
 pub mod preset;
 pub mod request;
+pub mod routing;
 pub mod settings;
 pub mod target;
 pub mod time;
 
-pub use callers::{CallerLimits, CallerTable, RouteKind, RouteRule, RouteShare};
 pub use endpoint::{
     EndpointReport, EndpointRole, EndpointState, LoadReport, NamedLimit, StagedWeights,
 };
-pub use finding::{FindingList, FindingPlace};
+pub use finding::{FindingList, InputFinding};
 pub use gossip::{
-    BarredRequest, CrashEvent, CrashRow, EntryRecord, GossipNews, LimitRow, LimitState, LoadRow,
+    CrashEvent, CrashRecord, EntryRecord, GossipDelta, LimitRecord, LimitState, LoadRecord,
+    QuarantinedRequest,
 };
 pub use header::HeaderField;
 pub use ids::{
@@ -42,5 +42,6 @@
 pub use outcome::{NotRunReason, OutcomeKind, RequestOutcome};
 pub use preset::{ForcedPreset, PresetContent, PresetRevision, ServiceKind, ServiceTarget};
 pub use request::{PriorityClass, Repeatability, RequestDigest, RequestHead};
-pub use target::{AgeSource, EngineProfile, ModelName, NamedVersion, OriginPlace};
+pub use routing::{CallerLimits, CallerTable, RouteKind, RouteRule, RouteShare};
+pub use target::{AgeSource, EngineProfile, ModelName, OriginPlace, TargetVersion};
 pub use time::{Deadline, Timestamp};
--- /dev/null
+++ b/crates/model/src/settings/routing.rs
@@ -0,0 +1,28 @@
+//! Settings of an entry that routes requests by the table of the preset in force.
+
+use std::{collections::BTreeSet, net::SocketAddr};
+
+use macro_rules_attribute::apply;
+
+use crate::FailureDomain;
+
+/// Settings in addition to [`super::EntrySettings`], derived from the platform's configuration.
+#[apply(record!)]
+pub struct RoutingSettings {
+    /// Address of the platform's readiness check.
+    pub listen_ready: SocketAddr,
+    /// Address at which callers request the addresses of entries.
+    pub listen_advice: SocketAddr,
+    /// Failure domains in the entry's own region.
+    pub near_domains: BTreeSet<FailureDomain>,
+    /// Number of executor threads, one for each core available to the process.
+    pub threads: usize,
+    /// Time within which every endpoint has to serve a requested version, in milliseconds.
+    pub version_ms: u64,
+    /// Heartbeat interval of listed endpoints, in milliseconds.
+    pub list_heartbeat_ms: u64,
+    /// Retry budget of a service as a ratio of its requests, over all entries.
+    pub retry_ratio: f64,
+    /// Retries of a service that are allowed in addition to the ratio, over all entries.
+    pub retry_slack: f64,
+}
--- a/crates/runtime/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -1,11 +1,11 @@
-//! HTTP listeners with limits.
+//! HTTP servers with limits on connections, sizes and times.
 //!
-//! Every listener bounds its open connections, the size of a request's head,
-//! the time a client may take to send it, and the time in which it may take
-//! nothing of its answer; a slow or greedy client thus costs one connection
-//! for a while. Size and time of bodies are bounded where they are read.
+//! Every listener limits its open connections, the size of a request head, the
+//! time to receive it, and the time for which a write to the client may stall, so
+//! a slow or greedy client occupies only one connection for a limited time. Size
+//! and time of a body are limited where it is read.
 
-mod stall;
+mod write_timeout;
 
 use std::{
     convert::Infallible, future::Future, net::SocketAddr, pin::pin, sync::Arc, time::Duration,
@@ -25,28 +25,28 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
 use crate::{ShutdownSignal, listener::accept_connections, timeout};
-use stall::StallSocket;
+use write_timeout::WriteTimeoutSocket;
 
-/// Body of every response.
+/// Body of responses.
 pub type ReplyBody = BoxBody<Bytes, std::io::Error>;
 
-/// Limits of one listener.
+/// Limits of a listener.
 #[derive(Debug, Clone, Copy)]
 pub struct ListenerLimits {
-    /// Most open connections; further ones wait in the kernel's queue.
+    /// Most open connections; further ones wait in the kernel's accept queue.
     pub connections: usize,
     /// Largest request head, in bytes.
     pub head_bytes: usize,
-    /// Longest time to receive a request's head; also ends idle connections.
-    pub head_time: Duration,
-    /// Longest time in which a client takes nothing of its answer.
-    pub write_time: Duration,
+    /// Timeout for receiving a request head, which also closes idle connections.
+    pub head_timeout: Duration,
+    /// Timeout for writes to a client that reads nothing of its answer.
+    pub write_timeout: Duration,
 }
 
-/// Longest time to receive a body, unless the caller of [`read_body_within`] says otherwise.
-pub const BODY_TIME: Duration = Duration::from_secs(10);
+/// Timeout for receiving a body with [`read_body`].
+pub const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Smallest head that the HTTP library can be limited to, in bytes.
+/// Smallest limit for a request head that the HTTP library accepts, in bytes.
 const MIN_HEAD_BYTES: usize = 8 << 10;
 
 impl Default for ListenerLimits {
@@ -54,13 +54,13 @@
         Self {
             connections: 1_024,
             head_bytes: 32 << 10,
-            head_time: Duration::from_secs(10),
-            write_time: Duration::from_secs(30),
+            head_timeout: Duration::from_secs(10),
+            write_timeout: Duration::from_secs(30),
         }
     }
 }
 
-/// Accepts connections until `shutdown`; then finishes the requests in progress.
+/// Serves connections until `shutdown`, then finishes the requests in progress.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: ListenerLimits,
@@ -92,11 +92,11 @@
         let reply = handler(request, remote);
         async move { Ok::<_, Infallible>(reply.await) }
     });
-    let socket = StallSocket::new(stream, limits.write_time);
+    let socket = WriteTimeoutSocket::new(stream, limits.write_timeout);
     let mut connection = pin!(
         hyper::server::conn::http1::Builder::new()
             .timer(SmolTimer::new())
-            .header_read_timeout(limits.head_time)
+            .header_read_timeout(limits.head_timeout)
             .max_buf_size(limits.head_bytes.max(MIN_HEAD_BYTES))
             .serve_connection(FuturesIo::new(socket), service)
     );
@@ -109,20 +109,20 @@
     }
 }
 
-/// Why a body could not be read.
+/// Error of reading a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// Longer than allowed.
+    /// The body is longer than allowed.
     TooLong,
-    /// The client stopped sending.
-    Cut,
-    /// The client took too long.
-    Slow,
+    /// The connection ended before the end of the body.
+    Truncated,
+    /// The body was not received in time.
+    TimedOut,
 }
 
-/// Reads a whole body of at most `limit` bytes within [`BODY_TIME`].
+/// Reads a whole body of at most `limit` bytes within [`BODY_TIMEOUT`].
 pub async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, BodyError> {
-    read_body_within(body, limit, BODY_TIME).await
+    read_body_within(body, limit, BODY_TIMEOUT).await
 }
 
 /// Reads a whole body of at most `limit` bytes within `span`.
@@ -132,19 +132,19 @@
     span: Duration,
 ) -> Result<Bytes, BodyError> {
     match timeout(span, Limited::new(body, limit).collect()).await {
-        None => Err(BodyError::Slow),
+        None => Err(BodyError::TimedOut),
         Some(Ok(collected)) => Ok(collected.to_bytes()),
         Some(Err(error)) if error.is::<LengthLimitError>() => Err(BodyError::TooLong),
-        Some(Err(_)) => Err(BodyError::Cut),
+        Some(Err(_)) => Err(BodyError::Truncated),
     }
 }
 
-/// A body that is known as a whole.
+/// Creates a body from bytes in memory.
 pub fn full_body(bytes: impl Into<Bytes>) -> ReplyBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed()
 }
 
-/// A response with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json_reply(status: StatusCode, value: &impl Serialize) -> Response<ReplyBody> {
     let text = serde_json::to_vec(value).unwrap_or_else(|_| b"{}".to_vec());
     let mut reply = Response::new(full_body(text));
@@ -153,16 +153,16 @@
     reply
 }
 
-/// An error body: a code for programs and a sentence for people.
+/// Body of an error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ErrorReply<'a> {
-    /// Stable code.
+    /// Stable code for programs.
     pub error: &'a str,
-    /// What is wrong and what would be right.
+    /// Description of the error for people.
     pub message: String,
 }
 
-/// A response that reports an error.
+/// Creates a response with an [`ErrorReply`].
 pub fn error_reply(
     status: StatusCode,
     error: &str,
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,7 +1,7 @@
-//! What both binaries need of their process.
+//! Process infrastructure shared by both binaries.
 //!
-//! An executor on several threads, shutdown signals, structured logs, and HTTP
-//! listeners with limits. Nothing here knows about weights or requests.
+//! A multi-threaded executor, signal handling and shutdown, structured logs, and
+//! HTTP listeners with limits. Nothing here depends on weights or routing.
 
 pub mod dial;
 pub mod executor;
@@ -14,4 +14,4 @@
 
 pub use dial::{dial, reset_on_close};
 pub use executor::{run, spawn, timeout};
-pub use shutdown::{ShutdownEnd, ShutdownSignal, ShutdownTrigger, TerminationSignals};
+pub use shutdown::{ProcessSignals, ShutdownOutcome, ShutdownSignal, ShutdownTrigger};
