--- a/crates/agent/src/endpoint.rs
+++ b/crates/agent/src/endpoint.rs
@@ -231,7 +231,7 @@
     /// Queue of messages to the entry.
     pub(crate) sender: WireSender,
     /// Schedule of load messages, as requested by the entry.
-    pub(crate) pace: LoadSchedule,
+    pub(crate) schedule: LoadSchedule,
 }
 
 /// Guard of an attempt that a graceful shutdown waits for.
--- a/crates/agent/src/entry_link.rs
+++ b/crates/agent/src/entry_link.rs
@@ -75,8 +75,8 @@
     if let Err(error) = sender.send(shared.hello()).await {
         return error;
     }
-    let pace = LoadSchedule::every_heartbeat();
-    shared.entries().push(EntryLink { addr, sender: sender.clone(), pace });
+    let schedule = LoadSchedule::every_heartbeat();
+    shared.entries().push(EntryLink { addr, sender: sender.clone(), schedule });
     shared.notify_entries_changed();
     // An entry that restarted while the table service was down may have no preset.
     if let Some(preset) = shared.holder().current().cloned() {
@@ -128,7 +128,7 @@
             start_drain(shared);
         }
         ControlMessage::ReportWanted => report::send_report_to(shared, sender),
-        ControlMessage::LoadWanted { every_ms } => set_pace(shared, sender, every_ms),
+        ControlMessage::LoadWanted { every_ms } => set_load_schedule(shared, sender, every_ms),
         ControlMessage::Entries(addrs) => {
             shared.entry_choice().set_candidates(addrs);
             shared.notify_entries_changed();
@@ -151,11 +151,11 @@
     }
 }
 
-fn set_pace(shared: &EndpointShared, sender: &WireSender, every_ms: u64) {
-    let pace = LoadSchedule::every(every_ms, Timestamp::now());
+fn set_load_schedule(shared: &EndpointShared, sender: &WireSender, every_ms: u64) {
+    let schedule = LoadSchedule::every(every_ms, Timestamp::now());
     let mut entries = shared.entries();
     for link in entries.iter_mut().filter(|link| link.sender.same_connection(sender)) {
-        link.pace = pace;
+        link.schedule = schedule;
     }
 }
 
--- a/crates/agent/src/keyed.rs
+++ b/crates/agent/src/keyed.rs
@@ -135,7 +135,7 @@
             if is_pending && self.link.latch.is_cancelled() {
                 return Err(RunFailure::NotRun(NotRunReason::Cancelled));
             }
-            let view = match step {
+            let reply = match step {
                 ClaimStep::Write(guard) => {
                     jittered_wait(wait_ms).await;
                     self.take_permit()?;
@@ -155,7 +155,7 @@
                 final_step => return Ok(final_step),
             };
             wait_ms = (wait_ms * 2).clamp(MIN_POLL_MS, MAX_POLL_MS);
-            step = self.tracker.next(view, Timestamp::now());
+            step = self.tracker.next(reply, Timestamp::now());
         }
     }
 
--- a/crates/agent/src/keyed/row.rs
+++ b/crates/agent/src/keyed/row.rs
@@ -49,9 +49,9 @@
 
 async fn read_row(shared: &EndpointShared, row: &str) -> ClaimReply {
     match shared.table.read(row).await {
-        Ok(Some(found)) => view_of_row(found),
+        Ok(Some(found)) => reply_from_row(found),
         Ok(None) => ClaimReply::Absent,
-        Err(error) => view_of_error(&error),
+        Err(error) => reply_from_error(&error),
     }
 }
 
@@ -75,14 +75,14 @@
     let write = TableWrite { key: row.to_owned(), guard, value };
     match shared.claims.write(write, bytes).await {
         Ok(WriteOutcome::Written(revision)) => ClaimReply::Written(revision),
-        Ok(WriteOutcome::Conflict(Some(found))) => view_of_row(found),
+        Ok(WriteOutcome::Conflict(Some(found))) => reply_from_row(found),
         Ok(WriteOutcome::Conflict(None)) => ClaimReply::Absent,
         Ok(WriteOutcome::Aborted) => ClaimReply::NoEffect,
-        Err(error) => view_of_error(&error),
+        Err(error) => reply_from_error(&error),
     }
 }
 
-fn view_of_row(row: TableRow) -> ClaimReply {
+fn reply_from_row(row: TableRow) -> ClaimReply {
     match serde_json::from_value(row.value) {
         Ok(record) => ClaimReply::Found { record, revision: row.revision },
         Err(error) => {
@@ -92,7 +92,7 @@
     }
 }
 
-fn view_of_error(error: &StoreError) -> ClaimReply {
+fn reply_from_error(error: &StoreError) -> ClaimReply {
     match error {
         StoreError::NoEffect(_) | StoreError::RateLimited { .. } => ClaimReply::NoEffect,
         StoreError::Unknown(_) => ClaimReply::Lost,
@@ -138,9 +138,9 @@
     spawn(async move {
         let _open = shared.open_attempt();
         let mut backoff = RowBackoff::begin();
-        let mut view = read_row(&shared, &row).await;
+        let mut reply = read_row(&shared, &row).await;
         loop {
-            view = match release_step(&released.nonce, &view) {
+            reply = match release_step(&released.nonce, &reply) {
                 ReleaseStep::Done => return,
                 ReleaseStep::Write(guard) => write(&shared, &row, &released, guard).await,
                 ReleaseStep::Poll if backoff.wait().await => read_row(&shared, &row).await,
--- a/crates/agent/src/report.rs
+++ b/crates/agent/src/report.rs
@@ -111,7 +111,7 @@
 fn send_load(shared: &EndpointShared, load: LoadReport, now: Timestamp) {
     let message = ControlMessage::Beat(load);
     shared.entries().retain_mut(|entry| {
-        !entry.pace.take_due(now) || entry.sender.try_send(message.clone()).is_ok()
+        !entry.schedule.take_due(now) || entry.sender.try_send(message.clone()).is_ok()
     });
 }
 
