--- a/crates/decide/src/roster.rs
+++ b/crates/decide/src/roster.rs
@@ -1,4 +1,4 @@
-//! Membership: which endpoints and entries one entry knows.
+//! Membership: the endpoints and entries known to one entry.
 //!
 //! This is soft state, built from heartbeats and dropped when they stop. A leave notice takes
 //! effect at once, from the process or from the platform, so that a leaving process gets no new
--- a/crates/decide/tests/direct_routing.rs
+++ b/crates/decide/tests/direct_routing.rs
@@ -200,7 +200,7 @@
 
 /// Guards against a slow endpoint whose rate limit never ends because no entry sends it a request.
 #[test]
-fn a_slow_endpoint_with_a_limit_is_asked_now_and_then() {
+fn a_slow_endpoint_with_a_limit_is_tried_now_and_then() {
     let service = Endpoints::serving(&[1, 1, 1]);
     let tracker = &service.trackers[0];
     tracker.set_pace(Some(EndpointPace::from_rate(1.0)), NOW);
@@ -212,11 +212,11 @@
     let routes = ServiceRoutes::new(candidates, Arc::new(AtomicU32::new(0)));
     let routes = RouteSnapshot::new(HashMap::from([(service.service.clone(), routes)]));
     let mut rng = SmallRng::seed_from_u64(4);
-    let mut asked = |ms: u64| {
+    let mut chosen = |ms: u64| {
         let query = service.query(Timestamp(NOW.0 + ms));
         routes.choose(&query, &mut rng).expect("one has room").candidate.instance.as_str() == "i-0"
     };
-    assert!(!(0..100).any(|step| asked(step * 10)), "not due");
-    assert!(!(0..50).any(|step| asked(1_000 + step * 10)), "slow");
-    assert!(asked(2_100), "overdue");
+    assert!(!(0..100).any(|step| chosen(step * 10)), "not due");
+    assert!(!(0..50).any(|step| chosen(1_000 + step * 10)), "slow");
+    assert!(chosen(2_100), "overdue");
 }
