--- a/crates/decide/examples/distribution.rs
+++ b/crates/decide/examples/distribution.rs
@@ -1,14 +1,14 @@
-//! Prints rounds and origin copies of chunk selection alone, beside the lower
-//! bound and two baselines: every agent from the origin, and a fixed tree.
+//! Prints rounds and origin copies of the chunk selection, compared with the lower bound and
+//! two baselines: all agents fetching from the origin, and a fixed tree.
 
 #[path = "../tests/support/rounds.rs"]
 mod rounds;
 
 use rounds::{RoundFault, RoundPlan, RoundResult, all_from_origin, fixed_tree, run_rounds};
 
-/// Agents of a run; the first argument is the most, the third the least.
+/// Numbers of agents to run; the first argument is the largest, the third the smallest.
 const SIZES: [usize; 4] = [16, 64, 230, 1_000];
-/// Chunks of a version unless the second argument says otherwise.
+/// Default number of chunks of a version; the second argument overrides it.
 const CHUNKS: usize = 2_048;
 
 fn main() {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Two agents die, one link stalls, one lies and one chunk in a hundred is corrupt.
+/// Two agents fail, one link stalls, one agent lies and one chunk in a hundred is corrupt.
 fn faulty(plan: &RoundPlan) -> RoundPlan {
     let early = plan.chunks / 4;
     RoundPlan {
@@ -52,7 +52,7 @@
     }
 }
 
-/// One agent joins when the others have a quarter; its own link alone needs the bound from then.
+/// One agent joins when the others hold a quarter; its own link alone needs the lower bound.
 fn joined(plan: &RoundPlan) -> RoundPlan {
     let faults = vec![RoundFault::Joins { agent: 5, round: plan.chunks / 4 }];
     RoundPlan { faults, ..plan.clone() }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of cassiawheel, as pure functions and state machines.
+//! The decision logic of cassiawheel, as pure functions and state machines.
 //!
-//! Nothing here performs I/O, reads a clock or draws its own random numbers:
-//! the present moment and a random generator are arguments. The same code so
-//! runs in the processes, in seeded histories and in benches.
+//! Nothing here performs I/O, reads a clock or creates random numbers: the current time and a
+//! random number generator are arguments. The same code therefore runs in the processes, in
+//! seeded simulations and in benchmarks.
 
 pub mod admit;
 pub mod advice;
--- a/crates/decide/src/listing.rs
+++ b/crates/decide/src/listing.rs
@@ -139,8 +139,8 @@
     /// Returns whether to request a snapshot from another entry now, and if so records it.
     ///
     /// Only one request is outstanding at a time. After a power loss an entry connects to
-    /// all others within milliseconds and lags behind each of them. When every one was
-    /// asked, 45 entries sent each other 46 MB of lists in half a second. Traffic between
+    /// all others within milliseconds and lags behind each of them. When all of them
+    /// got a request, 45 entries sent each other 46 MB of lists in half a second. Traffic between
     /// regions was delayed by seconds, and requests went to endpoints that had left. If
     /// the answer is lost, the next update triggers another request, or a read replaces it.
     pub fn begin_snapshot_request(&mut self, now: Timestamp) -> bool {
--- a/crates/decide/src/preset_pull.rs
+++ b/crates/decide/src/preset_pull.rs
@@ -10,12 +10,12 @@
 use cassiawheel_model::{Deadline, InstanceId, PresetRevision, Timestamp};
 use rand::{Rng, seq::IndexedRandom};
 
-/// Time for the operators' rows to deliver a preset before an entry of the same region is asked.
+/// Time for the operators' rows to deliver a preset before a request within the region.
 ///
 /// Rows arrive within 100 ms if the table service answers over an idle link.
 const ROWS_TIME: Duration = Duration::from_millis(250);
 
-/// Time for the operators' rows to deliver it before an entry of another region is asked.
+/// Time for the operators' rows to deliver it before a request to another region.
 ///
 /// Rows use the same link as the response would, and fifteen copies of 100 KB that share
 /// 40 Mbit/s with weights take a second. A change must be in force after two.
@@ -25,7 +25,7 @@
 /// of the region follow.
 const REGION_ROWS_TIME: Duration = Duration::from_millis(400);
 
-/// Additional delay of each rank in a region before an entry of another region is asked.
+/// Additional delay of each rank in a region before a request to another region.
 ///
 /// A preset of 300 KB crosses an otherwise idle link of 40 Mbit/s between regions in
 /// 60 ms. The first entry that has it serves its whole region.
@@ -39,7 +39,7 @@
 /// Timeout of a request to an entry of the same region.
 ///
 /// An entry's link of 40 Mbit/s sends 120 KB to fifteen others in 360 ms. Three
-/// unresponsive entries may be asked in sequence without a change being late.
+/// unresponsive entries may be tried in sequence without a change being late.
 const NEAR_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// First timeout of a request to an entry of another region; doubled each time.
@@ -108,7 +108,7 @@
     announced: Vec<AnnouncedRevision<H>>,
     near_request: Option<PullRequest>,
     far_request: Option<PullRequest>,
-    /// Entries asked since the last request that was answered.
+    /// Entries that got a request since the last one that was answered.
     asked: Vec<InstanceId>,
     is_running: bool,
 }
@@ -165,7 +165,7 @@
         };
         let is_near = self.announced.iter().any(|entry| entry.peer.is_near);
         let earliest = since.deadline_after(request_delay(view, is_near));
-        // An entry of the same region is asked even while a request to another region is
+        // An entry of the same region gets a request even while one to another region is
         // outstanding: its response overtakes one that crosses a congested link.
         let request = if is_near { self.near_request } else { self.far_request };
         if request.is_some_and(|request| request.known < view.known) {
@@ -195,8 +195,8 @@
         PullStep::Request(handle)
     }
 
-    /// Selects a random entry among those with the newest revision, preferably one not
-    /// asked yet, since the others may be unresponsive.
+    /// Selects a random entry among those with the newest revision, preferably one that got
+    /// no request yet, since the others may be unresponsive.
     fn select_peer(&self, is_near: bool, rng: &mut impl Rng) -> Option<&PeerRevision<H>> {
         let announced = self.announced.iter().map(|entry| &entry.peer);
         let announced: Vec<_> = announced.filter(|peer| peer.is_near == is_near).collect();
--- a/crates/decide/src/select/imports.rs
+++ b/crates/decide/src/select/imports.rs
@@ -30,7 +30,7 @@
 }
 
 impl ChunkImports {
-    /// Creates the imports of the agent `own`, which knows no other agent yet.
+    /// Creates the imports of the agent `own`, without other agents.
     pub(super) fn new(own: &str, chunks: usize) -> Self {
         Self {
             owners: ChunkOwners::new(own, chunks, false),
--- a/crates/decide/tests/chunk_regions.rs
+++ b/crates/decide/tests/chunk_regions.rs
@@ -1,5 +1,4 @@
-//! Which chunks an agent fetches from other regions and from the origin, and
-//! how many at a time.
+//! Chunk fetches from other regions and from the origin, and their concurrency.
 
 use cassiawheel_decide::{
     ChunkPicker, ChunkSource, FetchFailure, FetchOrder, PeerLocation, PickerSettings,
@@ -61,9 +60,8 @@
     found
 }
 
-/// All chunks can be had in another region only. The agents of this region
-/// share them out, so that each crosses once; links between regions are shared
-/// by everything and paid for.
+/// Chunks available only in another region are divided among the agents of this region, so
+/// that each crosses the shared, costly link once.
 #[test]
 fn each_chunk_is_imported_by_one_agent_of_a_region() {
     let names = ["own-a", "own-b", "own-c"];
@@ -81,8 +79,7 @@
     assert_eq!(imported, all);
 }
 
-/// The agent that should import a chunk does not bring it. After a while the
-/// others fetch it themselves instead of waiting for ever.
+/// If the importer of a chunk does not deliver it, the others import it after a timeout.
 #[test]
 fn an_import_that_does_not_come_is_made_up_for() {
     let all: Vec<_> = (0..CHUNKS).collect();
@@ -94,9 +91,8 @@
     assert_eq!(first + orders(&mut picker, at(900)).len(), CHUNKS);
 }
 
-/// The origin serves whoever asks at the same time at a part of its speed each.
-/// Owners ask one after another, and the first chunks are there to be swapped
-/// at once.
+/// Concurrent fetches share the origin's bandwidth. Owners fetch one after another, so that
+/// the first chunks can be exchanged early.
 #[test]
 fn the_origin_is_asked_in_turns() {
     let settings = PickerSettings { origin_chunk_ms: 30.0, ..settings("own-a") };
@@ -105,8 +101,8 @@
     assert_eq!(from(&orders(&mut picker, at(30)), &ChunkSource::Origin), [1]);
 }
 
-/// Agents in the origin's region own its chunks, since a chunk that is drawn
-/// elsewhere crosses between regions twice.
+/// Agents in the origin's region own its chunks, since a chunk fetched from elsewhere would
+/// cross between regions twice.
 #[test]
 fn agents_near_the_origin_draw_from_it() {
     let mut picker = picker(settings("own-a"));
@@ -114,9 +110,8 @@
     assert!(from(&orders(&mut picker, at(10)), &ChunkSource::Origin).is_empty());
 }
 
-/// One agent holds a chunk and its link has narrowed, so that it passes the
-/// chunk on to nobody. Another one draws it again; without this a version waits
-/// everywhere for its last chunk.
+/// Guards against all agents waiting for the last chunk when its only holder has a congested
+/// link. Another agent fetches it from the origin again.
 #[test]
 fn a_chunk_that_is_stuck_is_drawn_again() {
     let settings = PickerSettings { rescue_ms: 900, max_peer_fetches: 0, ..settings("own-a") };
@@ -127,7 +122,7 @@
     assert!(!from(&orders(&mut picker, at(1_000)), &ChunkSource::Origin).is_empty());
 }
 
-/// A chunk that spreads is left to the agents, however long it takes to arrive here.
+/// A chunk that spreads among peers is not fetched again, however long it takes to arrive.
 #[test]
 fn a_chunk_that_spreads_is_not_drawn_again() {
     let settings = PickerSettings { rescue_ms: 900, max_peer_fetches: 0, ..settings("own-a") };
@@ -139,8 +134,8 @@
     assert!(orders(&mut picker, at(5_000)).is_empty());
 }
 
-/// A link narrows while four chunks are on their way. Asking for more would
-/// lengthen the queue in which the engine's requests wait.
+/// Guards against further fetches on a link that becomes congested with four chunks in
+/// transit. They would lengthen the queue in which the engine's requests wait.
 #[test]
 fn fewer_chunks_are_asked_for_when_they_are_late() {
     let settings = PickerSettings { queue_ms: 350, max_peer_fetches: 4, ..settings("own-a") };
@@ -155,9 +150,9 @@
     assert_eq!(orders(&mut picker, at(1_440)).len(), 1);
 }
 
-/// A link narrows while an agent draws from the origin, which sends a chunk as a
-/// whole. With two on their way the word that a caller has left arrives half a
-/// second too late, and the engine works for nobody.
+/// Guards against two concurrent fetches from the origin on a congested link. The origin sends
+/// each chunk in one piece; with two, the notice that a caller has disconnected arrived half
+/// a second late and the engine kept working on its request.
 #[test]
 fn one_chunk_at_a_time_is_drawn_over_links_that_may_narrow() {
     let mut narrow = picker(PickerSettings { queue_ms: 350, ..settings("own-a") });
@@ -166,9 +161,8 @@
     assert_eq!(orders(&mut wide, at(10)).len(), 2);
 }
 
-/// One agent holds a chunk that all others want, and has no free slot. Asked
-/// again after a few milliseconds by each of them it answers thousands of
-/// questions for one chunk, on the link over which it sends it.
+/// Guards against retries every few milliseconds at the single, busy holder of a chunk. It
+/// would answer thousands of requests on the link over which it sends the chunk.
 #[test]
 fn a_busy_holder_is_asked_less_and_less_often() {
     let mut picker = picker(settings("own"));
@@ -185,9 +179,8 @@
     assert!((4..=8).contains(&asked), "asked {asked} times");
 }
 
-/// An owner is paused before its turn at the origin, while the others bring
-/// theirs. Nobody knows yet that it is gone, and callers wait for a version of
-/// which a few chunks are missing everywhere. The next agent draws them.
+/// Guards against all agents waiting for the chunks of an owner that was paused before they
+/// were due. The agent with the next rank fetches them before the owner counts as silent.
 #[test]
 fn chunks_of_a_paused_owner_are_drawn_by_the_next() {
     let settings = PickerSettings { origin_chunk_ms: 10.0, ..settings("own-a") };
@@ -202,8 +195,8 @@
     assert_eq!(drawn_by_turn(&mut picker, 1_000), missing);
 }
 
-/// The origin itself is slow or away, and no owner is to blame. If all agents
-/// then asked for each other's chunks, it would have to send each several times.
+/// Guards against agents that fetch each other's chunks because the origin itself is slow or
+/// down. It would have to send each chunk several times.
 #[test]
 fn nothing_is_drawn_twice_from_a_slow_origin() {
     let settings = PickerSettings { origin_chunk_ms: 10.0, ..settings("own-a") };
@@ -221,7 +214,7 @@
     assert!(asked.len() < CHUNKS, "it asked for all chunks");
 }
 
-/// Draws until `until_ms`, each chunk at once; the chunks that were drawn.
+/// Runs fetches until `until_ms`, each completing at once; returns the chunks fetched.
 fn drawn_by_turn(picker: &mut ChunkPicker, until_ms: u64) -> Vec<usize> {
     let mut drawn = Vec::new();
     for ms in 0..until_ms {
@@ -236,9 +229,8 @@
     drawn
 }
 
-/// An import took longer than it should, so that each agent of the region may
-/// fetch the chunk from afar. Once one of them has it the others turn to that
-/// one; if all went on, a version would cross the shared link several times.
+/// Guards against several imports of an overdue chunk. Once one agent of the region has it,
+/// the others fetch it there; otherwise a version crosses the shared link several times.
 #[test]
 fn an_overdue_import_ends_with_the_first_copy() {
     let all: Vec<_> = (0..CHUNKS).collect();
@@ -254,9 +246,9 @@
     assert_eq!(from(&second, &ChunkSource::Peer(instance("own-b"))), lacking);
 }
 
-/// A link narrows so far that no chunk comes in time. Asking for four others
-/// again and again keeps the link full: a request for the engine waits there for
-/// two seconds, and so does the word that its caller has left.
+/// Guards against a congested link that is kept full by retries while no chunk arrives in
+/// time. A request for the engine, or the notice that its caller disconnected, waited two
+/// seconds.
 #[test]
 fn fewer_chunks_are_asked_for_after_none_came_in_time() {
     let settings = PickerSettings { queue_ms: 350, max_peer_fetches: 4, ..settings("own-a") };
@@ -271,8 +263,8 @@
     assert_eq!(orders(&mut picker, at(1_500)).len(), 1);
 }
 
-/// One agent is paused, and the chunk that it was asked for is late; those of the
-/// others come. The link is as wide as before and is used in full.
+/// A single paused peer that causes a timeout does not reduce the concurrency, since chunks of
+/// the other peers arrive.
 #[test]
 fn one_late_agent_is_no_narrow_link() {
     let settings = PickerSettings {
@@ -292,9 +284,8 @@
     assert_eq!(orders(&mut picker, at(1_500)).len(), 4);
 }
 
-/// The origin goes away for some seconds and all agents fail at it again and
-/// again. It returns, and the engines serve nothing until the last chunks have
-/// been drawn: nobody may be in the middle of a wait of seconds then.
+/// Guards against a backoff of seconds at all agents when the origin recovers from an outage,
+/// while engines serve nothing until the last chunks arrive.
 #[test]
 fn an_origin_that_returns_is_asked_within_a_third_of_a_second() {
     let mut picker = picker(settings("own-a"));
@@ -312,10 +303,9 @@
     assert!(last_try > 5_600, "the last try was at {last_try} ms");
 }
 
-/// The origin returns after some seconds, and one of a large group is the first
-/// to be served. The others hear of its chunk and go on at once, each with the
-/// chunks that it owns and one after another: what is overdue by the old turns is
-/// not drawn by everybody, while every engine waits for the last chunks.
+/// Guards against duplicate fetches after an outage of the origin. When the first chunk of
+/// one agent is announced, the others continue at once, each with its own chunks on a new
+/// schedule, instead of all fetching what is overdue by the old one.
 #[test]
 fn the_first_chunk_of_an_origin_that_returns_starts_new_turns() {
     let names: Vec<_> = (0..8).map(|number| format!("own-{number}")).collect();
@@ -351,9 +341,9 @@
     assert!(all >= CHUNKS / 3, "{all} chunks are drawn within 0.4 s");
 }
 
-/// The origin takes connections and sends nothing. Every owner's turn comes all the same;
-/// if each drew, the origin would soon have no connection left, and after a loss of power
-/// it would keep them all. An agent waits until another one's draw has ended.
+/// Guards against exhausting the connections of an origin that accepts them but sends nothing.
+/// Chunks become due all the same, and after a power loss the connections would stay open. An
+/// agent waits until the fetch of another one has ended.
 #[test]
 fn agents_leave_the_origin_most_of_its_connections() {
     let settings =
--- a/crates/decide/tests/distribution.rs
+++ b/crates/decide/tests/distribution.rs
@@ -1,8 +1,8 @@
-//! Rounds and origin copies of chunk selection, with and without faults.
+//! Rounds and origin copies of the chunk selection, with and without faults.
 //!
-//! All verdicts are counts of seeded runs, so they are the same every time.
-//! `cargo run --release -p cassiawheel-decide --example distribution` prints
-//! the figures at full size.
+//! All results are counts of seeded runs and therefore reproducible.
+//! `cargo run --release -p cassiawheel-decide --example distribution` prints the results at
+//! full size.
 
 #[path = "support/rounds.rs"]
 mod rounds;
@@ -26,7 +26,7 @@
 #[case(16, 2_048, 1.15)]
 #[case(64, 2_048, 1.15)]
 #[case(230, 512, 1.25)]
-// So few chunks make the start weigh more; the example runs 2,048.
+// With so few chunks the startup weighs more; the example runs 2,048.
 #[case(1_000, 64, 2.0)]
 fn one_copy_reaches_everyone_near_the_bound(
     #[case] agents: usize,
@@ -48,26 +48,25 @@
     assert!(result.origin_copies() <= 4.0, "{result:?}");
 }
 
-/// An agent dies after it has begun to draw its share of the chunks. Without a
-/// new owner for them, no replica would ever have the whole version.
+/// Guards against chunks without an owner after an agent fails during its fetches from the
+/// origin. No replica would ever have the whole version.
 #[rstest]
 #[case::early(&[RoundFault::Dies { agent: 1, round: 20 }])]
 #[case::two(&[
     RoundFault::Dies { agent: 1, round: 60 },
     RoundFault::Dies { agent: 2, round: 200 },
 ])]
-/// A link stalls while its connections stay open, so that nobody is told; the
-/// version would arrive minutes late or never.
+/// Guards against a link that stalls without closing its connections, which would delay the
+/// version by minutes or forever.
 #[case::stalled(&[RoundFault::Stalls { agent: 3, round: 60 }])]
 #[case::two_stalled(&[
     RoundFault::Stalls { agent: 3, round: 10 },
     RoundFault::Stalls { agent: 4, round: 100 },
 ])]
-/// An agent says that it holds everything and has nothing to send, so that
-/// nobody would draw the chunks from the origin.
+/// Guards against an agent that announces all chunks but sends none, so that no agent would
+/// fetch them from the origin.
 #[case::lying(&[RoundFault::Lies { agent: 5 }])]
-/// An agent joins when the others hold half; what they hold must not be drawn
-/// from the origin again.
+/// An agent that joins when the others hold half must not fetch that half from the origin.
 #[case::joining(&[RoundFault::Joins { agent: 6, round: 300 }])]
 #[case::dead_and_stalled(&[
     RoundFault::Dies { agent: 1, round: 100 },
@@ -89,14 +88,13 @@
     let plan = RoundPlan { faults: faults.to_vec(), corrupt, ..RoundPlan::new(16, 512, seed) };
     let result = completed(&plan);
     let joined = faults.iter().any(|fault| matches!(fault, RoundFault::Joins { .. }));
-    // One that joins after 300 rounds needs 512 more for its own link alone.
+    // An agent that joins after 300 rounds needs 512 more for its own link alone.
     let most = if joined { (300.0 + 512.0 * 1.3) / 512.0 } else { 1.5 };
     assert!(result.time_ratio() <= most, "{result:?}");
     assert!(result.origin_copies() <= 1.25, "{result:?}");
 }
 
-/// The origin is down while one agent holds the whole version. The others must
-/// get it from that agent, and the origin sends nothing at all.
+/// While the origin is down, all agents get the version from the one that holds all of it.
 #[rstest]
 fn peers_serve_while_the_origin_is_down() {
     let plan =
@@ -106,8 +104,8 @@
     assert!(result.time_ratio() <= 1.5, "{result:?}");
 }
 
-/// The origin sends nothing for a while in the midst of a transfer. When it is
-/// back, the agents must not all draw the same chunks.
+/// Guards against duplicate fetches by all agents after an outage of the origin during a
+/// transfer.
 #[rstest]
 fn an_origin_that_returns_is_not_drawn_twice() {
     let plan = RoundPlan { origin_down: 50..400, ..RoundPlan::new(16, 512, 5) };
@@ -136,8 +134,8 @@
     ChunkPicker::new(settings, chunks, Timestamp(0))
 }
 
-/// An agent restarts late in a transfer, and the others hold all that it
-/// misses. Until they have told so, it must not turn to the origin.
+/// An agent that restarts late in a transfer must not use the origin before the others have
+/// announced their chunks.
 #[rstest]
 fn a_late_joiner_waits_for_the_lists_of_its_peers() {
     let mut rng = SmallRng::seed_from_u64(6);
@@ -152,8 +150,7 @@
     assert_eq!(order.source, ChunkSource::Peer(instance(1)));
 }
 
-/// A listed agent never answers. The version must come from the origin all the
-/// same, soon after.
+/// A listed agent that never answers must not delay the fetches from the origin for long.
 #[rstest]
 fn a_peer_that_never_answers_does_not_block_the_origin() {
     let mut rng = SmallRng::seed_from_u64(7);
@@ -163,8 +160,8 @@
     assert_eq!(order.source, ChunkSource::Origin);
 }
 
-/// Another agent is drawing a chunk when this one joins and ranks before it.
-/// The origin would send that chunk twice.
+/// Guards against fetching a chunk twice from the origin when an agent with a higher rank
+/// joins while another one is fetching it.
 #[rstest]
 fn a_chunk_that_another_draws_is_left_to_it() {
     let mut rng = SmallRng::seed_from_u64(8);
@@ -187,8 +184,8 @@
 }
 
 proptest! {
-    // A fixed seed gives the same verdict every time; PROPTEST_RNG_SEED and
-    // PROPTEST_CASES search elsewhere.
+    // A fixed seed makes the result reproducible; PROPTEST_RNG_SEED and PROPTEST_CASES
+    // select other cases.
     #![proptest_config(ProptestConfig {
         cases: 64,
         rng_seed: RngSeed::Fixed(1),
@@ -196,7 +193,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Without faults no chunk is drawn twice, whatever the sizes.
+    /// Without faults no chunk is fetched from the origin twice, for any size.
     #[test]
     fn no_chunk_is_drawn_twice_without_faults(
         agents in 2_usize..24,
@@ -208,7 +205,7 @@
         prop_assert_eq!(result.max_copies, 1);
     }
 
-    /// Extra draws of all agents together stay within the copies allowed.
+    /// The additional copies of all agents together stay within the limit.
     #[test]
     fn extra_draws_stay_within_the_budget(
         agents in 2_usize..24,
@@ -220,12 +217,12 @@
         let plan = RoundPlan { extra_copies, ..RoundPlan::new(agents, chunks, seed) };
         let result = run_rounds(&plan);
         prop_assert!(result.complete, "{:?}", result);
-        // Each agent may round its part up to one more chunk.
+        // Each agent may round its share up by one chunk.
         let most = chunks as f64 * (1.0 + extra_copies) + agents as f64;
         prop_assert!(result.origin_chunks as f64 <= most, "{:?}", result);
     }
 
-    /// Whoever lives gets everything while the origin lives, whatever else fails.
+    /// All live agents get the version while the origin is up, whatever else fails.
     #[test]
     fn a_living_origin_suffices(
         agents in 4_usize..16,
@@ -238,7 +235,7 @@
         prop_assert!(result.complete, "{:?}", result);
     }
 
-    /// Whoever lives gets everything while one whole copy lives at a peer.
+    /// All live agents get the version while one live peer holds all of it.
     #[test]
     fn a_living_full_holder_suffices(
         agents in 4_usize..16,
@@ -259,14 +256,14 @@
     }
 }
 
-/// Links of 9.4 Mbit/s that requests share, with chunks of 48 KB.
+/// Links of 9.4 Mbit/s, shared with requests, and chunks of 48 KB.
 const NARROW: LinkProfile =
     LinkProfile { round_ms: 42, max_peer_fetches: 4, upload_slots: 4, in_turns: true };
 
-/// After a loss of power no engine holds anything, and callers are refused until engines
-/// serve again. Half of them have to hold the version within 1.4 times the least time: one
-/// copy through the origin's link, which is hardly wider than the agents', and then the
-/// swarm, in which the holders of a chunk double with each round. So on any size.
+/// After a power loss no engine holds any chunk, and callers are refused until engines serve
+/// again. At every size half of the agents must hold the version within 1.4 times the lower
+/// bound: one copy over the origin's link, which is hardly faster than the agents' links, and
+/// then the exchange, in which the holders of a chunk double with each round.
 #[rstest]
 #[case(25)]
 #[case(98)]
--- a/crates/decide/tests/history/check.rs
+++ b/crates/decide/tests/history/check.rs
@@ -1,4 +1,4 @@
-//! What must hold in a history.
+//! Invariants of a history.
 
 use std::collections::BTreeMap;
 
@@ -10,21 +10,21 @@
 
 use super::world::{OperationKind, World};
 
-/// Broken promises, counted.
+/// Counts of violated invariants.
 #[derive(Debug, Default, Clone)]
 pub struct Violations {
-    /// A process or an answer went back to an earlier revision.
+    /// A process or an answer reverted to an earlier revision.
     pub reverts: u64,
-    /// Two presets with one revision were in force.
+    /// Two presets with the same revision were in force.
     pub two_in_force: u64,
-    /// Accepted changes that are missing in the history or not in force everywhere in the end.
+    /// Accepted changes missing in the history or not in force everywhere at the end.
     pub lost: u64,
-    /// Changes that were made although refused, or made twice.
+    /// Changes that took effect although refused, or took effect twice.
     pub false_answers: u64,
-    /// Requests that a restarted entry routed under an older preset than its
-    /// predecessor; agents refuse them, so callers wait a little longer.
+    /// Requests that a restarted entry routed under an older preset than its predecessor.
+    /// Agents refuse them, which delays callers slightly.
     pub stale_dispatches: u64,
-    /// Changes that operators were told are accepted.
+    /// Changes reported to operators as accepted.
     pub accepted: u64,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Counts the broken promises of a history that has ended.
+/// Counts the violated invariants of a completed history.
 pub fn violations(world: &World) -> Violations {
     let mut found = Violations {
         reverts: world.reverts,
@@ -74,7 +74,7 @@
     found
 }
 
-/// The preset in force as one register: each change takes the next revision.
+/// Specification of the preset in force as a register: each change takes the next revision.
 struct PresetRegister;
 
 impl Specification for PresetRegister {
@@ -94,11 +94,11 @@
     }
 }
 
-/// Whether some order of the operations explains what operators and entries were told.
+/// Whether some sequential order of the operations explains all reported results.
 pub fn is_linearizable(world: &World) -> bool {
     let mut actions = Vec::new();
     for (process, operation) in world.operations.iter().enumerate() {
-        // An operation whose end is unknown may take effect until the end.
+        // An operation with an unknown outcome may take effect until the end.
         let Some((ended_at, outcome)) = operation.outcome(&world.store) else {
             continue;
         };
--- a/crates/decide/tests/history/store.rs
+++ b/crates/decide/tests/history/store.rs
@@ -1,4 +1,4 @@
-//! A table service in memory that keeps its past, so that reads can be stale.
+//! An in-memory table service that keeps old states, so that reads can be stale.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -8,7 +8,7 @@
 
 use super::Guard;
 
-/// A call on its way to the table service.
+/// A call to the table service.
 #[derive(Debug, Clone)]
 pub enum StoreCall {
     Record(ChangeId),
@@ -18,14 +18,14 @@
     Refuse { change: ChangeId, record: ChangeRecord },
 }
 
-/// Rows of the presets.
+/// Rows that concern presets.
 #[derive(Debug, Default)]
 pub struct ModelStore {
     force: Option<ForceRow>,
     past: Vec<ForceRow>,
     records: BTreeMap<ChangeId, ChangeRecord>,
     pub changes: BTreeMap<PresetRevision, Arc<ForcedPreset>>,
-    /// Changes that took effect, in their order, also those that a missing guard let through.
+    /// Changes that took effect, in order, including those that a disabled guard admitted.
     pub effects: Vec<Arc<ForcedPreset>>,
 }
 
@@ -34,7 +34,7 @@
         self.force.as_ref()
     }
 
-    /// Carries a call out.
+    /// Executes a call.
     pub fn carry_out(
         &mut self,
         call: StoreCall,
--- a/crates/decide/tests/history/world.rs
+++ b/crates/decide/tests/history/world.rs
@@ -1,4 +1,4 @@
-//! Entries, agents and operators that exchange delayed messages.
+//! Simulated entries, agents and operators that exchange delayed messages.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,17 +25,17 @@
 const OPERATORS: usize = 2;
 const ROUNDS: usize = 5;
 
-/// Times in milliseconds, as in the processes where they have such a time.
+/// Times in milliseconds, equal to those of the processes where these have them.
 const POLL: u64 = 1_000;
 const BEAT: u64 = 250;
 const DISPATCH: u64 = 100;
 const STORE_TIMEOUT: u64 = 2_000;
-/// Patient and impatient operators; some ask again while a write is on its way.
+/// Timeouts of operators; with the short ones they retry while a write is in flight.
 const ASK_TIMEOUTS: std::ops::Range<u64> = 1_000..8_000;
 const ENTRY_HOLD: u64 = 1_000;
 const AGENT_HOLD: u64 = 2_000;
 
-/// Share of writes that the table service turns away.
+/// Share of writes that the table service rejects.
 const RATE_LIMITED: f64 = 0.05;
 
 const FAULTS_END: u64 = 12_000;
@@ -66,7 +66,7 @@
 ];
 
 impl FaultKind {
-    /// The two faults of a history; over the seeds every pair comes up.
+    /// The two faults of a history; the seeds cover every pair.
     pub fn pair(seed: u64) -> [Self; 2] {
         let kinds = KINDS.len() as u64;
         [KINDS[(seed % kinds) as usize], KINDS[(seed / kinds % kinds) as usize]]
@@ -91,13 +91,13 @@
     settled: bool,
     gate: GateState,
     writers: BTreeMap<u64, ChangeWriter>,
-    /// The highest revision of an answer or dispatch, over all processes at the instance.
+    /// The highest revision of an answer or dispatch, over all processes of the instance.
     worked: PresetRevision,
 }
 
 #[derive(Debug, Clone)]
 enum Message {
-    /// First word over a new connection.
+    /// First message on a new connection.
     Greeting(Option<Arc<ForcedPreset>>),
     Force(Arc<ForcedPreset>),
     Beat(PresetRevision),
@@ -118,21 +118,21 @@
     AskTimeout { operation: usize, ask: u64 },
 }
 
-/// Who waits for an answer of the table service.
+/// The caller of a call to the table service.
 #[derive(Debug, Clone, Copy)]
 struct StoreCaller {
     node: NodeIndex,
     incarnation: u64,
-    /// The call's number, by which a timeout and a late answer are told apart.
+    /// Number of the call, which distinguishes a timeout from a late response.
     call: u64,
-    /// The ask whose writer waits; none for a poll.
+    /// The attempt whose writer made the call; none for a poll.
     ask: Option<(usize, u64)>,
 }
 
-/// What an operation on the preset in force did.
+/// An operation on the preset in force and its effect.
 #[derive(Debug, Clone, Copy)]
 pub enum OperationKind {
-    /// A change and its revision, if it was made.
+    /// A change and its revision, if it took effect.
     Change(Option<u64>),
     /// A read and the revision that it found.
     Read(u64),
@@ -147,7 +147,7 @@
 }
 
 impl Operation {
-    /// When it ended and how; none if it had no effect that anybody was told of.
+    /// When and how it ended; none if no effect was reported.
     pub fn outcome(&self, store: &ModelStore) -> Option<(u64, OperationKind)> {
         if self.ended.is_some() {
             return self.ended;
@@ -158,7 +158,7 @@
     }
 }
 
-/// Everything in one history.
+/// State of one simulated history.
 pub struct World {
     rng: SmallRng,
     now: u64,
@@ -342,7 +342,7 @@
         self.rng.random_range(1..8)
     }
 
-    /// A call may arrive long after its caller has given it up.
+    /// Delay of a call, which may exceed the timeout of its caller.
     fn call_delay(&mut self) -> u64 {
         if self.is_struck(FaultKind::SlowMessages) && self.rng.random_bool(0.5) {
             return self.rng.random_range(1..3 * STORE_TIMEOUT);
@@ -351,7 +351,7 @@
     }
 
     fn send(&mut self, from: NodeIndex, to: NodeIndex, message: Message) {
-        // A full queue swallows a push now and then.
+        // A full queue sometimes drops a push.
         let swallowed = matches!(message, Message::Force(_)) && self.rng.random_bool(0.05);
         if swallowed || self.is_cut(from, to) {
             return;
@@ -361,7 +361,7 @@
         self.at(at, Event::Deliver { from, to, incarnation, message });
     }
 
-    /// The preset that a process works under.
+    /// The preset that a process uses.
     fn in_use(&self, node: NodeIndex) -> Option<Arc<ForcedPreset>> {
         let node = &self.nodes[node];
         node.holder.current().filter(|_| node.settled).cloned()
@@ -411,7 +411,7 @@
 
     fn restart(&mut self, node: NodeIndex) {
         let (incarnation, worked) = (self.nodes[node].incarnation + 1, self.nodes[node].worked);
-        // Timers of the earlier process belong to it.
+        // Timers of the previous process do not apply to the new one.
         self.queue.retain(|_, event| {
             !matches!(event, Event::Poll(n) | Event::Beat(n) | Event::Dispatch(n)
                 | Event::Settle(n) if *n == node)
@@ -536,7 +536,7 @@
         let is_read = matches!(call, StoreCall::Force);
         let answers_at = self.now + self.call_delay();
         if self.is_struck(FaultKind::Outage) {
-            // Refused before it took effect, or it hangs until the timeout.
+            // Refused without effect, or unanswered until the timeout.
             if self.rng.random_bool(0.5) {
                 let answer = ChangeAnswer::NoEffect("refused".to_owned());
                 self.at(answers_at, Event::CallAnswered { caller, answer, read_from: None });
@@ -619,25 +619,25 @@
             ChangeStep::ReadForce => StoreCall::Force,
             ChangeStep::Write { preset, guard } => StoreCall::Write { preset, guard },
             ChangeStep::Refuse(record) => StoreCall::Refuse { change, record },
-            ChangeStep::Done(verdict) => {
-                if let ChangeOutcome::Accepted(preset) = &verdict {
+            ChangeStep::Done(reported) => {
+                if let ChangeOutcome::Accepted(preset) = &reported {
                     self.offer(node, preset);
                 }
-                return self.conclude(operation, ask, verdict);
+                return self.conclude(operation, ask, reported);
             }
         };
         self.call_store(node, Some((operation, ask)), call);
     }
 
-    /// An operator hears a verdict, or asks again by the same id if it is unknown.
-    fn conclude(&mut self, operation: usize, ask: u64, verdict: ChangeOutcome) {
+    /// Reports the outcome to an operator, which retries with the same id if it is unknown.
+    fn conclude(&mut self, operation: usize, ask: u64, reported: ChangeOutcome) {
         let asked = &self.operations[operation];
         if asked.ended.is_some() || asked.asks != ask {
             return;
         }
         let now = self.now;
         let change = asked.change.clone().expect("operators change");
-        let outcome = match &verdict {
+        let outcome = match &reported {
             ChangeOutcome::Accepted(preset) => OperationKind::Change(Some(preset.revision.0)),
             ChangeOutcome::Conflict(_) | ChangeOutcome::NotAccepted(_) => {
                 OperationKind::Change(None)
@@ -649,7 +649,7 @@
             }
         };
         self.operations[operation].ended = Some((now, outcome));
-        self.verdicts.push((change, verdict));
+        self.verdicts.push((change, reported));
     }
 }
 
--- a/crates/decide/tests/keyed_history/world.rs
+++ b/crates/decide/tests/keyed_history/world.rs
@@ -1,5 +1,5 @@
-//! A small world of callers, entries, agents, a table service and a plain
-//! service, driven by the shipped decisions and one seeded order of events.
+//! A simulation of callers, entries, agents, a table service and a plain service that runs the
+//! production decision logic with a seeded order of events.
 
 use std::{cmp::Reverse, collections::BinaryHeap};
 
@@ -17,7 +17,7 @@
 const CLAIM_TIME: u64 = 200;
 const DEADLINE: u64 = 400;
 
-/// A guard that is switched off, to show that its loss is noticed.
+/// A guard that is disabled to verify that the checks detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MissingGuard {
     None,
@@ -40,7 +40,7 @@
     EntryGone(usize),
 }
 
-/// What a caller was told.
+/// The response that a caller received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Told {
     Complete(String),
@@ -182,7 +182,7 @@
         index
     }
 
-    /// Runs until nothing is left to happen; true if it settled.
+    /// Runs until no event is left; returns whether that state was reached.
     pub fn run(&mut self) -> bool {
         for _ in 0..20_000 {
             let Some(Reverse((at, index))) = self.events.pop() else {
@@ -220,12 +220,12 @@
                 self.try_agent(request);
             }
             Event::Try(request) => self.try_agent(request),
-            Event::Word(attempt, word) => self.hear_word(attempt, word),
+            Event::Word(attempt, word) => self.receive_response(attempt, word),
             Event::Deadline(request) => self.reach_deadline(request),
             Event::Effect(attempt) => self.attempts[attempt].effects += 1,
             Event::Apply(attempt, call) => {
-                let view = self.apply(attempt, &call);
-                self.soon(Event::Answer(attempt, call, view));
+                let reply = self.apply(attempt, &call);
+                self.soon(Event::Answer(attempt, call, reply));
             }
             Event::ApplyUnheard(attempt, call) => drop(self.apply(attempt, &call)),
             Event::Begin(fault) => self.begin(fault),
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Lets a paused agent see the event later, and a dead one never.
+    /// Defers the event for a paused agent and drops it for a failed one.
     fn at_agent(&mut self, attempt: usize, event: Event) {
         let agent = &self.agents[self.attempts[attempt].agent];
         if agent.incarnation != self.attempts[attempt].incarnation {
@@ -252,13 +252,13 @@
             Event::Dispatch(attempt) => self.dispatched(attempt),
             Event::RunEnds(attempt) => self.run_ended(attempt),
             Event::Send(attempt, call) => self.send(attempt, call),
-            Event::Answer(attempt, call, view) => self.answered(attempt, call, view),
+            Event::Answer(attempt, call, reply) => self.answered(attempt, call, reply),
             Event::Cancel(attempt) => drop(self.attempts[attempt].latch.cancel()),
             _ => unreachable!("not an event at an agent"),
         }
     }
 
-    // The entry.
+    // Entry.
 
     fn try_agent(&mut self, index: usize) {
         let request = &mut self.requests[index];
@@ -290,10 +290,10 @@
         self.soon(Event::Dispatch(number));
     }
 
-    fn hear_word(&mut self, attempt: usize, word: Result<String, AttemptFailure>) {
+    fn receive_response(&mut self, attempt: usize, word: Result<String, AttemptFailure>) {
         let index = self.attempts[attempt].request;
         let request = &self.requests[index];
-        // The answer of an abandoned attempt is late.
+        // Late response of an abandoned attempt.
         if request.told.is_some() || request.attempts.last() != Some(&attempt) {
             return;
         }
@@ -339,7 +339,7 @@
         }
     }
 
-    // The agent.
+    // Agent.
 
     fn dispatched(&mut self, attempt: usize) {
         let request = &self.requests[self.attempts[attempt].request];
@@ -414,12 +414,12 @@
             | StoreCall::ReleaseLook => {}
         }
         if self.store_down > 0 {
-            let view =
+            let reply =
                 if self.rng.random_bool(0.5) { ClaimReply::NoEffect } else { ClaimReply::Lost };
-            return self.soon(Event::Answer(attempt, call, view));
+            return self.soon(Event::Answer(attempt, call, reply));
         }
         if self.store_slow > 0 && self.rng.random_bool(0.5) {
-            // The client gives up on a write that takes effect long after.
+            // The client times out on a write that takes effect long after.
             let late = self.now + self.rng.random_range(50..1_500);
             self.at(late, Event::ApplyUnheard(attempt, call.clone()));
             return self.at(self.now + 50, Event::Answer(attempt, call, ClaimReply::Lost));
@@ -427,13 +427,13 @@
         self.soon(Event::Apply(attempt, call));
     }
 
-    fn answered(&mut self, attempt: usize, call: StoreCall, view: ClaimReply) {
+    fn answered(&mut self, attempt: usize, call: StoreCall, reply: ClaimReply) {
         let again = |call| Event::Send(attempt, call);
         match call {
-            // The answer of a call that was given up on before.
+            // Late response to a call that has timed out.
             StoreCall::Claim(_) | StoreCall::Look if self.attempts[attempt].ended => {}
-            StoreCall::Claim(_) | StoreCall::Look => self.claim_step(attempt, view),
-            StoreCall::Settle(state, revision) => match view {
+            StoreCall::Claim(_) | StoreCall::Look => self.claim_step(attempt, reply),
+            StoreCall::Settle(state, revision) => match reply {
                 ClaimReply::NoEffect | ClaimReply::Lost => {
                     self.at(self.now + 60, again(StoreCall::Settle(state, revision)));
                 }
@@ -441,7 +441,7 @@
             },
             StoreCall::Release(_) | StoreCall::ReleaseLook => {
                 let nonce = self.attempts[attempt].tracker.record().nonce.clone();
-                match release_step(&nonce, &view) {
+                match release_step(&nonce, &reply) {
                     ReleaseStep::Done => {}
                     ReleaseStep::Write(guard) => self.soon(again(StoreCall::Release(guard))),
                     ReleaseStep::Poll => self.at(self.now + 60, again(StoreCall::ReleaseLook)),
@@ -450,19 +450,19 @@
         }
     }
 
-    fn claim_step(&mut self, attempt: usize, view: ClaimReply) {
+    fn claim_step(&mut self, attempt: usize, reply: ClaimReply) {
         if self.attempts[attempt].latch.is_cancelled() {
-            // The shipped loop looks at the latch before each call and keeps
-            // what the last answer said.
+            // The production loop checks the latch before each call and keeps the last
+            // response.
             let now = self.stamp();
-            let step = self.attempts[attempt].tracker.next(view, now);
+            let step = self.attempts[attempt].tracker.next(reply, now);
             return match step {
                 ClaimStep::Run(revision) => self.begin_run(attempt, revision),
                 _ => self.refuse(attempt, NotRunReason::Cancelled),
             };
         }
         let now = self.stamp();
-        let step = self.attempts[attempt].tracker.next(view, now);
+        let step = self.attempts[attempt].tracker.next(reply, now);
         let held = self.attempts[attempt].tracker.waits_for_other();
         if held && self.missing == MissingGuard::HeldClaimStays {
             return self.begin_run(attempt, 1);
@@ -493,7 +493,7 @@
             return self.refuse(index, reason);
         }
         if self.rng.random_bool(0.1) {
-            // The service cannot be reached, so it is known that nothing ran.
+            // The service is unreachable, so nothing ran.
             self.settle(index, ClaimState::Released, revision);
             return self.refuse(index, NotRunReason::ConnectFailed);
         }
@@ -532,7 +532,7 @@
         self.soon(Event::Send(attempt, StoreCall::Settle(state, revision)));
     }
 
-    // The table service.
+    // Table service.
 
     fn apply(&mut self, attempt: usize, call: &StoreCall) -> ClaimReply {
         let key = self.requests[self.attempts[attempt].request].key;
@@ -547,7 +547,7 @@
         };
         let row = &mut self.rows[key];
         let revision = row.as_ref().map(|(_, revision)| *revision);
-        let mut view = match row {
+        let mut reply = match row {
             Some((record, revision)) => {
                 ClaimReply::Found { record: record.clone(), revision: *revision }
             }
@@ -561,13 +561,13 @@
             if holds {
                 let next = revision.unwrap_or(0) + 1;
                 *row = Some((record, next));
-                view = ClaimReply::Written(next);
+                reply = ClaimReply::Written(next);
             }
         }
         if self.answers_lost > 0 && self.rng.random_bool(0.7) {
-            view = ClaimReply::Lost;
+            reply = ClaimReply::Lost;
         }
-        view
+        reply
     }
 
     // Faults.
@@ -618,7 +618,7 @@
         gate
     }
 
-    /// Events that were put off until the end of a pause happen now.
+    /// Processes the events deferred until the end of a pause.
     fn wake_deferred(&mut self, now: u64) {
         let events = std::mem::take(&mut self.events);
         let woken = |Reverse((at, index))| Reverse((if at == u64::MAX { now } else { at }, index));
--- a/crates/decide/tests/support/rounds.rs
+++ b/crates/decide/tests/support/rounds.rs
@@ -1,8 +1,8 @@
-//! A round-based bench of chunk selection alone: no network, no processes.
+//! A round-based simulation of the chunk selection, without network or processes.
 //!
-//! In one round each agent's link carries one chunk in and one out, and the
-//! origin's link carries two out. Sources keep queues; what agents announce is
-//! known to the others one round later. Everything follows from the seed.
+//! In one round each agent's link carries one chunk in and one out, and the origin's link
+//! carries two out. Sources queue fetches, and announcements arrive one round later. The
+//! seed determines everything.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,52 +10,52 @@
 use cassiawheel_model::{InstanceId, Timestamp};
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
 
-/// Length of a round, in milliseconds of the pickers' clock.
+/// Duration of a round, in milliseconds of the pickers' clock.
 pub const ROUND_MS: u64 = 20;
 /// Chunks that the origin sends in a round.
 pub const ORIGIN_RATE: usize = 2;
-/// Time of a fetch from a peer beyond which there are fewer at a time, in milliseconds.
+/// Latency of fetches from peers above which their concurrency is reduced, in milliseconds.
 const QUEUE_MS: u64 = 350;
-/// Rounds between two repetitions of all that an agent holds.
+/// Rounds between two announcements of all chunks that an agent holds.
 const REPEAT_ROUNDS: usize = 40;
-/// Rounds after which a run that does not end is given up.
+/// Rounds after which an unfinished run is aborted.
 const LONGEST_FACTOR: usize = 20;
 
-/// One run of the bench.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct RoundPlan {
     pub agents: usize,
     pub chunks: usize,
     pub seed: u64,
-    /// Copies that may be drawn beyond the first.
+    /// Additional copies that may be fetched from the origin.
     pub extra_copies: f64,
-    /// Chance that a chunk arrives corrupt.
+    /// Probability that a chunk arrives corrupt.
     pub corrupt: f64,
     pub faults: Vec<RoundFault>,
-    /// Agents that hold everything at the start.
+    /// Agents that hold all chunks at the start.
     pub full_holders: usize,
     /// Rounds in which the origin sends nothing.
     pub origin_down: std::ops::Range<usize>,
     /// Chunks that the origin sends in a round.
     pub origin_rate: usize,
-    /// How agents use their links.
+    /// Link profile of the agents.
     pub profile: LinkProfile,
 }
 
-/// Settings of all agents that belong to a size of links.
+/// Settings of all agents for one link speed.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkProfile {
-    /// Time in which a link carries a chunk, in milliseconds of the pickers' clock.
+    /// Transmission time of a chunk on a link, in milliseconds of the pickers' clock.
     pub round_ms: u64,
-    /// Fetches from peers that an agent keeps in progress.
+    /// Limit of an agent's concurrent fetches from peers.
     pub max_peer_fetches: usize,
-    /// Uploads that may wait at one agent.
+    /// Limit of uploads queued at one agent.
     pub upload_slots: usize,
-    /// Whether agents ask the origin in turns, and fewer peers over a link that is slow.
+    /// Whether fetches from the origin are scheduled and concurrency falls with congestion.
     pub in_turns: bool,
 }
 
-/// Wide links, and an origin that answers everybody at once.
+/// Fast links, and an origin that serves all agents concurrently.
 const WIDE: LinkProfile =
     LinkProfile { round_ms: ROUND_MS, max_peer_fetches: 8, upload_slots: 32, in_turns: false };
 
@@ -79,26 +79,26 @@
 /// A fault of one agent.
 #[derive(Debug, Clone, Copy)]
 pub enum RoundFault {
-    /// It ends at this round, and its connections close.
+    /// The agent fails at this round, and its connections close.
     Dies { agent: usize, round: usize },
-    /// Its link carries nothing from this round on, but stays open.
+    /// The agent's link carries nothing from this round on, but its connections stay open.
     Stalls { agent: usize, round: usize },
-    /// It says that it holds everything and sends nothing.
+    /// The agent announces all chunks and sends none.
     Lies { agent: usize },
-    /// It starts at this round only.
+    /// The agent starts at this round.
     Joins { agent: usize, round: usize },
 }
 
-/// What a run cost.
+/// Result of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RoundResult {
     pub rounds: usize,
-    /// Rounds until half of the agents held everything.
+    /// Rounds until half of the agents held all chunks.
     pub half_rounds: usize,
     pub bound: f64,
     pub origin_chunks: usize,
     pub chunks: usize,
-    /// Largest number of times that one chunk was drawn from the origin.
+    /// Largest number of copies of one chunk fetched from the origin.
     pub max_copies: usize,
     pub complete: bool,
     pub selections: u64,
@@ -115,21 +115,21 @@
     }
 }
 
-/// Least rounds in which all agents can have all chunks.
+/// Lower bound of the rounds until all agents hold all chunks.
 pub fn lower_bound(agents: usize, chunks: usize, origin_rate: usize) -> f64 {
     let (agents, chunks, origin) = (agents as f64, chunks as f64, origin_rate as f64);
     chunks.max(chunks / origin).max(agents * chunks / (agents + origin))
 }
 
-/// Rounds if every agent draws everything from the origin.
+/// Rounds if every agent fetches all chunks from the origin.
 pub fn all_from_origin(agents: usize, chunks: usize) -> usize {
     (agents * chunks).div_ceil(ORIGIN_RATE)
 }
 
 /// Rounds of a fixed tree: the origin feeds `ORIGIN_RATE` roots, every agent two others.
 ///
-/// An agent with two children sends each chunk twice, so a level passes one
-/// chunk on in two rounds.
+/// An agent with two children sends each chunk twice, so a level forwards one chunk in two
+/// rounds.
 pub fn fixed_tree(agents: usize, chunks: usize) -> usize {
     let (mut reached, mut width, mut levels) = (0, ORIGIN_RATE, 0);
     while reached < agents {
@@ -232,7 +232,7 @@
         !joins_later && !busy
     }
 
-    /// Agents that hold everything.
+    /// Agents that hold all chunks.
     fn whole(&self) -> usize {
         self.agents.iter().filter(|agent| agent.picker.missing() == 0).count()
     }
@@ -314,7 +314,7 @@
             return;
         }
         let now = self.now();
-        // Refusals come back within a fraction of a round; a few are tried again.
+        // Refusals arrive within a fraction of a round, so a few fetches are retried.
         for _ in 0..4 * self.plan.profile.max_peer_fetches {
             let begun = std::time::Instant::now();
             let order = self.agents[agent].picker.next(now, &mut self.rng);
@@ -454,7 +454,7 @@
         }
     }
 
-    /// Whether it works and still misses chunks.
+    /// Whether the agent is running and still lacks chunks.
     fn is_waiting(&self) -> bool {
         self.running && !self.stalled && !self.lies && self.picker.missing() > 0
     }
@@ -467,7 +467,7 @@
     }
 }
 
-/// The first fetch in `queue` whose agent still waits for it and has room in this round.
+/// The first fetch in `queue` whose agent still waits for it and can receive in this round.
 fn take_deliverable(
     queue: &mut VecDeque<QueuedFetch>,
     room: &[bool],
