--- a/crates/testkit/src/burst.rs
+++ b/crates/testkit/src/burst.rs
@@ -1,11 +1,12 @@
-//! Load and experiments on a whole deployment.
+//! Load generation and fault injection against a whole deployment.
 //!
 //! `scenario → schedule → drive, operate, faults → records → verdicts, figures`
 //!
-//! Arrivals are open-loop: their times are fixed before the run, and latency
-//! counts from the scheduled arrival, so that a queue in the system shows.
-//! Whatever is counted comes from what callers and operators were told and
-//! from what the stand-ins did, never from the system's own word.
+//! Arrivals are open-loop: their times are fixed before the run, and latency is
+//! measured from the scheduled arrival, so that queueing in the system shows.
+//! The verdicts are computed from the responses that callers and operators
+//! received and from what the stand-ins recorded, never from what the system
+//! reports about itself.
 
 pub mod draw;
 pub mod drive;
--- a/crates/testkit/src/burst/drive.rs
+++ b/crates/testkit/src/burst/drive.rs
@@ -1,9 +1,9 @@
-//! Callers that behave as documented.
+//! Callers that follow the documented client protocol.
 //!
-//! A caller asks `/v1/entries`, keeps the answer until its deadline and
-//! connects to an address from it. A request told not-run is asked again after
-//! the wait that the answer names; one with an unknown outcome only if it is
-//! idempotent or has a key.
+//! A caller gets advice from `/v1/entries`, caches it until `valid_until` and
+//! connects to one of its addresses. A request reported as not-run is retried
+//! after the wait that the answer names; one with an unknown outcome is retried
+//! only if it is idempotent or has a key.
 
 use std::{
     net::SocketAddr,
@@ -28,23 +28,23 @@
 };
 use crate::deployment::{MODEL_SERVICE, PLAIN_SERVICE, WEB_SERVICE};
 
-/// Longest wait for an advice.
-const ADVICE_TIME: Duration = Duration::from_millis(500);
-/// Time after the deadline in which the final word may still arrive.
-const LAST_WORD: Duration = Duration::from_millis(500);
-/// Wait before a request is asked again, unless the answer names one.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
+/// Timeout of a request for advice.
+const ADVICE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time after the deadline in which the outcome may still arrive.
+const OUTCOME_GRACE: Duration = Duration::from_millis(500);
+/// Wait before a retry, unless the answer names one.
+const RETRY_WAIT: Duration = Duration::from_millis(100);
 
-/// Requests of one run.
+/// Parameters that all requests of a run share.
 #[derive(Debug, Clone)]
 pub struct CallPlan {
-    /// Distinguishes the run's texts from other runs'.
+    /// Part of each request's text, to distinguish it from those of other runs.
     pub run: String,
     /// When the arrivals begin.
     pub started: Instant,
-    /// The same moment by the clock.
+    /// The same moment as wall-clock time.
     pub started_at: Timestamp,
-    /// Time that a request is allowed.
+    /// Time from the scheduled arrival to the deadline of a request.
     pub allowed: Duration,
     /// Tokens of a generated answer.
     pub tokens: u32,
@@ -52,10 +52,10 @@
     pub token_ms: u64,
 }
 
-/// One caller with the advice that it keeps.
+/// One caller with its cached advice.
 pub struct BurstCaller {
     client: HttpClient,
-    /// Entries by position: `entry-N` at N.
+    /// Addresses of the entries; `entry-N` is at index N.
     entries: Arc<Vec<SocketAddr>>,
     advice: Mutex<Option<EntryAdvice>>,
     rng: Mutex<SmallRng>,
@@ -66,14 +66,14 @@
     retry_after_ms: Option<u64>,
 }
 
-/// The end of one ask and when to come back.
-struct AskEnd {
+/// Outcome of one attempt, and the wait before a retry if the answer names one.
+struct AttemptEnd {
     told: ToldOutcome,
     retry_after: Option<Duration>,
 }
 
 impl BurstCaller {
-    /// A caller of `entries` without an advice.
+    /// Creates a caller of `entries` without cached advice.
     pub fn new(entries: Arc<Vec<SocketAddr>>, seed: u64) -> Self {
         Self {
             client: HttpClient::default(),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Asks until there is a final word or the deadline is reached.
+    /// Sends the request and retries it until its outcome is final or its deadline is near.
     pub async fn request(&self, plan: &CallPlan, arrival: &PlannedArrival) -> RequestRecord {
         let scheduled_at = Timestamp(plan.started_at.0 + arrival.at.as_millis() as u64);
         let deadline = Timestamp(scheduled_at.0 + plan.allowed.as_millis() as u64);
@@ -99,10 +99,10 @@
         };
         loop {
             let addr = self.address().await;
-            let (ask, retry_after) = self.ask(plan, arrival, &record, addr).await;
+            let (ask, retry_after) = self.attempt(plan, arrival, &record, addr).await;
             let told = ask.told;
             record.asks.push(ask);
-            let again = match told {
+            let may_retry = match told {
                 ToldOutcome::Complete => false,
                 ToldOutcome::NotRun | ToldOutcome::NotSent => true,
                 ToldOutcome::Unknown | ToldOutcome::Cut => arrival.kind.is_repeatable(),
@@ -110,33 +110,33 @@
             if told == ToldOutcome::NotSent {
                 *self.advice() = None;
             }
-            let wait = retry_after.unwrap_or(ASK_AGAIN);
+            let wait = retry_after.unwrap_or(RETRY_WAIT);
             let next_at = Timestamp(Timestamp::now().0 + wait.as_millis() as u64);
-            if !again || next_at >= deadline {
+            if !may_retry || next_at >= deadline {
                 return record;
             }
             Timer::after(wait).await;
         }
     }
 
-    /// An address of the advice, which is asked for again once it has run out.
+    /// Chooses an address from the advice, which is fetched again once it has expired.
     async fn address(&self) -> SocketAddr {
-        let kept = self.advice().clone();
-        let valid = kept.filter(|advice| !advice.valid_until.is_past(Timestamp::now()));
+        let cached = self.advice().clone();
+        let valid = cached.filter(|advice| !advice.valid_until.is_past(Timestamp::now()));
         let advice = match valid {
             Some(advice) => Some(advice),
-            None => self.ask_advice().await,
+            None => self.fetch_advice().await,
         };
         let addresses = advice.map(|advice| advice.addresses).unwrap_or_default();
         self.choose(&addresses).or_else(|| self.choose(&self.entries)).unwrap_or(self.entries[0])
     }
 
-    async fn ask_advice(&self) -> Option<EntryAdvice> {
+    async fn fetch_advice(&self) -> Option<EntryAdvice> {
         for _ in 0..self.entries.len() {
             let entry = self.choose(&self.entries)?;
             let request = Request::get(format!("http://{entry}/v1/entries"));
             let request = request.body(Full::new(Bytes::new())).ok()?;
-            let Ok(reply) = self.client.send_and_read(request, ADVICE_TIME).await else {
+            let Ok(reply) = self.client.send_and_read(request, ADVICE_TIMEOUT).await else {
                 continue;
             };
             if let Ok(advice) = serde_json::from_slice::<EntryAdvice>(reply.body()) {
@@ -147,7 +147,8 @@
         None
     }
 
-    async fn ask(
+    /// Sends the request once and records the attempt.
+    async fn attempt(
         &self,
         plan: &CallPlan,
         arrival: &PlannedArrival,
@@ -169,12 +170,12 @@
             total_us: 0,
         };
         let due = plan.started + arrival.at;
-        let span = Deadline(record.deadline.0).remaining(Timestamp::now()) + LAST_WORD;
+        let span = Deadline(record.deadline.0).remaining(Timestamp::now()) + OUTCOME_GRACE;
         let end = match build_request(plan, record, addr) {
             Ok(request) => timeout(span, self.read_answer(request, due, &mut ask)).await,
             Err(_) => None,
         };
-        let end = end.unwrap_or(AskEnd { told: ToldOutcome::Cut, retry_after: None });
+        let end = end.unwrap_or(AttemptEnd { told: ToldOutcome::Cut, retry_after: None });
         ask.told = end.told;
         ask.ended_at = Timestamp::now();
         ask.total_us = due.elapsed().as_micros() as u64;
@@ -186,28 +187,28 @@
         request: Request<Full<Bytes>>,
         due: Instant,
         ask: &mut AskRecord,
-    ) -> AskEnd {
+    ) -> AttemptEnd {
         let reply = match self.client.send(request).await {
             Ok(reply) => reply,
             Err(ClientError::NotSent(_)) => {
-                return AskEnd { told: ToldOutcome::NotSent, retry_after: None };
+                return AttemptEnd { told: ToldOutcome::NotSent, retry_after: None };
             }
             Err(ClientError::NoAnswer(_)) => {
-                return AskEnd { told: ToldOutcome::Cut, retry_after: None };
+                return AttemptEnd { told: ToldOutcome::Cut, retry_after: None };
             }
         };
-        note_head(ask, reply.headers());
+        record_headers(ask, reply.headers());
         let outcome = read_body(reply, due, ask).await;
         let told = match outcome.as_deref() {
             Some("complete") => ToldOutcome::Complete,
             Some("not-run") => ToldOutcome::NotRun,
             Some("unknown") => ToldOutcome::Unknown,
-            // Without the end mark nothing tells that the answer is whole.
+            // Without an outcome, the answer may be incomplete.
             _ => ToldOutcome::Cut,
         };
         let failure = serde_json::from_str::<FailureText>(&ask.body).ok();
         let wait = failure.and_then(|failure| failure.retry_after_ms);
-        AskEnd { told, retry_after: wait.map(Duration::from_millis) }
+        AttemptEnd { told, retry_after: wait.map(Duration::from_millis) }
     }
 
     fn choose(&self, addresses: &[SocketAddr]) -> Option<SocketAddr> {
@@ -248,13 +249,13 @@
     request.body(Full::new(Bytes::from(body)))
 }
 
-fn note_head(ask: &mut AskRecord, headers: &HeaderMap) {
+fn record_headers(ask: &mut AskRecord, headers: &HeaderMap) {
     ask.request = header(headers, "cassiawheel-request");
     ask.version = header(headers, "cassiawheel-version");
     ask.revision = header(headers, "cassiawheel-revision").and_then(|text| text.parse().ok());
 }
 
-/// Reads the body and tells the outcome that head or trailers name.
+/// Reads the body and returns the outcome from the trailers or else from the headers.
 async fn read_body(reply: Response<Incoming>, due: Instant, ask: &mut AskRecord) -> Option<String> {
     let mut outcome = header(reply.headers(), "cassiawheel-outcome");
     let mut body = reply.into_body();
@@ -282,7 +283,7 @@
     headers.get(name)?.to_str().ok().map(str::to_owned)
 }
 
-/// Seeds of the callers of a run.
+/// Derives the seeds of `count` callers from the seed of the run.
 pub fn caller_seeds(seed: u64, count: usize) -> Vec<u64> {
     let mut rng = SmallRng::seed_from_u64(seed);
     (0..count).map(|_| rng.random()).collect()
--- a/crates/testkit/src/burst/records.rs
+++ b/crates/testkit/src/burst/records.rs
@@ -1,4 +1,4 @@
-//! What callers and operators were told and what the stand-ins did.
+//! Responses that callers and operators received, and what the stand-ins recorded.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,11 @@
 
 use super::scenario::FaultKind;
 
-/// What a request asks for.
+/// The kind of a request, which decides whether it may be repeated.
 #[apply(label!)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallKind {
-    /// A generation; idempotent.
+    /// A text generation by the model service; idempotent.
     Generate,
     /// A call of the other web service; idempotent.
     Read,
@@ -22,7 +22,7 @@
 }
 
 impl CallKind {
-    /// Whether a caller may ask again after an unknown outcome.
+    /// Whether a caller may retry after an unknown outcome.
     pub fn is_repeatable(self) -> bool {
         match self {
             Self::Generate | Self::Read | Self::Keyed => true,
@@ -30,174 +30,174 @@
         }
     }
 
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub fn is_idempotent(self) -> bool {
         matches!(self, Self::Generate | Self::Read)
     }
 }
 
-/// What a caller was told of one ask.
+/// Outcome of one attempt, as reported to the caller.
 #[apply(label!)]
 #[serde(rename_all = "kebab-case")]
 pub enum ToldOutcome {
-    /// The answer is whole.
+    /// The answer arrived with its end marker.
     Complete,
-    /// It was not run.
+    /// The request was not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// Nothing, or an answer without its end mark.
+    /// No answer, or one without its end marker.
     Cut,
-    /// No connection: the caller itself knows that it sent nothing.
+    /// The connection failed, so that nothing was sent.
     NotSent,
 }
 
-/// One ask of a request.
+/// One attempt of a request.
 #[derive(Debug, Clone)]
 pub struct AskRecord {
-    /// The entry that was asked, as `entry-N`.
+    /// The entry that received the attempt, as `entry-N`.
     pub entry: String,
-    /// The request id that the entry told.
+    /// The request id in the entry's response.
     pub request: Option<String>,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub begun_at: Timestamp,
-    /// When its outcome was known.
+    /// When the attempt ended.
     pub ended_at: Timestamp,
-    /// What the caller was told.
+    /// The reported outcome.
     pub told: ToldOutcome,
-    /// The version that was named.
+    /// The model version in the response header.
     pub version: Option<String>,
-    /// The revision that was named.
+    /// The revision of the preset in the response header.
     pub revision: Option<u64>,
-    /// What arrived of the body, of an answer that has begun.
+    /// The part of the response body that arrived.
     pub body: String,
     /// Microseconds from the scheduled arrival to the first byte of the body.
     pub first_us: Option<u64>,
-    /// Microseconds between further parts of the body.
+    /// Microseconds between successive parts of the body.
     pub gaps_us: Vec<u64>,
-    /// Microseconds from the scheduled arrival to the end.
+    /// Microseconds from the scheduled arrival to the end of the attempt.
     pub total_us: u64,
 }
 
-/// One request of a caller, with all its asks.
+/// One request of a caller with all its attempts.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
-    /// The request's text, unique in the run: the prompt or the body.
+    /// The prompt or body, unique in the run.
     pub text: String,
-    /// What it asks for.
+    /// Kind of the request.
     pub kind: CallKind,
-    /// Who asks.
+    /// Workspace in whose name the request is sent.
     pub workspace: WorkspaceId,
-    /// When it was to arrive.
+    /// The scheduled arrival.
     pub scheduled_at: Timestamp,
-    /// When its answer is of no more use.
+    /// When the request expires.
     pub deadline: Timestamp,
-    /// Tokens of a whole generated answer.
+    /// Tokens of a complete generated answer; 0 for other kinds.
     pub tokens: u32,
-    /// The asks, in order.
+    /// The attempts, in order.
     pub asks: Vec<AskRecord>,
 }
 
-/// One run that a stand-in began.
+/// One execution of a request by a stand-in.
 #[derive(Debug, Clone)]
 pub struct RunRecord {
-    /// The endpoint, as `endpoint-N`.
+    /// The endpoint that ran the request, as `endpoint-N`.
     pub endpoint: String,
-    /// The request id that came with it.
+    /// The request id that the stand-in received.
     pub request: String,
-    /// The request's text, of plain services.
+    /// The request's text; only recorded by plain services.
     pub text: Option<String>,
-    /// When it began.
+    /// When the run began.
     pub begun_at: Timestamp,
 }
 
 /// One planned stop of an endpoint.
 #[derive(Debug, Clone)]
 pub struct LeaveRecord {
-    /// The endpoint.
+    /// The stopped endpoint, as `endpoint-N`.
     pub endpoint: String,
-    /// When it was told to leave.
+    /// When the stop was requested.
     pub from: Timestamp,
-    /// When it was started again.
+    /// When the endpoint was started again.
     pub until: Option<Timestamp>,
 }
 
-/// One fault.
+/// One injected fault.
 #[derive(Debug, Clone)]
 pub struct FaultRecord {
-    /// What happened.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// The processes that it touched.
+    /// Names of the affected processes.
     pub touched: Vec<String>,
-    /// When it began.
+    /// When the fault began.
     pub from: Timestamp,
-    /// When it ended.
+    /// When the fault ended.
     pub until: Timestamp,
 }
 
-/// What an operator was told of a change.
+/// Result of a change, as reported to the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ToldChange {
     /// In force as of this revision.
     Accepted(u64),
     /// Another change won, or it took no effect.
     Refused,
-    /// Nothing definite, however often it was asked for.
+    /// No definite result, in spite of retries.
     Unresolved,
 }
 
-/// One change that an operator asked for.
+/// One change that an operator requested.
 #[derive(Debug, Clone)]
 pub struct ChangeRecord {
-    /// Its id.
+    /// The change id.
     pub change: String,
-    /// What the operator was told in the end.
+    /// The last reported result.
     pub told: ToldChange,
 }
 
-/// The row of the preset in force, when it was seen to differ from before.
+/// The stored row of the preset in force, sampled when it differs from the last sample.
 #[derive(Debug, Clone)]
 pub struct ForceSample {
-    /// When it was seen.
+    /// When the row was sampled.
     pub at: Timestamp,
-    /// Its revision.
+    /// Revision of the preset.
     pub revision: u64,
-    /// Its change id.
+    /// Id of the change that put the preset in force.
     pub change: String,
 }
 
-/// A row of the history at the end.
+/// A row of the change history at the end of the run.
 #[derive(Debug, Clone)]
 pub struct HistoryRecord {
-    /// Its revision.
+    /// Revision of the preset.
     pub revision: u64,
-    /// Its change id.
+    /// Id of the change that made the revision.
     pub change: String,
 }
 
-/// Everything that a run is judged by.
+/// Everything from which the verdicts of a run are computed.
 #[derive(Debug, Clone, Default)]
 pub struct RunRecords {
-    /// Digests from which the versions' answers follow.
+    /// Digest of each version's weights, from which its expected answers are derived.
     pub versions: BTreeMap<String, [u8; 32]>,
-    /// Endpoints of each service: `endpoint-N`.
+    /// Endpoints of the model service, as `endpoint-N`.
     pub model_endpoints: Vec<String>,
     /// Endpoints of the application.
     pub app_endpoints: Vec<String>,
     /// Endpoints of the other web service.
     pub web_endpoints: Vec<String>,
-    /// The requests.
+    /// Requests of all callers.
     pub requests: Vec<RequestRecord>,
-    /// The runs.
+    /// Runs of all stand-ins.
     pub runs: Vec<RunRecord>,
-    /// The planned stops.
+    /// Planned stops of endpoints.
     pub leaves: Vec<LeaveRecord>,
-    /// The faults.
+    /// Injected faults.
     pub faults: Vec<FaultRecord>,
-    /// The changes.
+    /// Changes that operators requested.
     pub changes: Vec<ChangeRecord>,
-    /// The preset in force over time.
+    /// Samples of the preset in force, oldest first.
     pub forced: Vec<ForceSample>,
-    /// The history at the end, oldest first.
+    /// The change history at the end of the run, oldest first.
     pub history: Vec<HistoryRecord>,
 }
--- a/crates/testkit/src/burst/verdicts.rs
+++ b/crates/testkit/src/burst/verdicts.rs
@@ -1,6 +1,6 @@
-//! The checker: records in, counts out.
+//! Checks the records of a run against the invariants and counts violations.
 //!
-//! `docs/burst.md` gives each count's rule in words.
+//! `docs/burst.md` gives the rule behind each count.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -17,76 +17,76 @@
 use crate::weights::{answer_text, answer_token};
 
 /// How long after its end a fault still explains a cut: the other processes
-/// need that long to notice and to connect again.
+/// need this time to detect the end of the fault and to reconnect.
 const FAULT_GRACE: Duration = Duration::from_secs(2);
 
-/// Bounds of the invariants.
+/// Time limits that the invariants allow.
 #[derive(Debug, Clone, Copy)]
 pub struct VerdictLimits {
-    /// Time after which a leaving endpoint may begin nothing.
+    /// Time after the start of a planned stop from which the endpoint may begin no run.
     pub leave: Duration,
-    /// Time after which an older preset may answer nothing.
+    /// Time after a change of the preset from which no answer may name an older one.
     pub converge: Duration,
 }
 
-/// Last words to the requests of one kind.
+/// Final outcomes of the requests of one kind.
 #[apply(record!)]
 #[derive(Default)]
 pub struct KindCounts {
     /// Requests that arrived.
     pub requests: u64,
-    /// Those with a whole answer.
+    /// Requests with a complete answer.
     pub complete: u64,
-    /// Those told that they were not run.
+    /// Requests reported as not run, or that were never sent.
     pub not_run: u64,
-    /// Those told that they may have run.
+    /// Requests with an unknown outcome, which may have run.
     pub unknown: u64,
 }
 
-/// What was counted.
+/// Outcomes and invariant violations of a run.
 #[apply(record!)]
 #[derive(Default)]
 pub struct VerdictCounts {
     /// Requests that arrived.
     pub requests: u64,
-    /// Requests whose callers got the whole answer in the end.
+    /// Requests that ended with a complete answer.
     pub complete: u64,
-    /// Requests whose callers were told in the end that they were not run.
+    /// Requests that ended as not run, or that were never sent.
     pub not_run: u64,
-    /// Requests whose callers were told in the end that they may have run.
+    /// Requests that ended with an unknown outcome, which may have run.
     pub unknown: u64,
-    /// Answers with the end mark that are not the answer to the request.
+    /// Answers that differ from the expected one, and answers whose run no stand-in recorded.
     pub wrong: u64,
-    /// Answers with the end mark that lack their end.
+    /// Answers marked complete that lack their end.
     pub truncated: u64,
-    /// Answers made from weights of two versions, or of no whole version.
+    /// Answers generated from the weights of several versions, or from partial or corrupt ones.
     pub mixed: u64,
     /// Runs of non-idempotent requests beyond the first.
     pub doubles: u64,
-    /// Asks told not-run that a stand-in ran.
+    /// Attempts reported as not-run that a stand-in ran.
     pub not_run_but_ran: u64,
-    /// Asks that were cut or told unknown without a fault that explains it.
+    /// Attempts that were cut or reported as unknown without a fault that explains it.
     pub cut_off: u64,
-    /// Runs begun at an endpoint too long after it was told to leave.
+    /// Runs that an endpoint began later than the limit after its planned stop started.
     pub late_after_leave: u64,
-    /// Steps back of the preset in force.
+    /// Returns to an older preset, in the stored row or in the answers of one entry.
     pub reverts: u64,
-    /// Answers under a preset that had been replaced too long before.
+    /// Answers under a preset that had been replaced longer ago than the limit.
     pub two_in_force: u64,
-    /// Changes that operators were told wrongly about.
+    /// Changes whose reported result contradicts the history, and gaps in the history.
     pub lost_changes: u64,
-    /// Longest time for which a replaced preset was still answered under, in seconds.
+    /// Longest time for which answers still named a replaced preset, in seconds.
     pub converge_s_max: f64,
-    /// Asks that ended at their deadline; no invariant.
+    /// Attempts cut or unknown at their deadline; not an invariant.
     pub deadline_cuts: u64,
-    /// Keyed asks told not-run after an earlier ask with the key had run; no invariant.
+    /// Keyed attempts reported as not-run after the key had run; not an invariant.
     pub refused_after_run: u64,
-    /// Last words by kind.
+    /// Final outcomes by kind of request.
     pub by_kind: BTreeMap<CallKind, KindCounts>,
 }
 
 impl VerdictCounts {
-    /// The invariants that are broken, by name.
+    /// Names and counts of the violated invariants.
     pub fn broken(&self) -> Vec<(&'static str, u64)> {
         let counts = [
             ("wrong", self.wrong),
@@ -104,7 +104,7 @@
     }
 }
 
-/// Judges a run.
+/// Checks the records of a run and counts outcomes and violations.
 pub fn judge(records: &RunRecords, limits: &VerdictLimits) -> VerdictCounts {
     let mut counts = VerdictCounts::default();
     let index = RunIndex::build(records);
@@ -112,7 +112,7 @@
         count_outcome(&mut counts, request);
         for ask in &request.asks {
             count_answer(&mut counts, records, &index, request, ask);
-            count_ask(&mut counts, records, &index, request, ask);
+            count_attempt(&mut counts, records, &index, request, ask);
         }
     }
     let sum = |of: fn(&KindCounts) -> u64| counts.by_kind.values().map(of).sum();
@@ -121,16 +121,18 @@
     counts.not_run = sum(|kind| kind.not_run);
     counts.unknown = sum(|kind| kind.unknown);
     counts.doubles = count_doubles(records, &index);
-    counts.late_after_leave = count_late(records, limits.leave);
+    counts.late_after_leave = count_late_runs(records, limits.leave);
     counts.reverts = count_reverts(records);
     count_convergence(&mut counts, records, limits.converge);
-    counts.lost_changes = count_lost(records);
+    counts.lost_changes = count_lost_changes(records);
     counts
 }
 
-/// Runs by request id and by text.
+/// Runs of the stand-ins, indexed by request id and by text.
 struct RunIndex<'a> {
+    /// Endpoints that ran each request id.
     endpoints: HashMap<&'a str, Vec<&'a str>>,
+    /// Start times of the runs of each text.
     by_text: HashMap<&'a str, Vec<Timestamp>>,
 }
 
@@ -147,7 +149,7 @@
         Self { endpoints, by_text }
     }
 
-    /// Endpoints that ran the ask; none if its id is not known.
+    /// Endpoints that ran the attempt; empty if its request id is unknown.
     fn endpoints(&self, ask: &AskRecord) -> &[&'a str] {
         let id = ask.request.as_deref().unwrap_or_default();
         self.endpoints.get(id).map_or(&[], Vec::as_slice)
@@ -168,7 +170,7 @@
     }
 }
 
-/// Compares what arrived with the answer that the request has to get.
+/// Compares the received body with the expected answer to the request.
 fn count_answer(
     counts: &mut VerdictCounts,
     records: &RunRecords,
@@ -185,9 +187,9 @@
         CallKind::Read | CallKind::Keyed | CallKind::Unkeyed => {
             let expected = plain_answer(&request.text);
             if is_complete && ask.body != expected {
-                count_deviation(counts, &expected, &ask.body);
+                count_mismatch(counts, &expected, &ask.body);
             }
-            // A sale that its caller holds a receipt for and nobody carried out.
+            // The caller was told that the call is complete, but no stand-in ran it.
             if is_complete && index.times(&request.text).is_empty() {
                 counts.wrong += 1;
             }
@@ -195,7 +197,7 @@
     }
 }
 
-/// The answer of a plain service to `text`.
+/// Expected answer of a plain service to `text`.
 pub fn plain_answer(text: &str) -> String {
     format!("done {text} ")
 }
@@ -208,7 +210,7 @@
 ) {
     let is_complete = ask.told == ToldOutcome::Complete;
     if !is_complete && ask.version.is_none() {
-        // The text of an error, not the beginning of an answer.
+        // Without a version, the body is an error text and not part of an answer.
         return;
     }
     let named = ask.version.as_deref().and_then(|version| records.versions.get(version));
@@ -221,41 +223,41 @@
             return;
         }
     }
-    // What arrived before a cut counts too: its caller has read it already.
-    match looks_mixed(records, request, &ask.body) {
+    // The part that arrived before a cut counts too: the caller has already read it.
+    match is_mixed(records, request, &ask.body) {
         true => counts.mixed += 1,
         false => counts.wrong += 1,
     }
 }
 
-/// Whether the tokens belong to this prompt but not all to one version.
-fn looks_mixed(records: &RunRecords, request: &RequestRecord, body: &str) -> bool {
+/// Whether the tokens do not all come from the weights of one version.
+fn is_mixed(records: &RunRecords, request: &RequestRecord, body: &str) -> bool {
     let mut versions = BTreeSet::new();
-    let mut strangers = 0_usize;
+    let mut unmatched = 0_usize;
     for (index, token) in body.split_inclusive(' ').enumerate() {
-        let made_by = records
+        let matching = records
             .versions
             .iter()
             .find(|(_, weights)| answer_token(weights, &request.text, index as u32) == token);
-        match made_by {
+        match matching {
             Some((version, _)) => _ = versions.insert(version),
-            None => strangers += 1,
+            None => unmatched += 1,
         }
     }
-    // Tokens of no whole version beside a version's name come from partial or
-    // corrupt weights; the caller cannot tell them from a good answer.
-    versions.len() > 1 || strangers > 0
+    // Tokens that match no version come from partial or corrupt weights; the
+    // caller cannot distinguish them from a correct answer.
+    versions.len() > 1 || unmatched > 0
 }
 
-fn count_deviation(counts: &mut VerdictCounts, expected: &str, body: &str) {
+fn count_mismatch(counts: &mut VerdictCounts, expected: &str, body: &str) {
     match expected.starts_with(body) {
         true => counts.truncated += 1,
         false => counts.wrong += 1,
     }
 }
 
-/// Compares what was told of an ask with what the stand-ins ran.
-fn count_ask(
+/// Compares the reported outcome of an attempt with the runs of the stand-ins.
+fn count_attempt(
     counts: &mut VerdictCounts,
     records: &RunRecords,
     index: &RunIndex<'_>,
@@ -274,7 +276,7 @@
         ToldOutcome::Unknown | ToldOutcome::Cut => {
             if ask.ended_at >= request.deadline {
                 counts.deadline_cuts += 1;
-            } else if !records.faults.iter().any(|f| explains(f, records, index, request, ask)) {
+            } else if !records.faults.iter().any(|f| can_explain(f, records, index, request, ask)) {
                 counts.cut_off += 1;
             }
         }
@@ -282,9 +284,10 @@
 }
 
 /// Whether `fault` can have cut `ask`: they overlap in time, and the fault
-/// touched the asked entry, the endpoint that ran it (any of its service if no
-/// stand-in knows its id), or the store that a keyed request needs.
-fn explains(
+/// affected the entry that received it, the endpoint that ran it (any endpoint of
+/// its service if no stand-in recorded its id), or the store that a keyed request
+/// needs.
+fn can_explain(
     fault: &FaultRecord,
     records: &RunRecords,
     index: &RunIndex<'_>,
@@ -323,7 +326,7 @@
     once.map(|request| index.times(&request.text).len().saturating_sub(1) as u64).sum()
 }
 
-fn count_late(records: &RunRecords, limit: Duration) -> u64 {
+fn count_late_runs(records: &RunRecords, limit: Duration) -> u64 {
     let is_late = |run: &&super::records::RunRecord| {
         records.leaves.iter().any(|leave| {
             let bound = Timestamp(leave.from.0 + limit.as_millis() as u64);
@@ -334,46 +337,49 @@
     records.runs.iter().filter(is_late).count() as u64
 }
 
-/// Steps back of the row, and of what one entry told: an ask that began after
-/// another had ended must not be answered under an older preset.
+/// Counts decreases of the revision, in the stored row and in the answers of one
+/// entry: an attempt that began after another had ended must not be answered under
+/// an older preset.
 fn count_reverts(records: &RunRecords) -> u64 {
     let mut reverts = 0;
     for pair in records.forced.windows(2) {
         let (earlier, later) = (&pair[0], &pair[1]);
-        let same_but_other = later.revision == earlier.revision && later.change != earlier.change;
-        reverts += u64::from(later.revision < earlier.revision || same_but_other);
+        let other_change = later.revision == earlier.revision && later.change != earlier.change;
+        reverts += u64::from(later.revision < earlier.revision || other_change);
     }
     let mut by_entry: BTreeMap<&str, Vec<(Timestamp, Timestamp, u64)>> = BTreeMap::new();
     for (ask, revision) in answered(records) {
         let told = (ask.begun_at, ask.ended_at, revision);
         by_entry.entry(ask.entry.as_str()).or_default().push(told);
     }
-    reverts + by_entry.into_values().map(steps_back).sum::<u64>()
+    reverts + by_entry.into_values().map(count_decreases).sum::<u64>()
 }
 
-fn steps_back(mut told: Vec<(Timestamp, Timestamp, u64)>) -> u64 {
+/// Counts the answers whose revision is lower than one that had ended before they began.
+fn count_decreases(mut told: Vec<(Timestamp, Timestamp, u64)>) -> u64 {
     let mut by_end = told.clone();
     by_end.sort_by_key(|(_, ended_at, _)| *ended_at);
     told.sort_by_key(|(begun_at, _, _)| *begun_at);
     let mut ended = by_end.into_iter().peekable();
     let mut highest = 0;
-    let mut steps = 0;
+    let mut decreases = 0;
     for (begun_at, _, revision) in told {
         while let Some((_, _, earlier)) = ended.next_if(|(_, ended_at, _)| *ended_at < begun_at) {
             highest = highest.max(earlier);
         }
-        steps += u64::from(revision < highest);
+        decreases += u64::from(revision < highest);
     }
-    steps
+    decreases
 }
 
-/// Asks that got a whole answer, with the revision that it named.
+/// Attempts with a complete answer, and the revision that the answer named.
 fn answered(records: &RunRecords) -> impl Iterator<Item = (&AskRecord, u64)> {
     let asks = records.requests.iter().flat_map(|request| &request.asks);
     asks.filter(|ask| ask.told == ToldOutcome::Complete)
         .filter_map(|ask| Some((ask, ask.revision?)))
 }
 
+/// Measures how long answers named a replaced preset, and counts those beyond `limit`.
 fn count_convergence(counts: &mut VerdictCounts, records: &RunRecords, limit: Duration) {
     let mut longest = Duration::ZERO;
     for (ask, revision) in answered(records) {
@@ -388,8 +394,9 @@
     counts.converge_s_max = longest.as_secs_f64();
 }
 
-/// Compares what operators were told with the history, which has to be linear.
-fn count_lost(records: &RunRecords) -> u64 {
+/// Compares the results that operators received with the history, whose revisions
+/// must be consecutive and whose change ids must be distinct.
+fn count_lost_changes(records: &RunRecords) -> u64 {
     let mut lost = 0;
     for (index, row) in records.history.iter().enumerate() {
         lost += u64::from(row.revision != index as u64 + 1);
