--- a/crates/testkit/src/burst/faults.rs
+++ b/crates/testkit/src/burst/faults.rs
@@ -1,4 +1,5 @@
-//! Faults at their times: switches of stand-ins, real signals, severed links.
+//! Injects faults at their planned times: signals to processes, link faults and
+//! switches of the stand-ins.
 
 use std::{
     collections::BTreeSet,
@@ -15,38 +16,38 @@
 
 use super::{
     records::{FaultRecord, LeaveRecord},
-    scenario::{FaultKind, FaultPlan, numbered},
+    scenario::{FaultKind, FaultPlan, parse_index},
 };
 use crate::{ChildProcess, Deployment, stand_in::link::LinkTrouble};
 
-/// Wait of the table service before each answer while it is slow.
+/// Delay of each answer of the table service during `StoreSlow`.
 pub const SLOW_STORE: Duration = Duration::from_millis(400);
-/// Wait of each piece on a slow link; a round trip takes twice as long.
+/// Delay of each piece of data on a slow link; a round trip takes twice as long.
 const SLOW_LINK: Duration = Duration::from_millis(60);
 
-/// Bytes a second of each connection on a narrow link.
+/// Bandwidth of each connection on a narrow link, in bytes per second.
 ///
-/// A chunk of 64 KiB takes a second, and heartbeats, orders and answers still pass.
+/// A chunk of 64 KiB takes a second; heartbeats, orders and answers still get through.
 const NARROW_LINK: u64 = 64 << 10;
 
-/// Longest graceful stop.
-const STOP_TIME: Duration = Duration::from_secs(40);
+/// Longest wait for a graceful stop.
+const STOP_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Time between looks at a process that stops.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// Time between checks of a process that is stopping.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The deployment as the faults share it.
+/// The deployment, shared by the tasks of a run.
 pub type SharedDeployment = Arc<Mutex<Deployment>>;
 
-/// What a fault left behind.
+/// Records of a fault that has ended.
 pub struct FaultEnd {
-    /// The fault.
+    /// The fault itself.
     pub fault: FaultRecord,
-    /// The planned stop of an endpoint, if it was one.
+    /// The planned stop of an endpoint, if the fault was one.
     pub leave: Option<LeaveRecord>,
 }
 
-/// A process of the deployment.
+/// Position of a process in the deployment.
 #[derive(Debug, Clone, Copy)]
 enum ProcessSlot {
     Entry(usize),
@@ -55,9 +56,11 @@
 
 impl ProcessSlot {
     fn parse(target: &str) -> anyhow::Result<Self> {
-        let entry = numbered(target, "entry-").map(Self::Entry);
-        let endpoint = || numbered(target, "endpoint-").map(Self::Endpoint);
-        entry.or_else(endpoint).with_context(|| format!("{target} is no process"))
+        let entry = parse_index(target, "entry-").map(Self::Entry);
+        let endpoint = || parse_index(target, "endpoint-").map(Self::Endpoint);
+        entry
+            .or_else(endpoint)
+            .with_context(|| format!("{target} is not a process of the deployment"))
     }
 
     fn process(self, deployment: &mut Deployment) -> &mut Option<ChildProcess> {
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Starts the process unless another fault has done so.
+    /// Starts the process unless another fault has already done so.
     fn start(self, deployment: &mut Deployment) -> anyhow::Result<()> {
         if self.process(deployment).is_some() {
             return Ok(());
@@ -86,7 +89,7 @@
     }
 }
 
-/// Waits for the fault's time, applies it and takes it back at its end.
+/// Waits for the start of the fault, injects it and reverts it at its end.
 pub async fn apply(
     deployment: SharedDeployment,
     plan: FaultPlan,
@@ -106,12 +109,12 @@
         FaultKind::Restart | FaultKind::Drain => {
             leave = stop_gracefully(&deployment, &plan).await?;
         }
-        kind if kind.is_of_links() => {
+        kind if kind.affects_links() => {
             let locked = deployment.lock().await;
             let side = link_side(&locked, &plan, failure_domains)?;
             locked.links.begin(id, side, link_trouble(kind));
             touched = match kind {
-                // Requests that cross the border may be cut on either side of it.
+                // A partition may cut requests between its sides at processes on both.
                 FaultKind::Partition => all_names(&locked),
                 _ => vec![plan.target.clone()],
             };
@@ -130,7 +133,7 @@
     Ok(FaultEnd { fault, leave })
 }
 
-/// The instances on one side of the links that a fault is of.
+/// IP addresses of the instances on one side of the affected links.
 fn link_side(
     deployment: &Deployment,
     plan: &FaultPlan,
@@ -138,7 +141,8 @@
 ) -> anyhow::Result<BTreeSet<IpAddr>> {
     let slots = match plan.kind {
         FaultKind::Partition => {
-            let domain = numbered(&plan.target, "domain-").context("no failure domain")?;
+            let domain = parse_index(&plan.target, "domain-")
+                .context("the target is not a failure domain")?;
             domain_processes(deployment, domain, failure_domains)
         }
         _ => vec![ProcessSlot::parse(&plan.target)?],
@@ -146,7 +150,7 @@
     Ok(slots.iter().map(|slot| slot.ip(deployment)).collect())
 }
 
-/// What is wrong with the links of a fault's target.
+/// Maps the kind of a fault to the trouble of the affected links.
 fn link_trouble(kind: FaultKind) -> LinkTrouble {
     match kind {
         FaultKind::CutOut => LinkTrouble::SeveredOut,
@@ -183,20 +187,20 @@
     let from = Timestamp::now();
     let is_drain = plan.kind == FaultKind::Drain;
     if is_drain {
-        list(&*deployment.lock().await, slot, Some(ListedState::Leaving));
+        set_listed_state(&*deployment.lock().await, slot, Some(ListedState::Leaving));
     }
-    let asked = match slot.process(&mut *deployment.lock().await) {
+    let id = match slot.process(&mut *deployment.lock().await) {
         Some(process) => {
             process.terminate()?;
             process.id()
         }
         None => return Ok(None),
     };
-    let ended = timeout(STOP_TIME, ended(deployment, slot, asked)).await;
-    ended.with_context(|| format!("{} did not stop within {STOP_TIME:?}", plan.target))??;
+    let stopped = timeout(STOP_TIMEOUT, wait_until_stopped(deployment, slot, id)).await;
+    stopped.with_context(|| format!("{} did not stop within {STOP_TIMEOUT:?}", plan.target))??;
     if is_drain {
         Timer::after(Duration::from_secs_f64(plan.for_s)).await;
-        list(&*deployment.lock().await, slot, None);
+        set_listed_state(&*deployment.lock().await, slot, None);
     }
     let until = Some(Timestamp::now());
     slot.start(&mut *deployment.lock().await)?;
@@ -208,11 +212,15 @@
     })
 }
 
-/// Completes once the process `id` is gone from its slot.
+/// Completes once the process `id` has ended or another one is in its slot.
 ///
-/// The process stays in its slot while it stops: a pause that ends meanwhile
-/// has to find it, or it would never go on and never stop.
-async fn ended(deployment: &SharedDeployment, slot: ProcessSlot, id: u32) -> anyhow::Result<()> {
+/// The process stays in its slot while it is stopping, so that a pause that ends
+/// meanwhile can resume it; a process that stays suspended would never stop.
+async fn wait_until_stopped(
+    deployment: &SharedDeployment,
+    slot: ProcessSlot,
+    id: u32,
+) -> anyhow::Result<()> {
     loop {
         let mut locked = deployment.lock().await;
         let process = slot.process(&mut locked);
@@ -224,11 +232,12 @@
             return Ok(());
         }
         drop(locked);
-        Timer::after(LOOK_AGAIN).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-fn list(deployment: &Deployment, slot: ProcessSlot, state: Option<ListedState>) {
+/// Sets or clears the state in which the platform lists an endpoint.
+fn set_listed_state(deployment: &Deployment, slot: ProcessSlot, state: Option<ListedState>) {
     if let ProcessSlot::Endpoint(index) = slot {
         deployment.instances.set(&deployment.endpoints[index].instance, state);
     }
--- a/crates/testkit/src/burst/figures.rs
+++ b/crates/testkit/src/burst/figures.rs
@@ -1,4 +1,4 @@
-//! Percentiles of what callers saw.
+//! Latency percentiles as measured by callers.
 
 use cassiawheel_model::record;
 use hdrhistogram::Histogram;
@@ -6,24 +6,24 @@
 
 use super::records::{RequestRecord, ToldOutcome};
 
-/// Percentiles in milliseconds.
+/// Percentiles of a latency, in milliseconds.
 #[apply(record!)]
 #[derive(Default)]
 pub struct LatencyFigures {
-    /// Values.
+    /// Number of measured values.
     pub count: u64,
-    /// Half of them are at most this.
+    /// Median.
     pub p50: f64,
-    /// 95 in 100.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99: f64,
-    /// 999 in 1,000.
+    /// 99.9th percentile.
     pub p999: f64,
 }
 
 impl LatencyFigures {
-    /// Percentiles of `values_us`, in microseconds.
+    /// Computes the percentiles of `values_us`, given in microseconds.
     pub fn of(values_us: impl Iterator<Item = u64>) -> anyhow::Result<Self> {
         let mut histogram = Histogram::<u64>::new(3)?;
         for value in values_us {
@@ -40,20 +40,20 @@
     }
 }
 
-/// Latency of whole answers, each from its scheduled arrival.
+/// Latency of complete answers, measured from the scheduled arrival.
 #[apply(record!)]
 #[derive(Default)]
 pub struct CallFigures {
-    /// To the end of the answer.
+    /// Time to the end of the answer.
     pub latency_ms: LatencyFigures,
-    /// To the first part of a generated answer.
+    /// Time to the first part of a generated answer.
     pub first_token_ms: LatencyFigures,
-    /// Between the parts of a generated answer.
+    /// Time between the parts of a generated answer.
     pub between_tokens_ms: LatencyFigures,
 }
 
 impl CallFigures {
-    /// Figures of the requests that were answered as a whole.
+    /// Computes the figures of the requests with a complete answer.
     pub fn of(requests: &[RequestRecord]) -> anyhow::Result<Self> {
         let answers = || {
             let last = requests.iter().filter_map(|request| Some((request, request.asks.last()?)));
--- a/crates/testkit/src/burst/operate.rs
+++ b/crates/testkit/src/burst/operate.rs
@@ -1,4 +1,4 @@
-//! Operators that change the preset in force and keep asking until they know.
+//! Operators that change the preset in force and retry until the result is definite.
 
 use std::{
     net::SocketAddr,
@@ -20,19 +20,19 @@
 };
 use crate::deployment::{MODEL_SERVICE, OPERATOR_TOKEN, PLAIN_SERVICE, WEB_SERVICE};
 
-/// Longest wait for one answer.
-const CALL_TIME: Duration = Duration::from_secs(10);
-/// Wait before an operator asks again.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Wait before an operator retries.
+const RETRY_WAIT: Duration = Duration::from_millis(200);
 
-/// An operator with the addresses of all entries.
+/// An operator that calls the admin listeners of all entries.
 #[derive(Clone)]
 pub struct BurstOperator {
     client: HttpClient,
     entries: Vec<SocketAddr>,
 }
 
-/// The answers to a change that matter here.
+/// Responses to a change; all others are treated as indefinite.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "result")]
 enum ChangeText {
@@ -47,23 +47,25 @@
     revision: u64,
 }
 
-/// What one call told.
+/// Result of one call.
 enum CallEnd {
-    Told(ToldChange),
-    /// The change took no effect; a new id may be tried.
+    /// The change was accepted or refused.
+    Definite(ToldChange),
+    /// The change took no effect and may be retried with a new id.
     NotAccepted,
-    /// Nothing definite.
-    Open,
+    /// The change may or may not have taken effect.
+    Indefinite,
 }
 
 impl BurstOperator {
-    /// An operator who knows the admin addresses `entries`.
+    /// Creates an operator; `entries` are the admin addresses of the entries.
     pub fn new(entries: Vec<SocketAddr>) -> Self {
         Self { client: HttpClient::default(), entries }
     }
 
-    /// Stores the preset and puts it in force, beginning at the entry that the
-    /// change names; keeps asking until there is a definite answer or `end`.
+    /// Stores the preset and puts it in force, starting with the entry that the
+    /// change names; retries at the other entries until the result is definite or
+    /// `end` is reached.
     pub async fn change(
         &self,
         scenario: &BurstScenario,
@@ -75,10 +77,10 @@
         let mut entry = change.entry;
         while !self.put(entry, &change.name, &content).await {
             if Instant::now() >= end {
-                // Nothing was put in force, so there is nothing to be told about.
+                // The change was not requested, so there is no result to record.
                 return Vec::new();
             }
-            Timer::after(ASK_AGAIN).await;
+            Timer::after(RETRY_WAIT).await;
             entry = (entry + 1) % self.entries.len();
         }
         self.force(entry, &change.name, id, end).await
@@ -104,21 +106,23 @@
             let body = json!({ "preset": name, "change": change });
             let told = loop {
                 match self.force_once(entry, &body).await {
-                    CallEnd::Told(told) => break Some(told),
+                    CallEnd::Definite(told) => break Some(told),
                     CallEnd::NotAccepted => break None,
-                    CallEnd::Open if Instant::now() >= end => break Some(ToldChange::Unresolved),
-                    CallEnd::Open => {
-                        Timer::after(ASK_AGAIN).await;
+                    CallEnd::Indefinite if Instant::now() >= end => {
+                        break Some(ToldChange::Unresolved);
+                    }
+                    CallEnd::Indefinite => {
+                        Timer::after(RETRY_WAIT).await;
                         entry = (entry + 1) % self.entries.len();
                     }
                 }
             };
-            let again = told.is_none() && Instant::now() < end;
+            let may_retry = told.is_none() && Instant::now() < end;
             records.push(ChangeRecord { change, told: told.unwrap_or(ToldChange::Refused) });
-            if !again {
+            if !may_retry {
                 break;
             }
-            Timer::after(ASK_AGAIN).await;
+            Timer::after(RETRY_WAIT).await;
         }
         records
     }
@@ -126,15 +130,15 @@
     async fn force_once(&self, entry: usize, body: &Value) -> CallEnd {
         let reply = self.call(entry, Method::POST, "/v1/force", body).await;
         let Some(reply) = reply else {
-            return CallEnd::Open;
+            return CallEnd::Indefinite;
         };
         match serde_json::from_slice(reply.body()) {
             Ok(ChangeText::Accepted { preset }) => {
-                CallEnd::Told(ToldChange::Accepted(preset.revision))
+                CallEnd::Definite(ToldChange::Accepted(preset.revision))
             }
-            Ok(ChangeText::Conflict {}) => CallEnd::Told(ToldChange::Refused),
+            Ok(ChangeText::Conflict {}) => CallEnd::Definite(ToldChange::Refused),
             Ok(ChangeText::NotAccepted {}) => CallEnd::NotAccepted,
-            Ok(ChangeText::Unknown {}) | Err(_) => CallEnd::Open,
+            Ok(ChangeText::Unknown {}) | Err(_) => CallEnd::Indefinite,
         }
     }
 
@@ -151,7 +155,7 @@
             .header(AUTHORIZATION, format!("Bearer {OPERATOR_TOKEN}"))
             .body(Full::new(Bytes::from(body.to_string())))
             .ok()?;
-        self.client.send_and_read(request, CALL_TIME).await.ok()
+        self.client.send_and_read(request, CALL_TIMEOUT).await.ok()
     }
 }
 
--- a/crates/testkit/src/burst/plot.rs
+++ b/crates/testkit/src/burst/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of one run: replicas ready, latency and outcomes over time.
+//! Plots one run: ready replicas, latency and outcomes over time.
 
 use std::{collections::BTreeMap, path::Path};
 
@@ -17,18 +17,18 @@
     scenario::BurstScenario,
 };
 
-/// Size of the picture.
-const PICTURE_SIZE: (u32, u32) = (960, 900);
+/// Width and height of the plot, in pixels.
+const PLOT_SIZE: (u32, u32) = (960, 900);
 
 type PlotArea<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// A line of a chart.
+/// A line of a chart, as points of time in seconds and value.
 struct PlotLine {
     color: RGBColor,
     points: Vec<(f64, f64)>,
 }
 
-/// Outcomes and latency of the requests of one second.
+/// Outcomes and longest latency of the requests scheduled within one second.
 #[derive(Default)]
 struct SecondFigures {
     complete: u64,
@@ -36,7 +36,7 @@
     longest_ms: f64,
 }
 
-/// Draws the run to `path`.
+/// Draws the run as an SVG file at `path`.
 pub fn draw(
     path: &Path,
     scenario: &BurstScenario,
@@ -44,7 +44,7 @@
     records: &RunRecords,
     ready: &[ReadySample],
 ) -> anyhow::Result<()> {
-    let root = SVGBackend::new(path, PICTURE_SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
     root.fill(&WHITE).map_err(drawing_error)?;
     let areas = root.split_evenly((3, 1));
     let seconds_since = |at: Timestamp| (at.0 as f64 - started_at.0 as f64) / 1_000.0;
@@ -105,5 +105,5 @@
 }
 
 fn drawing_error(error: impl std::fmt::Display) -> anyhow::Error {
-    anyhow::anyhow!("the plot cannot be drawn: {error}")
+    anyhow::anyhow!("cannot draw the plot: {error}")
 }
--- a/crates/testkit/src/burst/report.rs
+++ b/crates/testkit/src/burst/report.rs
@@ -1,4 +1,4 @@
-//! The end of a run: a table for people, one line of JSON for programs.
+//! The report of a run, printed as a table or as one line of JSON.
 
 use std::fmt;
 
@@ -10,42 +10,43 @@
     verdicts::{KindCounts, VerdictCounts},
 };
 
-/// Everything that a run tells.
+/// Counts and figures of a run.
 #[apply(record!)]
 pub struct BurstReport {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The seed of arrivals and weights.
+    /// Seed of the arrivals and weights.
     pub seed: u64,
-    /// The invariants and outcomes.
+    /// Outcomes and invariant violations.
     #[serde(flatten)]
     pub counts: VerdictCounts,
-    /// Engines that answer from the version in force at the end.
+    /// Engines that have loaded the version in force at the end.
     pub replicas_ready: u64,
-    /// Replicas that the preset in force at the end wants.
+    /// Replicas that the preset in force at the end requires.
     pub replicas_wanted: u64,
-    /// Longest time from a change to all wanted replicas; none if none was reached.
+    /// Longest time from a change until all required replicas are ready, in seconds;
+    /// `None` if no change got that far.
     pub time_to_n_s: Option<f64>,
-    /// That time by the lower bound.
+    /// `time_to_n_s` divided by the lower bound of the rollout.
     pub time_ratio: Option<f64>,
-    /// Copies drawn from the origin, per version put in force.
+    /// Copies fetched from the origin per version put in force.
     pub origin_copies: f64,
-    /// Latency.
+    /// Latency figures.
     #[serde(flatten)]
     pub calls: CallFigures,
-    /// Whole answers per second of the arrivals.
+    /// Complete answers per second of the scenario's duration.
     pub goodput_rps: f64,
-    /// Asks of callers per request.
+    /// Attempts of callers per request.
     pub attempts_per_request: f64,
     /// Runs of stand-ins per request.
     pub runs_per_request: f64,
-    /// Calls per second that read the table.
+    /// Read calls to the table service per second.
     pub store_reads_per_s: f64,
-    /// Calls per second that write the table.
+    /// Write calls to the table service per second.
     pub store_writes_per_s: f64,
-    /// Bytes of control messages per second and entry, both directions.
+    /// Bytes of control messages per second and entry, in both directions.
     pub control_bytes_per_s_per_daemon: Option<f64>,
-    /// The same of an agent.
+    /// Bytes of control messages per second and agent, in both directions.
     pub control_bytes_per_s_per_agent: Option<f64>,
 }
 
--- a/crates/testkit/src/burst/scenario.rs
+++ b/crates/testkit/src/burst/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario of a run: checked JSON, all findings reported together.
+//! The scenario of a run, read from JSON; all findings of a check are reported together.
 
 mod arrivals;
 mod check;
@@ -9,47 +9,47 @@
 pub use self::arrivals::{ArrivalPlan, CallMix, RateBurst, RateStep, WorkspaceShare};
 use crate::bound::RolloutBound;
 
-/// A whole scenario.
+/// A scenario: the deployment, its load, the changes of the preset and the faults.
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct BurstScenario {
-    /// Its name in reports.
+    /// Name of the scenario in reports.
     pub name: String,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Model engines with their agents.
+    /// Number of model engines, each with an agent.
     pub model_replicas: usize,
-    /// Replicas of the application, which is not idempotent.
+    /// Replicas of the application, whose calls are not idempotent.
     pub app_replicas: usize,
-    /// Instances of the other web service, which is only read.
+    /// Instances of the other web service, whose calls are idempotent.
     pub web_services: usize,
-    /// Failure domains over which instances are spread.
+    /// Number of failure domains over which instances are spread.
     pub failure_domains: usize,
-    /// Bytes of each model version.
+    /// Size of the weights of each model version, in bytes.
     pub model_bytes: usize,
-    /// Bytes of a chunk.
+    /// Size of a chunk, in bytes.
     pub chunk_bytes: u32,
-    /// Copies that the origin's link carries in a window.
+    /// Copies of a model version that the origin's link can carry in a window.
     pub origin_copies_per_window: f64,
-    /// Copies that an instance's link carries in a window.
+    /// Copies of a model version that an instance's link can carry in a window.
     pub link_copies_per_window: f64,
-    /// The window, in seconds.
+    /// Length of the window, in seconds.
     pub window_s: f64,
-    /// Which figure the deployment weighs more.
+    /// Whether transfers minimise bytes from the origin or the time of a rollout.
     pub transfer_mode: TransferMode,
-    /// Copies that all agents together may draw from the origin.
+    /// Copies of a model version that all agents together may fetch from the origin.
     #[serde(default = "default_origin_copies")]
     pub origin_copies: f64,
-    /// Length of the arrivals, in seconds.
+    /// Time in which requests arrive, in seconds.
     pub duration_s: f64,
-    /// Requests.
+    /// Rates and kinds of the requests.
     pub arrivals: ArrivalPlan,
     /// Changes of the preset in force; the first one is made before the arrivals.
     pub presets: Vec<PresetChange>,
-    /// Faults.
+    /// Faults to inject.
     #[serde(default)]
     pub faults: Vec<FaultPlan>,
-    /// Bounds of the invariants.
+    /// Time limits that the invariants allow.
     #[serde(default)]
     pub limits: LimitPlan,
 }
@@ -62,74 +62,74 @@
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct PresetChange {
-    /// When it is asked for, in seconds; two with the same time race.
+    /// When it is requested, in seconds; changes with the same time race.
     pub at_s: f64,
-    /// The entry at which it is asked for.
+    /// Index of the entry that receives it first.
     #[serde(default)]
     pub entry: usize,
-    /// The preset.
+    /// Name of the preset.
     pub name: PresetName,
-    /// The model version that it serves.
+    /// Model version of the preset.
     pub version: ModelVersion,
-    /// Model replicas wanted.
+    /// Model replicas that the preset requires.
     pub replicas: u32,
 }
 
-/// A fault.
+/// A fault to inject.
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct FaultPlan {
-    /// When it begins, in seconds.
+    /// When the fault begins, in seconds.
     pub at_s: f64,
-    /// What happens.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// To whom: `entry-N`, `endpoint-N`, `domain-N`, `store`, `origin` or a version.
+    /// What the fault affects: `entry-N`, `endpoint-N`, `domain-N`, `store`, `origin` or a version.
     pub target: String,
-    /// How long it lasts, in seconds.
+    /// Duration of the fault, in seconds.
     #[serde(default)]
     pub for_s: f64,
 }
 
-/// What can happen.
+/// Kinds of faults.
 #[apply(label!)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The process is killed; it is started again at the end.
+    /// The process is killed, and started again at the end of the fault.
     Kill,
     /// The process is stopped gracefully and started again at once.
     Restart,
-    /// The process is frozen.
+    /// The process is suspended until the end of the fault.
     Pause,
     /// The platform lists the instance as leaving and stops the process
-    /// gracefully; it is started again at the end.
+    /// gracefully; the process is started again at the end of the fault.
     Drain,
-    /// The links between this process and the others of the system carry nothing.
+    /// The links between this process and the other processes carry no data.
     StallLink,
-    /// What this process sends to the others of the system is not carried.
+    /// The links from this process to the other processes carry no data.
     CutOut,
-    /// The links between this process and the others of the system are slow.
+    /// The links between this process and the other processes add a delay.
     SlowLink,
-    /// The links between this process and the others of the system are narrow.
+    /// The links between this process and the other processes have little bandwidth.
     NarrowLink,
-    /// Connections between this process and the others of the system are reset.
+    /// Connections between this process and the other processes are reset.
     ResetLink,
     /// Chunks from the origin arrive corrupt.
     CorruptChunks,
-    /// The table service answers nothing but errors.
+    /// The table service answers with errors only.
     StoreDown,
-    /// The table service answers late.
+    /// The table service delays each answer.
     StoreSlow,
-    /// The table service carries calls out and loses its answers.
+    /// The table service performs the calls but its answers are lost.
     StoreLostAnswer,
-    /// The origin answers nothing but errors.
+    /// The origin answers with errors only.
     OriginDown,
-    /// An operator asks for another version, whatever is under way.
+    /// An operator requests another version, also during a rollout.
     VersionChange,
-    /// The links between a failure domain and the others carry nothing.
+    /// The links between a failure domain and the others carry no data.
     Partition,
 }
 
-/// What a fault happens to, as its plan names it.
+/// What a fault affects, and how a fault plan names it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultTarget {
     /// A process: `entry-N` or `endpoint-N`.
@@ -144,15 +144,17 @@
     Version,
 }
 
-/// Bounds of the invariants.
+/// Time limits that the invariants allow.
 #[apply(record!)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitPlan {
-    /// Time after which a leaving endpoint may begin nothing, in seconds.
+    /// Time after the start of a planned stop from which the endpoint may begin no run,
+    /// in seconds.
     pub leave_s: f64,
-    /// Time after which an older preset may answer nothing, in seconds.
+    /// Time after a change of the preset from which no answer may name an older one, in
+    /// seconds.
     pub converge_s: f64,
-    /// Longest wait for the end state, in seconds.
+    /// Longest wait for the replicas of the last preset, in seconds.
     pub settle_s: f64,
 }
 
@@ -163,7 +165,7 @@
 }
 
 impl FaultKind {
-    /// Whether it may cut requests that are in progress at its target.
+    /// Whether the fault may cut requests that are in progress at its target.
     pub fn is_disruptive(self) -> bool {
         match self {
             Self::Kill
@@ -185,7 +187,7 @@
         }
     }
 
-    /// What it happens to.
+    /// Kind of target that the fault affects.
     pub fn target(self) -> FaultTarget {
         match self {
             Self::Kill
@@ -204,8 +206,8 @@
         }
     }
 
-    /// Whether it affects links between processes of the system.
-    pub fn is_of_links(self) -> bool {
+    /// Whether the fault affects links between processes.
+    pub fn affects_links(self) -> bool {
         matches!(
             self,
             Self::StallLink
@@ -217,34 +219,34 @@
         )
     }
 
-    /// Whether it affects the table service.
-    pub fn is_of_store(self) -> bool {
+    /// Whether the fault affects the table service.
+    pub fn affects_store(self) -> bool {
         self.target() == FaultTarget::Store
     }
 }
 
 impl BurstScenario {
-    /// Endpoints of all kinds.
+    /// Number of endpoints of all services.
     pub fn endpoints(&self) -> usize {
         self.model_replicas + self.app_replicas + self.web_services
     }
 
-    /// Bytes per second of an instance's link.
+    /// Bandwidth of an instance's link, in bytes per second.
     pub fn link_bytes_per_s(&self) -> u64 {
         (self.link_copies_per_window * self.model_bytes as f64 / self.window_s) as u64
     }
 
-    /// Bytes per second of the origin's link.
+    /// Bandwidth of the origin's link, in bytes per second.
     pub fn origin_bytes_per_s(&self) -> u64 {
         (self.origin_copies_per_window * self.model_bytes as f64 / self.window_s) as u64
     }
 
-    /// Whether something goes wrong with links.
+    /// Whether any fault affects links.
     pub fn has_link_faults(&self) -> bool {
-        self.faults.iter().any(|fault| fault.kind.is_of_links())
+        self.faults.iter().any(|fault| fault.kind.affects_links())
     }
 
-    /// What bounds a rollout to replicas that serve callers, or serve nothing yet.
+    /// Lower bound for a rollout; `serves` tells whether the replicas already serve callers.
     pub fn rollout_bound(&self, serves: bool) -> RolloutBound {
         RolloutBound {
             model_bytes: self.model_bytes as u64,
@@ -255,7 +257,7 @@
     }
 }
 
-/// The number after `prefix`.
-pub fn numbered(target: &str, prefix: &str) -> Option<usize> {
+/// Parses the index in a name such as `entry-N`, whose `prefix` is `entry-`.
+pub fn parse_index(target: &str, prefix: &str) -> Option<usize> {
     target.strip_prefix(prefix)?.parse().ok()
 }
--- a/crates/testkit/src/burst/scenario/arrivals.rs
+++ b/crates/testkit/src/burst/scenario/arrivals.rs
@@ -1,31 +1,31 @@
-//! Requests of a scenario: rates, kinds, workspaces.
+//! Requests of a scenario: rates, kinds and workspaces.
 
 use cassiawheel_model::{FindingList, WorkspaceId, record};
 use macro_rules_attribute::apply;
 
-/// Shares may differ from 1 by rounding only.
+/// Difference between 1 and a sum of shares that rounding may cause.
 const SHARE_TOLERANCE: f64 = 1e-6;
 
-/// Requests of a run.
+/// Rates and kinds of the requests of a run.
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct ArrivalPlan {
-    /// Rates, each from its time until the next one's.
+    /// Arrival rates; each applies until the start of the next one.
     pub curve: Vec<RateStep>,
-    /// Further requests that begin at a fixed time.
+    /// Further requests on top of the curve, for a limited time.
     #[serde(default)]
     pub burst: Option<RateBurst>,
-    /// Shares of the kinds; they add up to 1.
+    /// Shares of the kinds of requests; they add up to 1.
     pub mix: CallMix,
     /// Shares of the workspaces; they add up to 1.
     pub workspaces: Vec<WorkspaceShare>,
-    /// Tokens of a generated answer.
+    /// Number of tokens of a generated answer.
     pub tokens: u32,
     /// Time between the tokens of an engine, in milliseconds.
     pub token_ms: u64,
-    /// Time that callers allow a request, in milliseconds.
+    /// Time from the scheduled arrival to the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Callers that each keep an advice of their own.
+    /// Number of callers; each caches its own advice.
     #[serde(default = "default_callers")]
     pub callers: usize,
 }
@@ -34,11 +34,11 @@
     16
 }
 
-/// A rate from a time on.
+/// An arrival rate from a given time on.
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct RateStep {
-    /// When it begins, in seconds.
+    /// When the rate starts, in seconds.
     pub from_s: f64,
     /// Requests per second.
     pub rps: f64,
@@ -48,9 +48,9 @@
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct RateBurst {
-    /// When it begins, in seconds.
+    /// When the burst begins, in seconds.
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration of the burst, in seconds.
     pub for_s: f64,
     /// Requests per second.
     pub rps: f64,
@@ -74,9 +74,9 @@
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct WorkspaceShare {
-    /// The workspace.
+    /// Id of the workspace.
     pub name: WorkspaceId,
-    /// Its share.
+    /// Its share of the requests, between 0 and 1.
     pub share: f64,
 }
 
@@ -100,7 +100,11 @@
         for (index, step) in self.curve.iter().enumerate() {
             let path = format!("arrivals.curve[{index}]");
             let later = previous.is_none_or(|previous| step.from_s > previous);
-            findings.require(later, format_args!("{path}.from_s"), "must be later than the last");
+            findings.require(
+                later,
+                format_args!("{path}.from_s"),
+                "must be later than the previous step",
+            );
             findings.require(step.rps >= 0.0, format_args!("{path}.rps"), "must not be negative");
             previous = Some(step.from_s);
         }
--- a/crates/testkit/src/burst/scenario/check.rs
+++ b/crates/testkit/src/burst/scenario/check.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a scenario, all of it together.
+//! Validation of a scenario; all findings are collected before they are reported.
 
 use cassiawheel_model::{
     FindingList, ModelVersion, PresetName,
@@ -7,13 +7,14 @@
 
 use super::{
     ArrivalPlan, BurstScenario, FaultKind, FaultPlan, FaultTarget, LimitPlan, PresetChange,
-    default_origin_copies, numbered,
+    default_origin_copies, parse_index,
 };
 
-/// Most entries and most endpoints: each is a process on this machine.
+/// Most entries; each is a process on this machine.
 const MAX_ENTRIES: usize = 20;
+/// Most endpoints; the agent of each is a process on this machine.
 const MAX_ENDPOINTS: usize = 200;
-/// Longest run, in seconds.
+/// Longest `duration_s`, in seconds.
 const MAX_DURATION_S: f64 = 3_600.0;
 
 impl CheckedSettings for BurstScenario {
@@ -113,7 +114,7 @@
 
     fn check_presets(&self, findings: &mut FindingList) {
         match self.presets.first() {
-            None => findings.push("presets", "must have at least one"),
+            None => findings.push("presets", "must have at least one change"),
             Some(first) => {
                 let message = "the first change is made before the arrivals: must be 0";
                 findings.require(first.at_s == 0.0, "presets[0].at_s", message);
@@ -149,20 +150,20 @@
         };
         findings.require(holds, format_args!("{path}.for_s"), message);
         let target = fault.target.as_str();
-        let entry = numbered(target, "entry-").is_some_and(|index| index < self.entries);
-        let endpoint = numbered(target, "endpoint-").is_some_and(|index| index < self.endpoints());
+        let entry = parse_index(target, "entry-").is_some_and(|index| index < self.entries);
+        let endpoint =
+            parse_index(target, "endpoint-").is_some_and(|index| index < self.endpoints());
         let (holds, message) = match fault.kind.target() {
             FaultTarget::Process => {
                 (entry || endpoint, "must be entry-N or endpoint-N of this scenario")
             }
             FaultTarget::Origin => (target == "origin", "must be origin"),
             FaultTarget::Store => (target == "store", "must be store"),
-            FaultTarget::Version => (
-                ModelVersion::new(target).is_ok(),
-                "must be the version that the operator asks for",
-            ),
+            FaultTarget::Version => {
+                (ModelVersion::new(target).is_ok(), "must be a valid model version")
+            }
             FaultTarget::Domain => (
-                numbered(target, "domain-").is_some_and(|index| index < self.failure_domains),
+                parse_index(target, "domain-").is_some_and(|index| index < self.failure_domains),
                 "must be domain-N of this scenario",
             ),
         };
--- a/crates/testkit/src/burst/verdicts.rs
+++ b/crates/testkit/src/burst/verdicts.rs
@@ -298,7 +298,7 @@
     if ask.begun_at > until || ask.ended_at < fault.from {
         return false;
     }
-    if fault.kind.is_of_store() {
+    if fault.kind.affects_store() {
         return request.kind == CallKind::Keyed;
     }
     if !fault.kind.is_disruptive() {
