--- a/crates/testkit/examples/burst.rs
+++ b/crates/testkit/examples/burst.rs
@@ -1,4 +1,4 @@
-//! Load and experiments on a whole deployment; `docs/burst.md` tells how.
+//! Runs load and faults against a whole deployment; see `docs/burst.md`.
 
 use std::path::PathBuf;
 
@@ -7,34 +7,34 @@
 use cassiawheel_model::settings::parse_settings;
 use cassiawheel_testkit::burst::{BurstOptions, BurstScenario, run_until_stopped};
 
-/// Drives a whole deployment by a scenario and judges what it did.
+/// Runs a scenario against a whole deployment and checks the invariants.
 #[derive(FromArgs)]
 struct BurstArgs {
-    /// the scenario, a JSON file
+    /// path of the scenario, a JSON file
     #[argh(option)]
     scenario: PathBuf,
-    /// seed of arrivals and weights; default 1
+    /// seed of the arrivals and weights; default 1
     #[argh(option, default = "1")]
     seed: u64,
-    /// end with one line of JSON
+    /// print the report as one line of JSON at the end
     #[argh(switch)]
     json: bool,
-    /// draw replicas, latency and outcomes over time to this SVG file
+    /// plot replicas, latency and outcomes over time to this SVG file
     #[argh(option)]
     plot: Option<PathBuf>,
-    /// keep settings and logs of the processes and tell where they are
+    /// keep the settings and logs of the processes and print their path
     #[argh(switch)]
     keep_logs: bool,
 }
 
-/// Threads of the stand-ins and callers.
+/// Threads of the executor that runs the stand-ins and callers.
 const THREADS: usize = 4;
 
 fn main() -> anyhow::Result<()> {
     let args: BurstArgs = argh::from_env();
     let source = args.scenario.display().to_string();
-    let text = std::fs::read_to_string(&args.scenario)
-        .with_context(|| format!("{source}: cannot be read"))?;
+    let text =
+        std::fs::read_to_string(&args.scenario).with_context(|| format!("cannot read {source}"))?;
     let scenario: BurstScenario = parse_settings(&source, &text)?;
     let options = BurstOptions {
         seed: args.seed,
--- a/crates/testkit/src/burst/draw.rs
+++ b/crates/testkit/src/burst/draw.rs
@@ -1,4 +1,4 @@
-//! Scenarios drawn from a seed: faults in series that overlap.
+//! Draws random scenarios from a seed, with overlapping series of faults.
 
 use std::collections::BTreeMap;
 
@@ -12,28 +12,30 @@
     PresetChange, RateBurst, RateStep, WorkspaceShare,
 };
 
-/// Shortest run that is drawn, in seconds: the first preset, a fault and its end.
+/// Shortest duration that is drawn, in seconds: enough for the first preset and for a
+/// fault to begin and end.
 pub const SHORTEST_S: f64 = 6.0;
 
-/// Time between the beginnings of two faults, in seconds.
+/// Time between the starts of two faults, in seconds.
 const FAULT_GAP_S: std::ops::Range<f64> = 0.4..2.5;
 
-/// How long a fault lasts, in seconds.
+/// Duration of a fault, in seconds.
 const FAULT_SPAN_S: std::ops::Range<f64> = 0.3..5.0;
 
 /// Time between two changes of the preset, in seconds.
 const CHANGE_GAP_S: std::ops::Range<f64> = 2.0..7.0;
 
-/// Chance that two operators change the preset at the same time at different entries.
+/// Probability that two operators change the preset at the same time; each chooses its
+/// entry at random.
 const RACE_CHANCE: f64 = 0.3;
 
-/// Versions between which operators change.
+/// Model versions from which the operators choose.
 const VERSIONS: [&str; 4] = ["v1", "v2", "v3", "v4"];
 
-/// Longest wait for the end state, in seconds.
+/// Longest wait for the replicas of the last preset, in seconds.
 const SETTLE_S: f64 = 40.0;
 
-const KINDS: [FaultKind; 15] = [
+const FAULT_KINDS: [FaultKind; 15] = [
     FaultKind::Kill,
     FaultKind::Restart,
     FaultKind::Pause,
@@ -51,7 +53,8 @@
     FaultKind::Partition,
 ];
 
-/// The scenario of `seed`, whose arrivals last `duration_s` seconds.
+/// Draws the scenario of `seed`, whose arrivals last `duration_s` seconds, but at
+/// least [`SHORTEST_S`].
 pub fn draw_scenario(seed: u64, duration_s: f64) -> Result<BurstScenario, IdError> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut scenario = BurstScenario {
@@ -125,11 +128,11 @@
 
 fn draw_faults(rng: &mut SmallRng, scenario: &BurstScenario) -> Vec<FaultPlan> {
     let mut faults = Vec::new();
-    // A process takes one fault at a time: one that is killed cannot be paused.
+    // Faults of the same target must not overlap: a killed process cannot be paused.
     let mut busy_until: BTreeMap<String, f64> = BTreeMap::new();
     let mut at_s = rng.random_range(FAULT_GAP_S);
     while at_s < scenario.duration_s {
-        let kind = *KINDS.choose(rng).unwrap_or(&FaultKind::Kill);
+        let kind = *FAULT_KINDS.choose(rng).unwrap_or(&FaultKind::Kill);
         let target = draw_target(rng, scenario, kind);
         let span = if kind == FaultKind::Restart { 0.0 } else { rng.random_range(FAULT_SPAN_S) };
         let free_from = busy_until.get(&target).copied().unwrap_or_default();
--- a/crates/testkit/src/burst/operate.rs
+++ b/crates/testkit/src/burst/operate.rs
@@ -50,11 +50,11 @@
 /// Result of one call.
 enum CallEnd {
     /// The change was accepted or refused.
-    Definite(ToldChange),
+    Known(ToldChange),
     /// The change took no effect and may be retried with a new id.
     NotAccepted,
     /// The change may or may not have taken effect.
-    Indefinite,
+    Open,
 }
 
 impl BurstOperator {
@@ -106,12 +106,10 @@
             let body = json!({ "preset": name, "change": change });
             let told = loop {
                 match self.force_once(entry, &body).await {
-                    CallEnd::Definite(told) => break Some(told),
+                    CallEnd::Known(told) => break Some(told),
                     CallEnd::NotAccepted => break None,
-                    CallEnd::Indefinite if Instant::now() >= end => {
-                        break Some(ToldChange::Unresolved);
-                    }
-                    CallEnd::Indefinite => {
+                    CallEnd::Open if Instant::now() >= end => break Some(ToldChange::Unresolved),
+                    CallEnd::Open => {
                         Timer::after(RETRY_WAIT).await;
                         entry = (entry + 1) % self.entries.len();
                     }
@@ -130,15 +128,15 @@
     async fn force_once(&self, entry: usize, body: &Value) -> CallEnd {
         let reply = self.call(entry, Method::POST, "/v1/force", body).await;
         let Some(reply) = reply else {
-            return CallEnd::Indefinite;
+            return CallEnd::Open;
         };
         match serde_json::from_slice(reply.body()) {
             Ok(ChangeText::Accepted { preset }) => {
-                CallEnd::Definite(ToldChange::Accepted(preset.revision))
+                CallEnd::Known(ToldChange::Accepted(preset.revision))
             }
-            Ok(ChangeText::Conflict {}) => CallEnd::Definite(ToldChange::Refused),
+            Ok(ChangeText::Conflict {}) => CallEnd::Known(ToldChange::Refused),
             Ok(ChangeText::NotAccepted {}) => CallEnd::NotAccepted,
-            Ok(ChangeText::Unknown {}) | Err(_) => CallEnd::Indefinite,
+            Ok(ChangeText::Unknown {}) | Err(_) => CallEnd::Open,
         }
     }
 
--- a/crates/testkit/src/burst/run.rs
+++ b/crates/testkit/src/burst/run.rs
@@ -1,4 +1,4 @@
-//! One run from the start of the processes to the report.
+//! Executes one run, from the start of the processes to the report.
 
 mod sampler;
 mod stand_ins;
@@ -39,25 +39,25 @@
     weights::WeightImage,
 };
 
-/// Longest time for the processes to know each other and to serve.
-const START_TIME: Duration = Duration::from_secs(60);
+/// Longest wait for all agents to report, and for all endpoints to serve.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time between progress lines.
-const PROGRESS_TIME: Duration = Duration::from_secs(1);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How a run is made.
+/// Options of a run, which do not depend on the scenario.
 #[derive(Debug, Clone, Default)]
 pub struct BurstOptions {
-    /// Seed of arrivals and weights.
+    /// Seed of the arrivals and weights.
     pub seed: u64,
-    /// Whether settings and logs are kept.
+    /// Whether the settings and logs of the processes are kept after the run.
     pub keep_logs: bool,
-    /// Whether progress lines go to standard error.
+    /// Whether progress lines are written to standard error.
     pub progress: bool,
-    /// Where the plot goes.
+    /// Path of the SVG plot, if one is to be drawn.
     pub plot: Option<PathBuf>,
 }
 
-/// Runs `scenario` and judges it.
+/// Runs `scenario` and checks its records against the invariants.
 pub async fn run_burst(
     scenario: &BurstScenario,
     options: &BurstOptions,
@@ -73,7 +73,7 @@
     let sampler = StandInSampler::new(&deployment);
     let sampling = spawn(sampler.clone().run());
     let operator = BurstOperator::new(deployment.entries.iter().map(|e| e.admin_addr).collect());
-    let mut changes = begin(&deployment, scenario, &operator, options.seed).await?;
+    let mut changes = start_serving(&deployment, scenario, &operator, options.seed).await?;
     let mut run = BurstRun::new(scenario, options, deployment).await;
     let control_before = run.control_bytes().await;
 
@@ -115,10 +115,10 @@
     let counts = judge(&records, &limits);
     let (requests, last) = (counts.requests.max(1) as f64, samples.waits.last());
     let longest = samples.longest_wait();
-    // The first version goes to replicas that serve nothing yet.
+    // The replicas do not serve callers yet while they load the first version.
     let bound_s = |first: bool| scenario.rollout_bound(!first).span().as_secs_f64();
     let versions = samples.waits.iter().map(|w| &w.version).collect::<BTreeSet<_>>().len();
-    let drawn = deployment.origin.drawn() as f64 / scenario.model_bytes as f64;
+    let fetched = deployment.origin.drawn() as f64 / scenario.model_bytes as f64;
     let asks = records.requests.iter().map(|request| request.asks.len()).sum::<usize>();
     Ok(BurstReport {
         scenario: scenario.name.clone(),
@@ -127,7 +127,7 @@
         replicas_wanted: last.map_or(0, |wait| wait.wanted as u64),
         time_to_n_s: longest.map(|(_, span)| span),
         time_ratio: longest.map(|(index, span)| span / bound_s(index == 0)),
-        origin_copies: drawn / versions.max(1) as f64,
+        origin_copies: fetched / versions.max(1) as f64,
         calls: CallFigures::of(&records.requests)?,
         goodput_rps: counts.complete as f64 / scenario.duration_s,
         attempts_per_request: asks as f64 / requests,
@@ -185,8 +185,8 @@
     }
 }
 
-/// Makes the first change and waits until all endpoints serve.
-async fn begin(
+/// Makes the first change of the preset and waits until all endpoints serve.
+async fn start_serving(
     deployment: &Deployment,
     scenario: &BurstScenario,
     operator: &BurstOperator,
@@ -196,14 +196,14 @@
     let reported =
         |status: &Value| status["endpoints"].as_array().is_some_and(|list| list.len() == endpoints);
     for entry in 0..scenario.entries {
-        let waited = deployment.wait_status(entry, START_TIME, reported).await;
-        waited.context("the agents did not report")?;
+        let waited = deployment.wait_status(entry, START_TIMEOUT, reported).await;
+        waited.context("not all agents have reported")?;
     }
     let first = &scenario.presets[0];
-    let end = Instant::now() + START_TIME;
+    let end = Instant::now() + START_TIMEOUT;
     let changes = operator.change(scenario, first, &format!("burst-{seed}-0"), end).await;
     let version = first.version.as_str();
-    deployment.wait_engines(version, first.replicas as usize, START_TIME).await?;
+    deployment.wait_engines(version, first.replicas as usize, START_TIMEOUT).await?;
     let serving = |status: &Value| {
         status["endpoints"].as_array().is_some_and(|list| {
             let serves = |e: &&Value| e["report"]["state"]["serving"].is_object();
@@ -212,32 +212,34 @@
         })
     };
     for entry in 0..scenario.entries {
-        let waited = deployment.wait_status(entry, START_TIME, serving).await;
-        waited.context("not all endpoints serve")?;
+        let waited = deployment.wait_status(entry, START_TIMEOUT, serving).await;
+        waited.context("not all endpoints are serving")?;
     }
     Ok(changes)
 }
 
-/// Calls of the table per second.
+/// Calls to the table service per second.
 struct StoreRates {
     reads_per_s: f64,
     writes_per_s: f64,
 }
 
-/// Bytes of control messages of all processes; none where one did not answer.
+/// Bytes of control messages of all processes; `None` for a process that did not answer.
 struct ProcessBytes {
     entries: Vec<Option<ControlBytes>>,
     agents: Vec<Option<ControlBytes>>,
 }
 
-/// The part of a run in which requests arrive.
+/// State of a run while requests arrive.
 struct BurstRun<'a> {
     scenario: &'a BurstScenario,
     options: &'a BurstOptions,
     deployment: SharedDeployment,
     started: Instant,
     started_at: Timestamp,
+    /// Read calls to the table service before the arrivals.
     reads: u64,
+    /// Write calls to the table service before the arrivals.
     writes: u64,
 }
 
@@ -273,9 +275,9 @@
             })
         });
         let changes = presets.chain(by_fault).enumerate();
-        let spans =
+        let longest =
             Duration::from_secs_f64(self.scenario.duration_s + self.scenario.limits.settle_s);
-        let end = self.started + spans;
+        let end = self.started + longest;
         changes
             .map(|(index, change)| {
                 let (operator, scenario) = (operator.clone(), self.scenario.clone());
@@ -300,7 +302,7 @@
             .collect()
     }
 
-    /// Starts each request at its time, whatever became of earlier ones.
+    /// Starts each request at its scheduled time, without waiting for earlier ones.
     async fn drive(&mut self) -> Vec<RequestRecord> {
         let arrivals = draw_arrivals(self.scenario, self.options.seed);
         let plan = &self.scenario.arrivals;
@@ -325,7 +327,7 @@
         let mut shown_at = self.started;
         for arrival in arrivals {
             Timer::at(self.started + arrival.at).await;
-            if self.options.progress && shown_at.elapsed() >= PROGRESS_TIME {
+            if self.options.progress && shown_at.elapsed() >= PROGRESS_INTERVAL {
                 shown_at = Instant::now();
                 self.show_progress(&tasks, total);
             }
@@ -342,7 +344,7 @@
     fn show_progress(&self, tasks: &[Task<RequestRecord>], total: usize) {
         let ended = tasks.iter().filter(|task| task.is_finished()).count();
         let elapsed = self.started.elapsed().as_secs();
-        eprintln!("{elapsed:>4} s: {} of {total} arrived, {ended} have ended", tasks.len());
+        eprintln!("{elapsed:>4} s: {} of {total} arrived, {ended} ended", tasks.len());
     }
 
     async fn store_rates(&self, span_s: f64) -> StoreRates {
--- a/crates/testkit/src/burst/run/sampler.rs
+++ b/crates/testkit/src/burst/run/sampler.rs
@@ -1,4 +1,4 @@
-//! Looking at the stand-ins again and again during a run.
+//! Samples the state of the stand-ins during a run.
 
 use std::{
     sync::{
@@ -18,28 +18,30 @@
     stand_in::{engine::EngineState, table::TableRows},
 };
 
-/// Time between looks at the stand-ins.
-const SAMPLE_TIME: Duration = Duration::from_millis(20);
+/// Time between samples.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Replicas that answered from the version in force at a time.
+/// Number of replicas that had loaded the version in force at a given time.
 #[derive(Debug, Clone, Copy)]
 pub struct ReadySample {
-    /// When.
+    /// When the sample was taken.
     pub at: Timestamp,
-    /// How many.
+    /// Number of ready replicas.
     pub ready: usize,
 }
 
-/// A change of version and when all wanted replicas answered from it.
+/// A change of the version or replica count, and the time until that many replicas
+/// were ready.
 #[derive(Debug, Clone)]
 pub(super) struct VersionWait {
     pub(super) version: String,
     pub(super) wanted: usize,
     forced_at: Instant,
+    /// `None` until enough replicas are ready.
     waited: Option<Duration>,
 }
 
-/// What was seen at the stand-ins over time.
+/// Samples of the stand-ins over time.
 #[derive(Debug, Default)]
 pub(super) struct StandInSamples {
     pub(super) forced: Vec<ForceSample>,
@@ -47,7 +49,7 @@
     pub(super) waits: Vec<VersionWait>,
 }
 
-/// Looks at the stand-ins again and again.
+/// Samples the stand-ins at a fixed interval.
 pub(super) struct StandInSampler {
     table: Arc<TableRows>,
     engines: Vec<Arc<EngineState>>,
@@ -69,20 +71,21 @@
         self.samples.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// Looks until it is stopped, and once more.
+    /// Takes samples until `stop` is called, and a last one after that.
     pub(super) async fn run(self: Arc<Self>) {
         while !self.stopped.load(Ordering::Acquire) {
-            self.look();
-            Timer::after(SAMPLE_TIME).await;
+            self.sample();
+            Timer::after(SAMPLE_INTERVAL).await;
         }
-        self.look();
+        self.sample();
     }
 
     pub(super) fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
     }
 
-    fn look(&self) {
+    /// Takes one sample.
+    fn sample(&self) {
         let row = self.table.read("force");
         let preset = row.and_then(|row| serde_json::from_value::<ForcedPreset>(row.value).ok());
         let Some(preset) = preset else {
@@ -90,16 +93,16 @@
         };
         let mut samples = self.samples();
         let (revision, change) = (preset.revision.0, preset.change.to_string());
-        let known =
+        let unchanged =
             samples.forced.last().is_some_and(|s| s.revision == revision && s.change == change);
-        if !known {
+        if !unchanged {
             samples.forced.push(ForceSample { at: Timestamp::now(), revision, change });
         }
         let Some(target) = preset.content.services.get(MODEL_SERVICE) else {
             return;
         };
         let version = target.version.as_ref().map(ModelVersion::as_str).unwrap_or_default();
-        let ready = self.ready(version);
+        let ready = self.count_ready(version);
         samples.ready.push(ReadySample { at: Timestamp::now(), ready });
         let wanted = target.replicas as usize;
         let same = |wait: &VersionWait| wait.version == version && wait.wanted == wanted;
@@ -115,29 +118,29 @@
         }
     }
 
-    fn ready(&self, version: &str) -> usize {
-        let has = |engine: &&Arc<EngineState>| {
+    fn count_ready(&self, version: &str) -> usize {
+        let has_loaded = |engine: &&Arc<EngineState>| {
             engine.version().is_some_and(|loaded| loaded.as_str() == version)
         };
-        self.engines.iter().filter(has).count()
+        self.engines.iter().filter(has_loaded).count()
     }
 
-    /// Waits for the end state, at most as long as the scenario allows.
+    /// Waits until the replicas of the last preset are ready, for at most `settle_s`.
     pub(super) async fn settle(&self, scenario: &BurstScenario) {
         let end = Instant::now() + Duration::from_secs_f64(scenario.limits.settle_s);
         while !self.is_settled() && Instant::now() < end {
-            Timer::after(SAMPLE_TIME).await;
+            Timer::after(SAMPLE_INTERVAL).await;
         }
     }
 
-    /// Whether the replicas that the preset in force wants are there.
+    /// Whether the replicas that the preset in force requires have become ready.
     fn is_settled(&self) -> bool {
         self.samples().waits.last().is_some_and(|wait| wait.waited.is_some())
     }
 }
 
 impl StandInSamples {
-    /// The version that took longest, by its position, and its seconds.
+    /// Index and seconds of the longest wait that has ended.
     pub(super) fn longest_wait(&self) -> Option<(usize, f64)> {
         let spans = self.waits.iter().enumerate();
         let spans = spans.filter_map(|(index, wait)| Some((index, wait.waited?.as_secs_f64())));
--- a/crates/testkit/src/burst/run/stand_ins.rs
+++ b/crates/testkit/src/burst/run/stand_ins.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins know at the end of a run.
+//! Collects the records of the stand-ins at the end of a run.
 
 use cassiawheel_model::ForcedPreset;
 
@@ -7,7 +7,7 @@
     burst::records::{HistoryRecord, RunRecord, RunRecords},
 };
 
-/// Runs at the endpoints and the history of the table.
+/// Collects the runs of all endpoints and the change history of the table.
 pub fn collect_stand_ins(
     deployment: &Deployment,
     model_replicas: usize,
@@ -26,8 +26,8 @@
             text: None,
             begun_at: run.begun_at,
         }));
-        let carried = endpoint.ledger.iter().flat_map(|ledger| ledger.calls());
-        runs.extend(carried.map(|call| RunRecord {
+        let calls = endpoint.ledger.iter().flat_map(|ledger| ledger.calls());
+        runs.extend(calls.map(|call| RunRecord {
             endpoint: name.clone(),
             request: call.request,
             text: Some(String::from_utf8_lossy(&call.body).into_owned()),
--- a/crates/testkit/src/burst/scenario/check.rs
+++ b/crates/testkit/src/burst/scenario/check.rs
@@ -159,9 +159,10 @@
             }
             FaultTarget::Origin => (target == "origin", "must be origin"),
             FaultTarget::Store => (target == "store", "must be store"),
-            FaultTarget::Version => {
-                (ModelVersion::new(target).is_ok(), "must be a valid model version")
-            }
+            FaultTarget::Version => (
+                ModelVersion::new(target).is_ok(),
+                "must be the model version that the operator requests",
+            ),
             FaultTarget::Domain => (
                 parse_index(target, "domain-").is_some_and(|index| index < self.failure_domains),
                 "must be domain-N of this scenario",
--- a/crates/testkit/src/burst/schedule.rs
+++ b/crates/testkit/src/burst/schedule.rs
@@ -1,4 +1,4 @@
-//! The arrivals of a run, fixed before it begins.
+//! The arrivals of a run, drawn before it begins.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
     scenario::{ArrivalPlan, BurstScenario},
 };
 
-/// One request that will arrive.
+/// One scheduled request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedArrival {
-    /// Its number, unique in the run.
+    /// Number of the request, unique in the run.
     pub number: u64,
-    /// Time from the start of the arrivals.
+    /// Time of the arrival, from the start of the arrivals.
     pub at: Duration,
-    /// What is asked for.
+    /// Kind of the request.
     pub kind: CallKind,
-    /// Who asks.
+    /// Workspace in whose name the request is sent.
     pub workspace: WorkspaceId,
-    /// Which caller's advice it uses.
+    /// Index of the caller that sends it.
     pub caller: usize,
 }
 
-/// Draws the arrivals of `scenario` from `seed`, in the order of their times.
+/// Draws the arrivals of `scenario` from `seed`, sorted by time.
 pub fn draw_arrivals(scenario: &BurstScenario, seed: u64) -> Vec<PlannedArrival> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let plan = &scenario.arrivals;
@@ -50,7 +50,7 @@
         .collect()
 }
 
-/// Independent arrivals: the gaps are exponential.
+/// Draws the times of a Poisson process: the gaps are exponentially distributed.
 fn draw_times(times: &mut Vec<f64>, from_s: f64, to_s: f64, rps: f64, rng: &mut SmallRng) {
     if rps <= 0.0 {
         return;
@@ -82,14 +82,14 @@
     pick(shares, rng).cloned().unwrap_or_else(|| plan.workspaces[0].name.clone())
 }
 
-/// One of `choices`, by their shares; `None` if rounding leaves none.
+/// Picks one of `choices` with their shares as probabilities; `None` if rounding leaves none.
 fn pick<'a, T>(choices: impl Iterator<Item = (&'a T, f64)>, rng: &mut SmallRng) -> Option<&'a T> {
-    let mut left: f64 = rng.random();
+    let mut remaining: f64 = rng.random();
     for (choice, share) in choices {
-        if left < share {
+        if remaining < share {
             return Some(choice);
         }
-        left -= share;
+        remaining -= share;
     }
     None
 }
--- a/crates/testkit/src/burst/stop.rs
+++ b/crates/testkit/src/burst/stop.rs
@@ -1,4 +1,4 @@
-//! A run that ends with this process.
+//! Stops a run when this process is asked to stop.
 
 use std::pin::pin;
 
@@ -7,8 +7,8 @@
 
 use super::{BurstOptions, BurstReport, BurstScenario, run_burst};
 
-/// Runs the scenario. When this process is asked to stop, the run is dropped,
-/// and with it the processes that it started; otherwise they would live on.
+/// Runs the scenario. On a stop signal the run is dropped, which ends the processes
+/// that it started; they would otherwise outlive this process.
 pub async fn run_until_stopped(
     scenario: &BurstScenario,
     options: &BurstOptions,
@@ -17,6 +17,6 @@
     let run = pin!(run_burst(scenario, options));
     match select(run, pin!(signals.wait())).await {
         Either::Left((report, _)) => report,
-        Either::Right(_) => anyhow::bail!("stopped before the end"),
+        Either::Right(_) => anyhow::bail!("stopped by a signal before the end of the run"),
     }
 }
