--- a/crates/testkit/src/burst/records.rs
+++ b/crates/testkit/src/burst/records.rs
@@ -140,7 +140,7 @@
 pub enum ToldChange {
     /// In force as of this revision.
     Accepted(u64),
-    /// Another change won, or it took no effect.
+    /// Another change took precedence, or this one took no effect.
     Refused,
     /// No definite result, in spite of retries.
     Unresolved,
--- a/crates/testkit/src/burst/stop.rs
+++ b/crates/testkit/src/burst/stop.rs
@@ -1,4 +1,4 @@
-//! Stops a run when this process is asked to stop.
+//! Stops a run when this process receives a stop signal.
 
 use std::pin::pin;
 
--- a/crates/testkit/src/burst/verdicts.rs
+++ b/crates/testkit/src/burst/verdicts.rs
@@ -189,7 +189,7 @@
             if is_complete && ask.body != expected {
                 count_mismatch(counts, &expected, &ask.body);
             }
-            // The caller was told that the call is complete, but no stand-in ran it.
+            // The call was reported as complete, but no stand-in ran it.
             if is_complete && index.times(&request.text).is_empty() {
                 counts.wrong += 1;
             }
