--- a/crates/testkit/examples/quickstart.rs
+++ b/crates/testkit/examples/quickstart.rs
@@ -140,7 +140,7 @@
     put_in_force(&deployment, folder.path(), "ordinary", "v1").await?;
     deployment.wait_engines("v1", AGENTS, Duration::from_secs(40)).await?;
     let time_to_ready = started.elapsed();
-    let copies = deployment.origin.drawn() as f64 / MODEL_BYTES as f64;
+    let copies = deployment.origin.sent_bytes() as f64 / MODEL_BYTES as f64;
     let bound = RolloutBound {
         model_bytes: MODEL_BYTES as u64,
         agents: AGENTS,
--- a/crates/testkit/examples/transfer.rs
+++ b/crates/testkit/examples/transfer.rs
@@ -154,7 +154,7 @@
     let bound = args.bound(false).span();
     deployment.force("ordinary", &args.preset("v1"), "transfer-1").await?;
     Timer::after(bound / 2).await;
-    let before = deployment.origin.drawn();
+    let before = deployment.origin.sent_bytes();
     let started = Instant::now();
     deployment.force("peak", &args.preset("v2"), "transfer-2").await?;
     Timer::after(bound / 4).await;
@@ -183,7 +183,7 @@
     took: Duration,
     before: u64,
 ) -> anyhow::Result<()> {
-    let copies = (deployment.origin.drawn() - before) as f64 / args.model_bytes() as f64;
+    let copies = (deployment.origin.sent_bytes() - before) as f64 / args.model_bytes() as f64;
     let bound = args.bound(false);
     let (ratio, least) = (bound.ratio(took)?, bound.span());
     println!("{case}: {took:.2?}, {ratio:.3} x the least time of {least:.2?}, {copies:.3} copies");
--- a/crates/testkit/src/burst/run.rs
+++ b/crates/testkit/src/burst/run.rs
@@ -118,7 +118,7 @@
     // The first version goes to replicas that serve nothing yet.
     let bound_s = |first: bool| scenario.rollout_bound(!first).span().as_secs_f64();
     let versions = samples.waits.iter().map(|w| &w.version).collect::<BTreeSet<_>>().len();
-    let drawn = deployment.origin.drawn() as f64 / scenario.model_bytes as f64;
+    let drawn = deployment.origin.sent_bytes() as f64 / scenario.model_bytes as f64;
     let asks = records.requests.iter().map(|request| request.asks.len()).sum::<usize>();
     Ok(BurstReport {
         scenario: scenario.name.clone(),
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the platform and the endpoints, and what drives them.
+//! Stand-ins for the platform and the endpoints, and the tools that run tests against them.
 //!
-//! Each stand-in speaks the same HTTP as the real thing over loopback TCP and
-//! has switches for its faults. Nothing here ships.
+//! Each stand-in serves the HTTP interface of the component that it replaces over
+//! loopback TCP, and has switches that inject faults. Nothing here is part of a release.
 
 pub mod bound;
 pub mod burst;
--- a/crates/testkit/src/site_soak.rs
+++ b/crates/testkit/src/site_soak.rs
@@ -49,7 +49,7 @@
     /// When it was sent.
     pub sent_at: Timestamp,
     /// Whether the entry had run undisturbed for long enough then, and did so until its end.
-    pub in_touch: bool,
+    pub undisturbed: bool,
     /// Status and body of the answer; none if there was none.
     pub answer: Option<(StatusCode, String)>,
 }
@@ -111,7 +111,7 @@
     /// Windows in which an endpoint got more than its limit from entries in touch.
     pub over_limit: usize,
     /// Other requests that were refused as if they ended endpoints.
-    pub barred_others: usize,
+    pub quarantined_others: usize,
     /// Requests that an endpoint ran and that were answered as not run.
     pub false_refusals: usize,
     /// Whole answers that are not the request's own.
@@ -122,7 +122,7 @@
     /// Counts the broken rules.
     pub fn judge(&self) -> SiteVerdicts {
         let attempt = |id: &str| self.attempts.iter().find(|attempt| attempt.id == id);
-        let in_touch = |id: &str| attempt(id).is_some_and(|attempt| attempt.in_touch);
+        let undisturbed = |id: &str| attempt(id).is_some_and(|attempt| attempt.undisturbed);
         let is_fatal = |id: &str| attempt(id).is_some_and(|attempt| attempt.is_fatal);
         let mut ends: Vec<_> = self.endpoints.iter().filter_map(|e| e.ended_at).collect();
         ends.sort_unstable();
@@ -140,10 +140,10 @@
         });
         SiteVerdicts {
             late_sends: arrivals()
-                .filter(|(at, id)| is_late(*at) && is_fatal(id) && in_touch(id))
+                .filter(|(at, id)| is_late(*at) && is_fatal(id) && undisturbed(id))
                 .count(),
-            over_limit: self.endpoints.iter().map(|e| e.windows_over(&in_touch)).sum(),
-            barred_others: refusals
+            over_limit: self.endpoints.iter().map(|e| e.windows_over(&undisturbed)).sum(),
+            quarantined_others: refusals
                 .clone()
                 .filter(|(attempt, body)| !attempt.is_fatal && body.contains("quarantined"))
                 .count(),
@@ -154,8 +154,8 @@
 }
 
 impl EndpointRecord {
-    fn windows_over(&self, in_touch: &impl Fn(&str) -> bool) -> usize {
-        let counted = self.arrivals.iter().filter(|(_, id)| in_touch(id));
+    fn windows_over(&self, undisturbed: &impl Fn(&str) -> bool) -> usize {
+        let counted = self.arrivals.iter().filter(|(_, id)| undisturbed(id));
         let counted: Vec<_> = counted.map(|(at, _)| *at).collect();
         let is_over = |start: &&Timestamp| {
             let Some(limit) = self.limits.iter().find(|limit| limit.covers(**start)) else {
@@ -182,7 +182,7 @@
 }
 
 /// Plays a day of `span` with `entries` entries, drawn from `seed`.
-pub async fn play_day(seed: u64, entries: usize, span: Duration) -> anyhow::Result<SiteRecord> {
+pub async fn run_soak(seed: u64, entries: usize, span: Duration) -> anyhow::Result<SiteRecord> {
     let site = PlatformSite::start(entries + 4, entries).await?;
     let mut day = SoakDay {
         disturbed: vec![Timestamp::now(); entries],
@@ -240,7 +240,7 @@
         }
         let last = self.limits.iter().rfind(|limit| limit.endpoint == endpoint);
         let rate = last.filter(|limit| limit.until.is_none()).map(|limit| limit.rate);
-        self.site.replicas[endpoint].name_limit(rate);
+        self.site.replicas[endpoint].set_limit(rate);
     }
 
     /// Kills every entry, as a loss of power does, and starts all again.
@@ -292,8 +292,8 @@
         let path = if is_fatal { FATAL_CALL.to_owned() } else { format!("/safe/{id}") };
         let request = self.site.request(entry, SiteCall::new(&id, &path))?;
         let sent_at = Timestamp::now();
-        let in_touch = self.disturbed[entry].deadline_after(STABLE_TIME).is_past(sent_at);
-        let record = AttemptRecord { id, is_fatal, sent_at, in_touch, answer: None };
+        let undisturbed = self.disturbed[entry].deadline_after(STABLE_TIME).is_past(sent_at);
+        let record = AttemptRecord { id, is_fatal, sent_at, undisturbed, answer: None };
         let call = spawn(async move {
             let answer = HttpClient::default().send_and_read(request, CALL_TIME).await;
             let told = |answer: Response<Bytes>| {
@@ -313,7 +313,7 @@
         for (entry, call) in self.calls.drain(..) {
             let mut attempt = call.await;
             // A disturbance while the request was under way excuses its entry as well.
-            attempt.in_touch &= self.disturbed[entry] < attempt.sent_at;
+            attempt.undisturbed &= self.disturbed[entry] < attempt.sent_at;
             record.attempts.push(attempt);
         }
         for (index, replica) in self.site.replicas.iter().enumerate() {
--- a/crates/testkit/src/stand_in.rs
+++ b/crates/testkit/src/stand_in.rs
@@ -1,4 +1,4 @@
-//! The stand-ins.
+//! In-process replacements for the services and processes around the system under test.
 
 pub mod engine;
 pub mod instances;
@@ -23,10 +23,10 @@
 
 use crate::FaultSwitches;
 
-/// A stand-in that listens; dropping the handle stops it.
+/// Handle of a listening stand-in, which stops when the handle is dropped.
 #[derive(Debug)]
 pub struct RunningStandIn {
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
     trigger: ShutdownTrigger,
 }
@@ -37,7 +37,7 @@
     }
 }
 
-/// Serves `handler` at `addr` under the faults in `switches`.
+/// Serves `handler` at `addr`, with the faults that are set in `switches`.
 async fn start<H, F>(
     addr: SocketAddr,
     switches: Arc<FaultSwitches>,
@@ -64,7 +64,7 @@
             }
             let reply = handler(request).await;
             if switches.loses_answers() {
-                // The call took effect, but its caller learns nothing of it.
+                // The call took effect, but its caller gets no answer.
                 return broken_reply();
             }
             reply
@@ -74,7 +74,7 @@
     Ok(RunningStandIn { addr, trigger })
 }
 
-/// The fields of a query.
+/// Parses the query string into names and values, without percent-decoding.
 fn query_of(uri: &Uri) -> HashMap<String, String> {
     let pairs = uri.query().unwrap_or_default().split('&').filter_map(|pair| pair.split_once('='));
     pairs.map(|(name, value)| (name.to_owned(), value.to_owned())).collect()
@@ -87,7 +87,7 @@
     reply
 }
 
-/// A reply whose body fails at once, which closes the connection.
+/// A reply whose body fails on the first read, which closes the connection.
 fn broken_reply() -> Response<ReplyBody> {
     use futures_util::stream;
     use http_body_util::{BodyExt, StreamBody};
--- a/crates/testkit/src/stand_in/engine.rs
+++ b/crates/testkit/src/stand_in/engine.rs
@@ -1,7 +1,7 @@
 //! Stand-in of a model engine.
 //!
-//! It answers from whatever bytes were loaded into it, without checking them:
-//! a partial or mixed load shows in every answer.
+//! Its answers are derived from the loaded bytes, which it does not verify, so
+//! a partial or mixed load changes every answer.
 
 use std::{
     collections::HashMap,
@@ -34,23 +34,23 @@
 use super::{RunningStandIn, start};
 use crate::{FaultSwitches, weights::answer_token};
 
-/// Largest chunk or prompt, in bytes.
+/// Largest request body (chunk or prompt), in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Body of a generation.
+/// Body of a generation request.
 #[apply(record!)]
 #[serde(deny_unknown_fields)]
 pub struct GenerateCall {
-    /// The prompt.
+    /// Prompt that determines the answer, together with the weights.
     pub prompt: String,
-    /// Tokens to answer with.
+    /// Number of tokens in the answer.
     pub tokens: u32,
     /// Time between tokens, in milliseconds.
     #[serde(default)]
     pub token_ms: u64,
 }
 
-/// State of the engine.
+/// Weights, staged chunks and runs of the engine.
 #[derive(Debug, Default)]
 pub struct EngineState {
     inner: Mutex<EngineInner>,
@@ -67,12 +67,12 @@
     runs: Vec<BegunRun>,
 }
 
-/// One run that the engine began.
+/// A generation that the engine has begun.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BegunRun {
-    /// The request id that came with it.
+    /// Request id from the request's header; empty if it had none.
     pub request: String,
-    /// When it began.
+    /// Time at which the run began.
     pub begun_at: Timestamp,
 }
 
@@ -84,12 +84,14 @@
 }
 
 impl EngineState {
-    /// An engine without weights; `checks_fencing` tells whether it refuses old orders.
+    /// An engine without weights; `checks_fencing` makes it refuse a load order whose
+    /// fencing token is lower than that of the last one.
     pub fn new(checks_fencing: bool) -> Self {
         Self { checks_fencing, ..Self::default() }
     }
 
-    /// Stages the first chunk corrupt, as if nobody had checked it.
+    /// Replaces the first chunk by zeros when it is staged, as an engine that does not
+    /// verify chunks might.
     pub fn skip_chunk_check(&self, on: bool) {
         self.skips_chunk_check.store(on, Ordering::SeqCst);
     }
@@ -108,43 +110,44 @@
         .await
     }
 
-    /// The version that it answers from.
+    /// Version of the loaded weights.
     pub fn version(&self) -> Option<ModelVersion> {
         self.lock().loaded.as_ref().map(|image| image.version.clone())
     }
 
-    /// Ids of the requests that it has begun to run, in order.
+    /// Ids of the requests that it has begun to run, oldest first.
     pub fn runs(&self) -> Vec<String> {
         self.lock().runs.iter().map(|run| run.request.clone()).collect()
     }
 
-    /// The requests that it has begun to run with their times, in order.
+    /// Requests that it has begun to run with their start times, oldest first.
     pub fn begun_runs(&self) -> Vec<BegunRun> {
         self.lock().runs.clone()
     }
 
-    /// Manifests of which it holds chunks in staging.
+    /// Digests of the manifests that have a staging area.
     pub fn staged(&self) -> Vec<ManifestDigest> {
         self.lock().staging.keys().copied().collect()
     }
 
-    /// Chunks of `manifest` that it holds in staging.
+    /// Number of chunks of `manifest` that are staged.
     pub fn staged_chunks(&self, manifest: ManifestDigest) -> usize {
         let inner = self.lock();
         inner.staging.get(&manifest).map_or(0, |chunks| chunks.iter().flatten().count())
     }
 
-    /// Digest of the bytes that it answers from.
+    /// Digest of the loaded bytes.
     pub fn answer_digest(&self) -> Option<[u8; 32]> {
         self.lock().loaded.as_ref().map(|image| image.digest)
     }
 
-    /// Highest fencing token of an order that it has carried out.
+    /// Fencing token of the load order that it carried out last.
     pub fn fencing(&self) -> u64 {
         self.lock().fencing
     }
 
-    /// Loses its weights and all that is staged, as a restart of the engine does.
+    /// Discards the weights, all staged chunks and the recorded runs, as a restart of the
+    /// engine does.
     pub fn restart(&self) {
         *self.lock() = EngineInner::default();
     }
@@ -299,7 +302,7 @@
     }
 }
 
-/// A run in progress; counts as load until it is dropped.
+/// A run in progress, counted in the reported load until it is dropped.
 struct EngineRun {
     engine: Arc<EngineState>,
 }
@@ -310,9 +313,9 @@
         Self { engine }
     }
 
-    /// The weights that the next token is made from: whatever is loaded now.
+    /// Digest that the next token is derived from: that of the weights loaded now.
     ///
-    /// A real engine whose weights are exchanged during a run mixes them too.
+    /// A real engine whose weights are replaced during a run mixes versions as well.
     fn weights(&self, begun_with: &LoadedImage) -> [u8; 32] {
         self.engine.lock().loaded.as_ref().unwrap_or(begun_with).digest
     }
--- a/crates/testkit/src/stand_in/instances.rs
+++ b/crates/testkit/src/stand_in/instances.rs
@@ -14,7 +14,8 @@
 use super::{RunningStandIn, start};
 use crate::FaultSwitches;
 
-/// The list; whoever changes it decides how far it lags.
+/// Rows of the list. They change only by [`Self::set`], so a test controls how far the
+/// list lags behind the actual state.
 #[derive(Debug, Default)]
 pub struct InstanceRows {
     listed: Mutex<BTreeMap<InstanceId, ListedState>>,
@@ -35,7 +36,7 @@
         .await
     }
 
-    /// Lists `instance` in `state`; `None` takes it off the list.
+    /// Lists `instance` in `state`; `None` removes it from the list.
     pub fn set(&self, instance: &InstanceId, state: Option<ListedState>) {
         let mut listed = self.listed.lock().unwrap_or_else(|poison| poison.into_inner());
         match state {
--- a/crates/testkit/src/stand_in/limited_origin.rs
+++ b/crates/testkit/src/stand_in/limited_origin.rs
@@ -1,8 +1,8 @@
-//! Stand-in of the users' platform's origin, with few connections.
+//! Stand-in of the platform's origin, which admits few connections.
 //!
-//! It resets whoever comes when all are taken. Of a client that loses power it
-//! hears nothing more, so that it counts the client's connections as taken for
-//! as long as the client would have kept them and longer.
+//! It resets a new connection when the limit is reached. A client that loses
+//! power sends no FIN or RST, so the origin goes on counting that client's
+//! connections as open for at least as long as the client would have kept them.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -30,31 +30,32 @@
 /// Bytes of every chunk.
 const CHUNK_BYTES: usize = 512;
 
-/// The origin of one model, whose versions all exist.
+/// Origin that has every version of every model and limits its open connections.
 #[derive(Debug)]
 pub struct LimitedOrigin {
-    /// Connections that it admits.
+    /// Highest number of connections that may be open at a time.
     places: usize,
     chunks: usize,
     /// Time from a request to its answer.
     delay: Duration,
-    /// Connections that it takes for open.
+    /// Connections that it counts as open.
     taken: AtomicUsize,
-    /// Most connections that it took for open at a time.
+    /// Highest value of `taken` so far.
     most_taken: AtomicUsize,
-    /// Connections that were made so far.
+    /// Connections that were admitted so far.
     served: AtomicUsize,
-    /// Connections that it had no place for.
-    turned_away: AtomicUsize,
-    /// How often power was lost; connections of before never end for it.
+    /// Connections that were reset because the limit was reached.
+    rejected: AtomicUsize,
+    /// Number of simulated power losses; connections opened before one are never counted
+    /// as closed.
     losses: AtomicU64,
 }
 
-/// A running origin; dropping it stops the origin.
+/// Handle of a running origin, which stops accepting when the handle is dropped.
 pub struct RunningOrigin {
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// What it counts.
+    /// Limit and counters of the origin.
     pub state: Arc<LimitedOrigin>,
     _accepting: Task<()>,
 }
@@ -71,7 +72,7 @@
         Self::start_at(any, places, chunks, delay).await
     }
 
-    /// The same at `addr`.
+    /// Same as [`Self::start`], but listens at `addr` instead of a free loopback port.
     pub async fn start_at(
         addr: SocketAddr,
         places: usize,
@@ -87,36 +88,37 @@
             taken: AtomicUsize::new(0),
             most_taken: AtomicUsize::new(0),
             served: AtomicUsize::new(0),
-            turned_away: AtomicUsize::new(0),
+            rejected: AtomicUsize::new(0),
             losses: AtomicU64::new(0),
         });
         let accepting = spawn(accept(listener, state.clone()));
         Ok(RunningOrigin { addr, state, _accepting: accepting })
     }
 
-    /// Lets all clients lose power: of the connections that are open now it hears nothing more.
+    /// Simulates a power loss of all clients: connections that are open now are never
+    /// counted as closed.
     pub fn lose_clients(&self) {
         self.losses.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Connections that were made so far.
+    /// Connections that were admitted so far.
     pub fn served(&self) -> usize {
         self.served.load(Ordering::SeqCst)
     }
 
-    /// Connections that it takes for open.
+    /// Connections that it counts as open.
     pub fn taken(&self) -> usize {
         self.taken.load(Ordering::SeqCst)
     }
 
-    /// Most connections that it took for open at a time.
+    /// Highest number of connections that it counted as open at a time.
     pub fn most_taken(&self) -> usize {
         self.most_taken.load(Ordering::SeqCst)
     }
 
-    /// Connections that it had no place for.
-    pub fn turned_away(&self) -> usize {
-        self.turned_away.load(Ordering::SeqCst)
+    /// Connections that were reset because the limit was reached.
+    pub fn rejected(&self) -> usize {
+        self.rejected.load(Ordering::SeqCst)
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Response<ReplyBody> {
@@ -150,7 +152,7 @@
 async fn accept(listener: TcpListener, state: Arc<LimitedOrigin>) {
     while let Ok((stream, _)) = listener.accept().await {
         if state.taken() >= state.places {
-            state.turned_away.fetch_add(1, Ordering::SeqCst);
+            state.rejected.fetch_add(1, Ordering::SeqCst);
             if let Err(error) = reset_on_close(&stream) {
                 log::warn!(target: "origin", cause:% = error; "A connection cannot be reset.");
             }
--- a/crates/testkit/src/stand_in/origin.rs
+++ b/crates/testkit/src/stand_in/origin.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the origin of weights.
+//! Stand-in of the origin, from which agents fetch manifests and chunks of weights.
 
 use std::{
     collections::HashMap,
@@ -21,21 +21,22 @@
 use super::{RunningStandIn, empty_reply, start};
 use crate::{FaultSwitches, weights::WeightImage};
 
-/// Versions that the origin holds and what was drawn from it.
+/// Versions that the origin holds, and counts of the chunks that it has sent.
 #[derive(Debug)]
 pub struct OriginImages {
     images: Mutex<HashMap<ModelVersion, Arc<WeightImage>>>,
     pacer: RatePacer,
-    drawn: AtomicU64,
+    sent_bytes: AtomicU64,
     calls: AtomicU64,
-    draws: Mutex<HashMap<ChunkPlace, u64>>,
+    send_counts: Mutex<HashMap<ChunkPlace, u64>>,
     faults: OriginFaults,
 }
 
-/// A chunk of a version.
+/// Manifest of a version and the index of a chunk in it.
 type ChunkPlace = (ManifestDigest, usize);
 
-/// Faults of an origin's answers.
+/// Faults that are injected into answers; each `_every` field is a period in calls, and
+/// zero turns the fault off.
 #[derive(Debug, Default)]
 struct OriginFaults {
     corrupt_every: AtomicU64,
@@ -45,19 +46,19 @@
     corrupt_manifests: AtomicBool,
 }
 
-/// What becomes of one answer.
+/// Fault of one answer with a chunk.
 enum ChunkFault {
     None,
     Corrupt,
     Short,
 }
 
-/// Seconds after which a limited client may come back.
+/// `Retry-After` of a refusal with 429, in seconds.
 const RETRY_AFTER_S: u64 = 1;
 
 impl OriginFaults {
-    /// The fault of one call; it follows from the call's number, so that every
-    /// run has the same share of faults.
+    /// Fault of the call with this number. It depends on nothing else, so the share of
+    /// faults is the same in every run.
     fn of_chunk(&self, number: u64) -> ChunkFault {
         let hits = |every: &AtomicU64| {
             let every = every.load(Ordering::Relaxed);
@@ -74,61 +75,61 @@
 }
 
 impl OriginImages {
-    /// An empty origin whose link carries `bytes_per_s`; zero is unlimited.
+    /// An origin without versions that sends at most `bytes_per_s`; zero is unlimited.
     pub fn new(bytes_per_s: u64) -> Self {
         Self {
             images: Mutex::default(),
             pacer: RatePacer::new(bytes_per_s),
-            drawn: AtomicU64::new(0),
+            sent_bytes: AtomicU64::new(0),
             calls: AtomicU64::new(0),
-            draws: Mutex::default(),
+            send_counts: Mutex::default(),
             faults: OriginFaults::default(),
         }
     }
 
-    /// Flips a bit in every `every`th chunk; zero in none.
+    /// Flips a bit in every `every`-th chunk; zero turns this off.
     pub fn corrupt_every(&self, every: u64) {
         self.faults.corrupt_every.store(every, Ordering::Relaxed);
     }
 
-    /// Cuts every `every`th chunk short; zero none.
+    /// Truncates every `every`-th chunk to half its length; zero turns this off.
     pub fn shorten_every(&self, every: u64) {
         self.faults.shorten_every.store(every, Ordering::Relaxed);
     }
 
-    /// Refuses every `every`th call for a chunk with 429; zero none.
+    /// Refuses every `every`-th request for a chunk with 429; zero turns this off.
     pub fn limit_every(&self, every: u64) {
         self.faults.limit_every.store(every, Ordering::Relaxed);
     }
 
-    /// Sends manifests whose digest does not match.
+    /// Sends manifests whose chunks do not match their digest.
     pub fn corrupt_manifests(&self, on: bool) {
         self.faults.corrupt_manifests.store(on, Ordering::Relaxed);
     }
 
-    /// Calls refused with 429 so far.
+    /// Number of requests refused with 429 so far.
     pub fn limited(&self) -> u64 {
         self.faults.limited.load(Ordering::Relaxed)
     }
 
-    /// How often the chunk at `index` of `manifest` was sent.
-    pub fn draws(&self, manifest: ManifestDigest, index: usize) -> u64 {
-        let draws = self.draws.lock().unwrap_or_else(|poison| poison.into_inner());
-        draws.get(&(manifest, index)).copied().unwrap_or(0)
+    /// Number of times that the chunk at `index` of `manifest` was sent.
+    pub fn send_count(&self, manifest: ManifestDigest, index: usize) -> u64 {
+        let counts = self.send_counts.lock().unwrap_or_else(|poison| poison.into_inner());
+        counts.get(&(manifest, index)).copied().unwrap_or(0)
     }
 
-    /// Adds a version.
+    /// Adds a version, or replaces the one of the same name.
     pub fn add(&self, image: Arc<WeightImage>) {
         let mut images = self.images.lock().unwrap_or_else(|poison| poison.into_inner());
         images.insert(image.manifest.version.clone(), image);
     }
 
-    /// Bytes of chunks sent so far.
-    pub fn drawn(&self) -> u64 {
-        self.drawn.load(Ordering::Relaxed)
+    /// Total size of the chunks sent so far, in bytes.
+    pub fn sent_bytes(&self) -> u64 {
+        self.sent_bytes.load(Ordering::Relaxed)
     }
 
-    /// Serves the versions at `addr`.
+    /// Serves manifests and chunks at `addr`.
     pub async fn serve(
         self: &Arc<Self>,
         addr: SocketAddr,
@@ -186,7 +187,7 @@
             return limited_reply();
         }
         self.pacer.acquire(bytes.len()).await;
-        self.note_draw(place, bytes.len());
+        self.record_send(place, bytes.len());
         match self.faults.of_chunk(number) {
             ChunkFault::Corrupt => bytes[0] ^= 1,
             ChunkFault::Short => bytes.truncate(bytes.len() / 2),
@@ -196,10 +197,10 @@
         Response::new(full_body(bytes))
     }
 
-    fn note_draw(&self, place: ChunkPlace, bytes: usize) {
-        self.drawn.fetch_add(bytes as u64, Ordering::Relaxed);
-        let mut draws = self.draws.lock().unwrap_or_else(|poison| poison.into_inner());
-        *draws.entry(place).or_insert(0) += 1;
+    fn record_send(&self, place: ChunkPlace, bytes: usize) {
+        self.sent_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
+        let mut counts = self.send_counts.lock().unwrap_or_else(|poison| poison.into_inner());
+        *counts.entry(place).or_insert(0) += 1;
     }
 
     fn image(&self, digest: ManifestDigest) -> Option<Arc<WeightImage>> {
--- a/crates/testkit/src/stand_in/peer.rs
+++ b/crates/testkit/src/stand_in/peer.rs
@@ -1,7 +1,7 @@
-//! Stand-in of an agent that lies about the chunks it holds.
+//! Stand-in of a faulty agent, which announces chunks that it does not hold.
 //!
-//! It reports to an entry like any other agent, tells whoever connects that it
-//! holds every chunk, and sends wrong bytes or none.
+//! It reports to an entry like any other agent, announces every chunk to each
+//! peer that connects, and answers requests with wrong bytes, a refusal or nothing.
 
 use std::{
     net::SocketAddr,
@@ -26,44 +26,44 @@
 /// Time between two reports to the entry.
 const REPORT_TIME: Duration = Duration::from_millis(100);
 
-/// How the peer lies.
+/// How the peer answers a request for a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PeerLie {
-    /// It sends other bytes than asked for.
+pub enum PeerFault {
+    /// Sends bytes that do not match the chunk's digest.
     WrongBytes,
-    /// It says that it does not hold what it has just told.
+    /// Refuses a chunk that it has announced.
     Refusal,
-    /// It never answers.
+    /// Sends no answer.
     Silence,
 }
 
-/// A lying agent; dropping it ends it.
+/// A running faulty agent, which stops when this is dropped.
 #[derive(Debug)]
-pub struct LyingPeer {
+pub struct FaultyPeer {
     asked: Arc<AtomicU64>,
     _tasks: Vec<Task<()>>,
 }
 
-/// What a lying agent tells and to whom.
+/// Settings of a faulty agent.
 #[derive(Debug, Clone)]
-pub struct LyingPlan {
-    /// The entry that introduces it to the others.
+pub struct FaultyPlan {
+    /// Inner address of the entry that passes its address on to other agents.
     pub entry: SocketAddr,
-    /// Key between the deployment's processes.
+    /// Key with which the deployment's processes authenticate to each other.
     pub inner_key: &'static str,
-    /// The service that it says it belongs to.
+    /// Service named in its reports.
     pub service: &'static str,
-    /// The manifest of which it says it holds all chunks.
+    /// Manifest whose chunks it announces.
     pub manifest: ManifestDigest,
-    /// Chunks in that manifest.
+    /// Number of chunks in that manifest.
     pub chunks: usize,
-    /// How it lies.
-    pub lie: PeerLie,
+    /// How it answers requests for chunks.
+    pub fault: PeerFault,
 }
 
-impl LyingPeer {
-    /// Starts a lying agent that listens at a free port of `listen`.
-    pub async fn start(listen: SocketAddr, plan: LyingPlan) -> anyhow::Result<Self> {
+impl FaultyPeer {
+    /// Starts a faulty agent that listens at `listen` (port 0 picks a free one).
+    pub async fn start(listen: SocketAddr, plan: FaultyPlan) -> anyhow::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let report = build_report(listener.local_addr()?, &plan)?;
         let asked = Arc::new(AtomicU64::new(0));
@@ -72,13 +72,13 @@
         Ok(Self { asked, _tasks: vec![serving, reporting] })
     }
 
-    /// Chunks that it was asked for so far.
+    /// Number of requests for chunks so far.
     pub fn asked(&self) -> u64 {
         self.asked.load(Ordering::Relaxed)
     }
 }
 
-fn build_report(inner_addr: SocketAddr, plan: &LyingPlan) -> anyhow::Result<EndpointReport> {
+fn build_report(inner_addr: SocketAddr, plan: &FaultyPlan) -> anyhow::Result<EndpointReport> {
     Ok(EndpointReport {
         instance: InstanceId::new("lying-peer")?,
         incarnation: 1,
@@ -100,7 +100,7 @@
     })
 }
 
-async fn report_regularly(plan: LyingPlan, report: EndpointReport) {
+async fn report_regularly(plan: FaultyPlan, report: EndpointReport) {
     let Ok((sender, _receiver)) = connect(plan.entry, plan.inner_key, None).await else {
         return;
     };
@@ -117,40 +117,42 @@
     }
 }
 
-async fn serve_peers(listener: TcpListener, plan: LyingPlan, asked: Arc<AtomicU64>) {
+async fn serve_peers(listener: TcpListener, plan: FaultyPlan, asked: Arc<AtomicU64>) {
     while let Ok((stream, _)) = listener.accept().await {
         let (plan, asked) = (plan.clone(), asked.clone());
         spawn(async move {
             if let Ok((sender, receiver)) = accept(stream, plan.inner_key).await {
-                lie_to(&sender, receiver, &plan, &asked).await;
+                answer_wrongly(&sender, receiver, &plan, &asked).await;
             }
         })
         .detach();
     }
 }
 
-async fn lie_to(
+async fn answer_wrongly(
     sender: &WireSender,
     mut receiver: WireReceiver,
-    plan: &LyingPlan,
+    plan: &FaultyPlan,
     asked: &AtomicU64,
 ) {
     let bits = vec![u8::MAX; plan.chunks.div_ceil(8)];
-    let told = ChunkMessage::Held { manifest: plan.manifest, bits };
-    let _ = sender.send(told.clone()).await;
+    let announcement = ChunkMessage::Held { manifest: plan.manifest, bits };
+    let _ = sender.send(announcement.clone()).await;
     let _ = sender.send(ChunkMessage::ToldAll).await;
     while let Ok(message) = receiver.recv().await {
         let WireMessage::Chunk(ChunkMessage::Wanted { call, .. }) = message else {
             continue;
         };
         asked.fetch_add(1, Ordering::Relaxed);
-        let reply = match plan.lie {
-            PeerLie::WrongBytes => ChunkMessage::Bytes { call, bytes: vec![0; 1_024], last: true },
-            PeerLie::Refusal => ChunkMessage::Refused { call, reason: ChunkRefusal::NotHeld },
-            PeerLie::Silence => continue,
+        let reply = match plan.fault {
+            PeerFault::WrongBytes => {
+                ChunkMessage::Bytes { call, bytes: vec![0; 1_024], last: true }
+            }
+            PeerFault::Refusal => ChunkMessage::Refused { call, reason: ChunkRefusal::NotHeld },
+            PeerFault::Silence => continue,
         };
         let _ = sender.send(reply).await;
-        // Others repeat what they hold, too.
-        let _ = sender.send(told.clone()).await;
+        // Real agents announce their chunks repeatedly as well.
+        let _ = sender.send(announcement.clone()).await;
     }
 }
--- a/crates/testkit/src/stand_in/plain.rs
+++ b/crates/testkit/src/stand_in/plain.rs
@@ -1,7 +1,7 @@
 //! Stand-in of a plain service, such as a booth ledger.
 //!
-//! It carries out every call it receives and keeps no keys, as a service
-//! without idempotency does: a call that arrives twice is carried out twice.
+//! It carries out every call and does not store idempotency keys, so a call that
+//! arrives twice is carried out twice, as at a service without idempotency.
 
 use std::{
     net::SocketAddr,
@@ -23,29 +23,29 @@
 use super::{RunningStandIn, start};
 use crate::FaultSwitches;
 
-/// Largest call, in bytes.
+/// Largest request body, in bytes.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Path at which agents ask for the load.
+/// Path from which agents read the load.
 const STATUS_PATH: &str = "/v1/engine/status";
 
-/// Header that the service gives back.
+/// Request header that the service copies into its answer.
 pub const ECHO_HEADER: &str = "x-booth";
 
 /// One call that was carried out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CarriedCall {
-    /// The request id that came with it.
+    /// Request id from the request's header; empty if it had none.
     pub request: String,
-    /// The idempotency key, if one came with it.
+    /// Idempotency key from the request's header, if it had one.
     pub key: Option<String>,
-    /// The body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// When it began.
+    /// Time at which the service began to work on it.
     pub begun_at: Timestamp,
 }
 
-/// Calls that a plain service has carried out.
+/// Calls that a plain service has begun to carry out, and its current load.
 #[derive(Debug, Default)]
 pub struct PlainLedger {
     calls: Mutex<Vec<CarriedCall>>,
@@ -54,12 +54,12 @@
 }
 
 impl PlainLedger {
-    /// A service that works `work` long on each call.
+    /// A service that takes `work` for each call.
     pub fn new(work: Duration) -> Self {
         Self { work, ..Self::default() }
     }
 
-    /// Serves at `addr`.
+    /// Serves the service at `addr`.
     pub async fn serve(
         self: &Arc<Self>,
         addr: SocketAddr,
@@ -73,12 +73,12 @@
         .await
     }
 
-    /// What has been carried out, in order.
+    /// Calls that it has begun to carry out, oldest first.
     pub fn calls(&self) -> Vec<CarriedCall> {
         self.calls.lock().unwrap_or_else(|poison| poison.into_inner()).clone()
     }
 
-    /// Its load, which it tells like a model engine but without a version.
+    /// Status with its load, in the format of a model engine but without a version.
     fn status(&self) -> EngineStatus {
         let load = LoadReport {
             in_flight: self.in_flight.load(Ordering::Relaxed),
@@ -122,13 +122,13 @@
         if let Some(value) = head.headers.get(ECHO_HEADER) {
             reply.headers_mut().insert(ECHO_HEADER, value.clone());
         }
-        // What only the system may say of an outcome.
+        // A header that only the system may set; it must not reach the caller from a service.
         reply.headers_mut().insert("cassiawheel-attempts", HeaderValue::from_static("99"));
         reply
     }
 }
 
-/// A call in progress; counts as load until it is dropped.
+/// A call in progress, counted in the reported load until it is dropped.
 struct RunningCall<'a> {
     in_flight: &'a AtomicU32,
 }
--- a/crates/testkit/src/stand_in/replica.rs
+++ b/crates/testkit/src/stand_in/replica.rs
@@ -162,7 +162,7 @@
 
     /// Names a limit in its answers from now on, in requests a second of all callers; none
     /// names none any more.
-    pub fn name_limit(&self, rate: Option<f64>) {
+    pub fn set_limit(&self, rate: Option<f64>) {
         *self.limit.lock().unwrap_or_else(|poison| poison.into_inner()) = rate;
     }
 
--- a/crates/testkit/tests/distribution.rs
+++ b/crates/testkit/tests/distribution.rs
@@ -13,7 +13,7 @@
     deployment::{INNER_KEY, MODEL_SERVICE},
     stand_in::{
         engine::EngineState,
-        peer::{LyingPeer, LyingPlan, PeerLie},
+        peer::{FaultyPeer, FaultyPlan, PeerFault},
     },
     weights::WeightImage,
 };
@@ -162,22 +162,22 @@
 /// An agent tells that it holds everything and sends wrong bytes, refuses, or
 /// keeps silent. The others would wait for it instead of the origin.
 #[rstest]
-#[case::wrong_bytes(PeerLie::WrongBytes)]
-#[case::refusal(PeerLie::Refusal)]
-#[case::silence(PeerLie::Silence)]
-fn a_lying_peer_is_left_aside(#[case] lie: PeerLie) {
+#[case::wrong_bytes(PeerFault::WrongBytes)]
+#[case::refusal(PeerFault::Refusal)]
+#[case::silence(PeerFault::Silence)]
+fn a_lying_peer_is_left_aside(#[case] fault: PeerFault) {
     run(async {
         let v1 = image("v1", 1);
         let deployment = start(&slow_plan(4), &[&v1]).await?;
-        let plan = LyingPlan {
+        let plan = FaultyPlan {
             entry: deployment.entries[0].inner_addr,
             inner_key: INNER_KEY,
             service: MODEL_SERVICE,
             manifest: v1.manifest.digest,
             chunks: v1.manifest.chunks.len(),
-            lie,
+            fault,
         };
-        let peer = LyingPeer::start("127.0.0.1:0".parse()?, plan).await?;
+        let peer = FaultyPeer::start("127.0.0.1:0".parse()?, plan).await?;
         deployment
             .wait_status(0, LONG, |status| {
                 status["endpoints"].as_array().is_some_and(|list| list.len() == 5)
@@ -209,7 +209,7 @@
         deployment.wait_engines("v1", 1, LONG).await?;
         check_bytes(&deployment, 0..1, &v1);
         let drawn: u64 =
-            (0..CHUNKS as usize).map(|i| deployment.origin.draws(v1.manifest.digest, i)).sum();
+            (0..CHUNKS as usize).map(|i| deployment.origin.send_count(v1.manifest.digest, i)).sum();
         // Two fetches may be in progress at the origin when the agent is killed,
         // and some may be on their way into staging.
         assert!(drawn <= CHUNKS + 4, "{drawn} draws of {CHUNKS} chunks");
@@ -253,7 +253,7 @@
         let engines: Vec<_> = (0..3).map(|index| engine(&deployment, index).clone()).collect();
         let released = || engines.iter().all(|e| e.staged() == [v2.manifest.digest]);
         wait_until("staging of the old version is released", released).await?;
-        let drawn = deployment.origin.drawn() / u64::from(CHUNK_BYTES);
+        let drawn = deployment.origin.sent_bytes() / u64::from(CHUNK_BYTES);
         // Chunks in progress at the change are lost, two at each agent.
         let most = CHUNKS + changed.len() as u64 + 3 * 2 + 3;
         assert!(drawn <= most, "{drawn} chunks drawn, at most {most} were needed");
@@ -276,7 +276,7 @@
         deployment.wait_engines("v2", 3, LONG).await?;
         check_bytes(&deployment, 0..3, &v2);
         for index in 0..CHUNKS as usize {
-            let draws = deployment.origin.draws(v2.manifest.digest, index);
+            let draws = deployment.origin.send_count(v2.manifest.digest, index);
             assert_eq!(draws > 0, changed.contains(&index), "chunk {index}: {draws} draws");
         }
         Ok(())
@@ -298,11 +298,11 @@
         engine(&deployment, 3).restart();
         deployment.origin_switches.set_down(down);
         deployment.origin.corrupt_manifests(corrupt);
-        let drawn = deployment.origin.drawn();
+        let drawn = deployment.origin.sent_bytes();
         deployment.restart_agent(3)?;
         deployment.wait_engines("v1", 4, LONG).await?;
         check_bytes(&deployment, 0..4, &v1);
-        assert_eq!(deployment.origin.drawn(), drawn, "nothing is drawn again");
+        assert_eq!(deployment.origin.sent_bytes(), drawn, "nothing is drawn again");
         Ok(())
     });
 }
@@ -319,7 +319,7 @@
         deployment.wait_engines("v1", 2, LONG).await?;
         check_bytes(&deployment, 0..2, &v1);
         let (drawn, limited) =
-            (deployment.origin.drawn() / u64::from(CHUNK_BYTES), deployment.origin.limited());
+            (deployment.origin.sent_bytes() / u64::from(CHUNK_BYTES), deployment.origin.limited());
         assert!(limited > 0, "some calls were refused");
         // One call in eight is refused; an agent that asks again at once would
         // be refused no more often, but would not have waited either.
@@ -339,14 +339,14 @@
         deployment
             .wait_status(0, LONG, |s| s["services"][MODEL_SERVICE]["replicas_ready"] == 3)
             .await?;
-        let drawn = deployment.origin.drawn();
+        let drawn = deployment.origin.sent_bytes();
         engine(&deployment, 1).restart();
         deployment.wait_engines("v1", 3, LONG).await?;
         check_bytes(&deployment, 0..3, &v1);
         deployment
             .wait_status(0, LONG, |s| s["services"][MODEL_SERVICE]["replicas_ready"] == 3)
             .await?;
-        assert_eq!(deployment.origin.drawn(), drawn, "the peers hold all chunks");
+        assert_eq!(deployment.origin.sent_bytes(), drawn, "the peers hold all chunks");
         Ok(())
     });
 }
--- a/crates/testkit/tests/named_limits.rs
+++ b/crates/testkit/tests/named_limits.rs
@@ -72,7 +72,7 @@
     run(async {
         let site = PlatformSite::start(4, 5).await?;
         load(&site, SPREAD_TIME, "before").await?;
-        site.replicas[0].name_limit(Some(LIMIT));
+        site.replicas[0].set_limit(Some(LIMIT));
         load(&site, SPREAD_TIME, "learns").await?;
         let from = Timestamp::now();
         let span = Duration::from_secs(8);
@@ -94,9 +94,9 @@
 fn a_limit_that_is_named_no_more_ends_step_by_step() {
     run(async {
         let site = PlatformSite::start(4, 3).await?;
-        site.replicas[0].name_limit(Some(LIMIT));
+        site.replicas[0].set_limit(Some(LIMIT));
         load(&site, Duration::from_secs(2), "limited").await?;
-        site.replicas[0].name_limit(None);
+        site.replicas[0].set_limit(None);
         let ended_at = Timestamp::now();
         load(&site, Duration::from_secs(1), "returns").await?;
         let first = since(&site.replicas[0], ended_at);
@@ -118,7 +118,7 @@
         let site = PlatformSite::start(3, 5).await?;
         load(&site, SPREAD_TIME, "before").await?;
         for round in 0..3 {
-            site.replicas[0].name_limit(Some(1.0));
+            site.replicas[0].set_limit(Some(1.0));
             let named_at = Timestamp::now();
             load(&site, Duration::from_secs(3), &format!("limited-{round}")).await?;
             let arrivals = site.replicas[0].arrivals().into_iter().map(|arrival| arrival.at);
@@ -127,7 +127,7 @@
             let learned_at = arrivals[0].deadline_after(LEARN_TIME);
             let late: Vec<_> = arrivals.iter().filter(|at| learned_at.is_past(**at)).collect();
             assert!(late.len() <= 4, "round {round}: {late:?} after {named_at:?}");
-            site.replicas[0].name_limit(None);
+            site.replicas[0].set_limit(None);
             load(&site, Duration::from_secs(3), &format!("free-{round}")).await?;
         }
         Ok(())
@@ -140,7 +140,7 @@
 fn the_limits_of_all_endpoints_are_used() {
     run(async {
         let site = PlatformSite::start(8, 5).await?;
-        site.replicas.iter().for_each(|replica| replica.name_limit(Some(LIMIT)));
+        site.replicas.iter().for_each(|replica| replica.set_limit(Some(LIMIT)));
         load(&site, Duration::from_secs(2), "learns").await?;
         let (from, span) = (Timestamp::now(), Duration::from_secs(6));
         let refused = load(&site, span, "limited").await?;
--- a/crates/testkit/tests/site_soak.rs
+++ b/crates/testkit/tests/site_soak.rs
@@ -4,7 +4,7 @@
 
 use cassiawheel_model::Timestamp;
 use cassiawheel_testkit::site_soak::{
-    AttemptRecord, EndpointRecord, LimitSpan, SiteRecord, SiteVerdicts, play_day,
+    AttemptRecord, EndpointRecord, LimitSpan, SiteRecord, SiteVerdicts, run_soak,
 };
 use hyper::StatusCode;
 use rstest::rstest;
@@ -15,7 +15,7 @@
 #[case(1)]
 #[case(2)]
 fn a_short_day_breaks_no_rule(#[case] seed: u64) {
-    let day = play_day(seed, 4, Duration::from_secs(12));
+    let day = run_soak(seed, 4, Duration::from_secs(12));
     let record = cassiawheel_runtime::run(4, day).expect("the executor runs").expect("it plays");
     assert!(record.attempts.len() > 400 && record.endpoints.iter().any(|e| e.ended_at.is_some()));
     assert_eq!(record.judge(), SiteVerdicts::default(), "seed {seed}");
@@ -29,7 +29,7 @@
     let (from, seeds) = (number("SOAK_FROM").unwrap_or(100), number("SOAK_SEEDS").unwrap_or(50));
     let mut broken = Vec::new();
     for seed in from..from + seeds {
-        let day = play_day(seed, 15, Duration::from_secs(15));
+        let day = run_soak(seed, 15, Duration::from_secs(15));
         let record = cassiawheel_runtime::run(4, day).expect("runs").expect("it plays");
         let (verdicts, attempts) = (record.judge(), record.attempts.len());
         let whole = |a: &&AttemptRecord| a.answer.as_ref().is_some_and(|(s, _)| s.is_success());
@@ -59,7 +59,13 @@
         let (id, sent_at) = (format!("r-{number}"), at(3_000 + number * 500));
         limited.arrivals.push((sent_at, id.clone()));
         let answer = Some((StatusCode::OK, format!("/safe/{id}")));
-        day.attempts.push(AttemptRecord { id, is_fatal: false, sent_at, in_touch: true, answer });
+        day.attempts.push(AttemptRecord {
+            id,
+            is_fatal: false,
+            sent_at,
+            undisturbed: true,
+            answer,
+        });
     }
     for number in 0..3 {
         let (id, sent_at) = (format!("fatal-{number}"), at(number * 100));
@@ -69,7 +75,7 @@
             ..EndpointRecord::default()
         });
         let answer = Some((StatusCode::BAD_GATEWAY, String::new()));
-        day.attempts.push(AttemptRecord { id, is_fatal: true, sent_at, in_touch: true, answer });
+        day.attempts.push(AttemptRecord { id, is_fatal: true, sent_at, undisturbed: true, answer });
     }
     day.endpoints.push(limited);
     day
@@ -87,7 +93,7 @@
     let mut day = sound_day();
     day.endpoints[3].arrivals.push((at(1_300), "fatal-2".to_owned()));
     assert_eq!(day.judge(), SiteVerdicts { late_sends: 1, ..none });
-    day.attempts.iter_mut().for_each(|attempt| attempt.in_touch = false);
+    day.attempts.iter_mut().for_each(|attempt| attempt.undisturbed = false);
     assert_eq!(day.judge(), none, "an entry that was disturbed is excused");
 
     let mut day = sound_day();
@@ -101,7 +107,7 @@
     let mut day = sound_day();
     day.attempts[0].answer = Some((StatusCode::SERVICE_UNAVAILABLE, "quarantined".to_owned()));
     day.endpoints[3].arrivals.remove(0);
-    assert_eq!(day.judge(), SiteVerdicts { barred_others: 1, ..none });
+    assert_eq!(day.judge(), SiteVerdicts { quarantined_others: 1, ..none });
 
     let mut day = sound_day();
     day.attempts[5].answer = Some((StatusCode::SERVICE_UNAVAILABLE, "overloaded".to_owned()));
