--- a/crates/testkit/src/platform_site.rs
+++ b/crates/testkit/src/platform_site.rs
@@ -37,7 +37,7 @@
 const METRICS_PORT: u16 = 9_464;
 
 /// Time between looks whether something has come about.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Longest wait for something to come about.
 const PATIENCE: Duration = Duration::from_secs(10);
@@ -287,7 +287,7 @@
     let deadline = Timestamp::now().deadline_after(PATIENCE);
     while !is_so().await? {
         anyhow::ensure!(!deadline.is_past(Timestamp::now()), "it did not come about in time");
-        Timer::after(LOOK_AGAIN).await;
+        Timer::after(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/crates/testkit/src/site_soak.rs
+++ b/crates/testkit/src/site_soak.rs
@@ -1,5 +1,7 @@
-//! Drawn days on the users' platform: a request that ends endpoints, endpoints that name
-//! limits, and entries and endpoints that end, freeze or leave beside them.
+//! Randomised soak runs on a stand-in of the platform.
+//!
+//! A run sends a request that crashes endpoints and has endpoints announce rate limits,
+//! while entries and endpoints are killed, frozen or drained and the store fails.
 //!
 //! `seed → events → callers and faults → record → verdicts`
 
@@ -15,65 +17,67 @@
 
 use crate::{PlatformSite, SiteCall};
 
-/// Time for which an entry has to have run undisturbed before rules bind it.
+/// Time without a disturbance after which the attempts of an entry count for the rules, and
+/// time after its first announcement from which a limit has to be kept.
 const STABLE_TIME: Duration = Duration::from_secs(3);
 
-/// Time after the third end within which the request may still be sent.
+/// Time after the third crash within which the fatal request may still be sent.
 const SPREAD_TIME: Duration = Duration::from_secs(1);
 
-/// Window in which a limit is judged.
+/// Window over which requests are compared with a rate limit.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Requests beyond the limit that are borne in a window.
+/// Requests beyond the limit that are tolerated in a window.
 const SLACK: f64 = 5.0;
 
 /// Time between two steps.
 const STEP_TIME: Duration = Duration::from_millis(50);
 
-/// Step from which on all entries may lose power: bars are in the store by then.
+/// Step after which all entries may be killed at once: quarantines are in the store by then.
 const KILL_STEP: usize = 120;
 
-/// Longest time that a caller waits.
+/// Timeout of a caller.
 const CALL_TIME: Duration = Duration::from_secs(3);
 
-/// Path of the request that ends endpoints.
+/// Path of the request that crashes endpoints (the fatal request).
 const FATAL_CALL: &str = "/safe/fatal";
 
-/// One attempt of a caller.
+/// An attempt of a caller and its answer.
 #[derive(Debug, Clone)]
 pub struct AttemptRecord {
-    /// Its id.
+    /// Id of the attempt.
     pub id: String,
-    /// Whether it is the request that ends endpoints.
+    /// Whether it is the fatal request.
     pub is_fatal: bool,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent_at: Timestamp,
-    /// Whether the entry had run undisturbed for long enough then, and did so until its end.
+    /// Whether its entry had run undisturbed for [`STABLE_TIME`] before it was sent, and was
+    /// not disturbed afterwards. Other attempts do not count for the rules.
     pub undisturbed: bool,
-    /// Status and body of the answer; none if there was none.
+    /// Status and body of the answer; none if the call failed or timed out.
     pub answer: Option<(StatusCode, String)>,
 }
 
-/// A limit that an endpoint named.
+/// A rate limit and the time for which an endpoint announced it.
 #[derive(Debug, Clone, Copy)]
 pub struct LimitSpan {
-    /// The endpoint's place among all.
+    /// Index of the endpoint.
     endpoint: usize,
-    /// From when on it named it.
+    /// Time of its first announcement.
     pub from: Timestamp,
-    /// When it named it last; none if until the end.
+    /// Time at which the endpoint withdrew it; none if it held until the end.
     pub until: Option<Timestamp>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
 }
 
 impl LimitSpan {
-    /// A limit that was named until the end.
+    /// A limit that is announced until the end of the run.
     pub fn new(endpoint: usize, from: Timestamp, rate: f64) -> Self {
         Self { endpoint, from, until: None, rate }
     }
 
-    /// Whether a window that begins at `start` lies where the limit has to be kept.
+    /// Whether the limit has to be kept in the whole window that begins at `start`.
     fn covers(&self, start: Timestamp) -> bool {
         let end = start.deadline_after(WINDOW);
         let is_known = self.from.deadline_after(STABLE_TIME).is_past(start);
@@ -81,45 +85,45 @@
     }
 }
 
-/// What an endpoint got.
+/// Requests that an endpoint received, and the limits that it announced.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointRecord {
-    /// Limits that it named.
+    /// Rate limits that it announced.
     pub limits: Vec<LimitSpan>,
-    /// Attempts that reached it.
+    /// Time and id of each attempt that reached it.
     pub arrivals: Vec<(Timestamp, String)>,
-    /// Attempts that it ran.
+    /// Ids of the attempts that it ran.
     pub runs: Vec<String>,
-    /// When it ended under the request that ends endpoints.
+    /// Time at which the fatal request crashed it; none if it did not.
     pub ended_at: Option<Timestamp>,
 }
 
-/// Answers of callers and arrivals at endpoints of one day.
+/// Answers to callers and arrivals at endpoints during one run.
 #[derive(Debug, Clone, Default)]
 pub struct SiteRecord {
-    /// Attempts of callers.
+    /// All attempts of callers.
     pub attempts: Vec<AttemptRecord>,
-    /// Endpoints.
+    /// Records of all endpoints.
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// Broken rules, each with the number of cases.
+/// Number of violations of each rule.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SiteVerdicts {
-    /// Sends of the request that ends endpoints, later than a second after the third end.
+    /// Arrivals of the fatal request later than [`SPREAD_TIME`] after the third crash.
     pub late_sends: usize,
-    /// Windows in which an endpoint got more than its limit from entries in touch.
+    /// Windows in which undisturbed entries sent an endpoint more than its limit.
     pub over_limit: usize,
-    /// Other requests that were refused as if they ended endpoints.
+    /// Harmless requests that were refused as quarantined.
     pub quarantined_others: usize,
-    /// Requests that an endpoint ran and that were answered as not run.
+    /// Requests that an endpoint ran and that were answered with 503.
     pub false_refusals: usize,
-    /// Whole answers that are not the request's own.
+    /// Answers with status 200 that belong to another request.
     pub wrong_answers: usize,
 }
 
 impl SiteRecord {
-    /// Counts the broken rules.
+    /// Counts the violations of each rule.
     pub fn judge(&self) -> SiteVerdicts {
         let attempt = |id: &str| self.attempts.iter().find(|attempt| attempt.id == id);
         let undisturbed = |id: &str| attempt(id).is_some_and(|attempt| attempt.undisturbed);
@@ -154,6 +158,7 @@
 }
 
 impl EndpointRecord {
+    /// Counts the windows in which undisturbed entries exceeded a limit of the endpoint.
     fn windows_over(&self, undisturbed: &impl Fn(&str) -> bool) -> usize {
         let counted = self.arrivals.iter().filter(|(_, id)| undisturbed(id));
         let counted: Vec<_> = counted.map(|(at, _)| *at).collect();
@@ -169,22 +174,22 @@
     }
 }
 
-/// State of a day that is played.
-struct SoakDay {
+/// State of a run in progress.
+struct SoakRun {
     site: PlatformSite,
     rng: SmallRng,
-    /// When each entry was disturbed last.
+    /// Time of the last disturbance of each entry.
     disturbed: Vec<Timestamp>,
-    /// Entries that stand still, and until when.
+    /// Frozen entries, each with the time at which it is resumed.
     paused: Vec<(usize, Deadline)>,
     limits: Vec<LimitSpan>,
     calls: Vec<(usize, smol::Task<AttemptRecord>)>,
 }
 
-/// Plays a day of `span` with `entries` entries, drawn from `seed`.
+/// Runs a soak of length `span` with `entries` entries; `seed` determines its events.
 pub async fn run_soak(seed: u64, entries: usize, span: Duration) -> anyhow::Result<SiteRecord> {
     let site = PlatformSite::start(entries + 4, entries).await?;
-    let mut day = SoakDay {
+    let mut run = SoakRun {
         disturbed: vec![Timestamp::now(); entries],
         site,
         rng: SmallRng::seed_from_u64(seed),
@@ -196,13 +201,13 @@
     let mut number = 0;
     while !until.is_past(Timestamp::now()) {
         number += 1;
-        day.step(number).await?;
+        run.step(number).await?;
         Timer::after(STEP_TIME).await;
     }
-    day.finish().await
+    run.finish().await
 }
 
-impl SoakDay {
+impl SoakRun {
     async fn step(&mut self, number: usize) -> anyhow::Result<()> {
         for entry in 0..self.site.entries.len() {
             self.call(entry, format!("r-{number}-{entry}"), false)?;
@@ -228,7 +233,7 @@
         Ok(())
     }
 
-    /// Has an endpoint name another limit, or none any more.
+    /// Has a random endpoint announce a rate limit, or withdraw the one it announces.
     fn change_limit(&mut self) {
         let now = Timestamp::now();
         let endpoint = self.rng.random_range(0..self.site.replicas.len());
@@ -243,7 +248,7 @@
         self.site.replicas[endpoint].set_limit(rate);
     }
 
-    /// Kills every entry, as a loss of power does, and starts all again.
+    /// Kills and restarts every entry, to simulate a power loss.
     fn kill_all(&mut self) -> anyhow::Result<()> {
         for entry in 0..self.site.entries.len() {
             self.site.entries[entry].process.kill()?;
@@ -254,7 +259,8 @@
         Ok(())
     }
 
-    /// Kills or freezes an entry, ends or releases an endpoint, or takes the store away.
+    /// Injects a random fault: kills or freezes an entry, kills all entries, crashes or drains
+    /// an endpoint, or switches the store off or on.
     async fn disturb(&mut self, number: usize) -> anyhow::Result<()> {
         let now = Timestamp::now();
         let entry = self.rng.random_range(0..self.site.entries.len());
@@ -312,7 +318,7 @@
         let mut record = SiteRecord::default();
         for (entry, call) in self.calls.drain(..) {
             let mut attempt = call.await;
-            // A disturbance while the request was under way excuses its entry as well.
+            // An attempt whose entry was disturbed after it was sent does not count either.
             attempt.undisturbed &= self.disturbed[entry] < attempt.sent_at;
             record.attempts.push(attempt);
         }
--- a/crates/testkit/src/stand_in/link.rs
+++ b/crates/testkit/src/stand_in/link.rs
@@ -1,7 +1,7 @@
-//! Stand-in of the links between instances: a relay before each inner address.
+//! Stand-in of the links between instances: a TCP relay in front of each inner address.
 //!
-//! The system's processes dial from their own instance's address, so a relay
-//! can tell which link a connection uses, and what is wrong with it now.
+//! Processes connect from the address of their own instance, so a relay identifies
+//! the link of a connection by its two addresses and applies the faults of that link.
 
 use std::{
     collections::BTreeSet,
@@ -19,27 +19,27 @@
     net::{TcpListener, TcpStream},
 };
 
-/// Wait before a severed link is looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
-/// Bytes carried at a time.
+/// Interval at which a severed link is checked again, and wait after a failed accept.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Size of the copy buffer, in bytes.
 const BUFFER_BYTES: usize = 64 << 10;
 
-/// What is wrong with a link.
+/// Kind of fault of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkTrouble {
-    /// It carries nothing but is not closed, as when a switch drops packets.
+    /// Transfers nothing but leaves connections open, as when a switch drops packets.
     Severed,
-    /// What leaves the side that has the trouble is not carried; what comes is.
+    /// Transfers nothing that leaves the faulty side, but everything that it receives.
     SeveredOut,
-    /// Each piece, of at most 64 KiB, waits for this long.
+    /// Delays each piece of at most 64 KiB by this time.
     Slow(Duration),
-    /// Each connection carries at most so many bytes a second in each direction.
+    /// Limits each direction of a connection to this many bytes per second.
     Narrow(u64),
-    /// Each connection ends with the next byte.
+    /// Closes each connection on the next byte.
     Reset,
 }
 
-/// The links with which something is wrong now.
+/// Link faults that are active now.
 #[derive(Debug, Default)]
 pub struct LinkFaults {
     faults: Mutex<Vec<LinkFault>>,
@@ -76,12 +76,12 @@
 }
 
 impl LinkFaults {
-    /// Brings `trouble` to each link between an instance of `side` and another one.
+    /// Applies `trouble` to each link between an instance in `side` and one outside it.
     pub fn begin(&self, id: usize, side: BTreeSet<IpAddr>, trouble: LinkTrouble) {
         self.lock().push(LinkFault { id, side, trouble });
     }
 
-    /// Ends the trouble of `id`.
+    /// Removes the faults that were added under `id`.
     pub fn end(&self, id: usize) {
         self.lock().retain(|fault| fault.id != id);
     }
@@ -91,14 +91,15 @@
         faults.iter().filter(|fault| fault.touches(ends)).map(|fault| fault.trouble).collect()
     }
 
-    /// Completes once the link has carried `bytes`; false if it resets the connection.
+    /// Waits as long as the faults of the link delay a transfer of `bytes`; false if the
+    /// connection has to be closed.
     async fn carry(&self, ends: LinkEnds, bytes: usize) -> bool {
         let severs = |trouble: &LinkTrouble| {
             matches!(trouble, LinkTrouble::Severed | LinkTrouble::SeveredOut)
         };
         let mut troubles = self.troubles(ends);
         while troubles.iter().any(severs) {
-            Timer::after(LOOK_AGAIN).await;
+            Timer::after(POLL_INTERVAL).await;
             troubles = self.troubles(ends);
         }
         for trouble in troubles {
@@ -130,7 +131,7 @@
     Ok(spawn(async move {
         loop {
             let Ok((stream, remote)) = listener.accept().await else {
-                Timer::after(LOOK_AGAIN).await;
+                Timer::after(POLL_INTERVAL).await;
                 continue;
             };
             spawn(join(stream, remote.ip(), target, faults.clone())).detach();
@@ -138,7 +139,7 @@
     }))
 }
 
-/// Joins one connection; when either end closes, so does the other.
+/// Connects `near` to `target` and copies both ways until either direction ends.
 async fn join(near: TcpStream, from: IpAddr, target: SocketAddr, faults: Arc<LinkFaults>) {
     let ends = LinkEnds { from, to: target.ip() };
     if !faults.carry(ends, 0).await {
--- a/crates/testkit/src/stand_in/replica.rs
+++ b/crates/testkit/src/stand_in/replica.rs
@@ -1,7 +1,8 @@
-//! Stand-in of an endpoint that entries reach without an agent between.
+//! Stand-in of an endpoint that entries call directly, without an agent.
 //!
-//! It signs its answers, counts runs by request, streams events and resumes
-//! them, and misbehaves on demand. A request for [`FATAL_PATH`] ends it.
+//! It adds its replica stamp to its answers, counts the runs of each request,
+//! serves resumable event streams and injects faults on demand. A request whose
+//! path contains [`FATAL_PATH`] crashes it.
 
 use std::{
     collections::HashMap,
@@ -24,57 +25,57 @@
 use super::{RunningStandIn, broken_reply, start};
 use crate::FaultSwitches;
 
-/// Part of a path whose requests end the endpoint as it begins to run them.
+/// A request whose path contains this crashes the endpoint when it runs.
 pub const FATAL_PATH: &str = "fatal";
 
-/// Time from the arrival of such a request until it begins to run.
+/// Time from the start of a fatal request until the endpoint crashes.
 const FATAL_TIME: Duration = Duration::from_millis(40);
 
-/// Events of every stream.
+/// Number of events in every stream.
 pub const EVENTS: u64 = 6;
 
-/// Stands for the id of an event that never comes.
+/// Event id that makes the stream fail instead of sending an event.
 const BROKEN: u64 = u64::MAX;
 
 /// Time between two events.
 const EVENT_TIME: Duration = Duration::from_millis(15);
 
-/// Silence in the middle of an event of [`ReplicaMode::Pauses`].
+/// Pause in the middle of an event in [`ReplicaMode::Pauses`].
 const SILENCE: Duration = Duration::from_millis(1_700);
 
 /// How the stand-in treats requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ReplicaMode {
-    /// As it should.
+    /// Answers correctly.
     #[default]
     Honest,
-    /// Says that it has not run the request.
+    /// Answers with 503 and the header that says that the request was not run.
     Refuses,
-    /// Runs the request and answers with an error of its own.
+    /// Runs the request and answers with status 500.
     Fails,
-    /// Runs the request and names another one in its answer.
+    /// Runs the request and answers with the id of another request.
     Crosses,
-    /// Runs the request and breaks its answer off.
+    /// Runs the request and closes the connection in the middle of the answer.
     Cuts,
-    /// Runs the request and never answers.
+    /// Runs the request and answers only after 60 seconds, past every deadline.
     Mute,
-    /// Falls silent in the middle of an event and goes on later.
+    /// Pauses in the middle of an event of a stream, then continues.
     Pauses,
 }
 
-/// A request that came.
+/// The arrival of a request.
 #[derive(Debug, Clone)]
 pub struct RequestArrival {
-    /// When.
+    /// Time of the arrival.
     pub at: Timestamp,
-    /// The caller's attempt.
+    /// Attempt id from the request's header; empty if it had none.
     pub id: String,
 }
 
-/// What the stand-in has done.
+/// State of the endpoint: its mode, and the requests that it has received and run.
 #[derive(Debug)]
 pub struct Replica {
-    /// Its process.
+    /// Replica id that a request has to expect; other requests are refused with 421.
     pub id: String,
     mode: Mutex<ReplicaMode>,
     runs: Mutex<HashMap<String, u32>>,
@@ -97,7 +98,7 @@
 }
 
 impl Replica {
-    /// An honest one.
+    /// An endpoint in [`ReplicaMode::Honest`] that does not listen yet.
     pub fn new(id: &str) -> Arc<Self> {
         Arc::new(Self {
             id: id.to_owned(),
@@ -113,7 +114,7 @@
         })
     }
 
-    /// Serves at `addr` until it ends; where it listens.
+    /// Serves at `addr` until [`Self::end`], and returns the address on which it listens.
     pub async fn serve(self: &Arc<Self>, addr: SocketAddr) -> std::io::Result<SocketAddr> {
         let replica = Arc::downgrade(self);
         let running = start(addr, Arc::new(FaultSwitches::default()), move |request| {
@@ -131,18 +132,18 @@
         Ok(addr)
     }
 
-    /// Ends at once: answers break off and nothing listens any more.
+    /// Crashes the endpoint: answers in progress are cut off and it stops listening.
     pub fn end(&self) {
         self.ended.store(true, Ordering::SeqCst);
         drop(self.running().take());
     }
 
-    /// Whether it has ended.
+    /// Whether it has crashed.
     pub fn has_ended(&self) -> bool {
         self.ended.load(Ordering::SeqCst)
     }
 
-    /// When requests came that end it.
+    /// Times at which fatal requests began to run.
     pub fn fatal_arrivals(&self) -> Vec<Timestamp> {
         self.fatal().clone()
     }
@@ -155,33 +156,33 @@
         self.running.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
-    /// Changes how it treats requests.
+    /// Sets how it treats requests from now on.
     pub fn set_mode(&self, mode: ReplicaMode) {
         *self.mode.lock().unwrap_or_else(|poison| poison.into_inner()) = mode;
     }
 
-    /// Names a limit in its answers from now on, in requests a second of all callers; none
-    /// names none any more.
+    /// Announces a rate limit in its answers from now on, in requests per second over all
+    /// callers; `None` stops the announcements.
     pub fn set_limit(&self, rate: Option<f64>) {
         *self.limit.lock().unwrap_or_else(|poison| poison.into_inner()) = rate;
     }
 
-    /// Requests that came, refused ones too.
+    /// All requests that arrived, including refused ones.
     pub fn arrivals(&self) -> Vec<RequestArrival> {
         self.arrivals.lock().unwrap_or_else(|poison| poison.into_inner()).clone()
     }
 
-    /// Requests that were run, and how often each.
+    /// Ids of the requests that were run, with the number of runs.
     pub fn runs(&self) -> HashMap<String, u32> {
         self.runs.lock().unwrap_or_else(|poison| poison.into_inner()).clone()
     }
 
-    /// Heads of the requests that were run.
+    /// Headers of the requests that were run.
     pub fn heads(&self) -> Vec<HeaderMap> {
         self.heads.lock().unwrap_or_else(|poison| poison.into_inner()).clone()
     }
 
-    /// Requests at work.
+    /// Number of runs in progress.
     pub fn open_runs(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
@@ -270,7 +271,7 @@
     BodyExt::boxed(StreamBody::new(frames))
 }
 
-/// Number of the next event, what is left of the one before, and the run.
+/// Id of the next event, the unsent rest of a paused event, and the run.
 type EventState = (u64, Option<Bytes>, OpenRun);
 
 async fn next_event(
@@ -279,7 +280,7 @@
     (id, rest, run): EventState,
 ) -> Option<(std::io::Result<Frame<Bytes>>, EventState)> {
     if id == BROKEN {
-        return Some((Err(std::io::Error::other("died")), (id, None, run)));
+        return Some((Err(std::io::Error::other("endpoint crashed")), (id, None, run)));
     }
     if let Some(rest) = rest {
         Timer::after(SILENCE).await;
@@ -293,7 +294,7 @@
     let mut event = Bytes::from(text);
     match mode {
         ReplicaMode::Cuts if id == after + 3 => {
-            // In the middle of an event; the next step ends the stream.
+            // Sends half of the event; the next step fails the stream.
             event.truncate(event.len() / 2);
             Some((Ok(Frame::data(event)), (BROKEN, None, run)))
         }
@@ -308,7 +309,7 @@
 fn cut_body() -> ReplyBody {
     let frames = stream::iter([
         Ok(Frame::data(Bytes::from_static(b"the first half"))),
-        Err(std::io::Error::other("died")),
+        Err(std::io::Error::other("endpoint crashed")),
     ]);
     BodyExt::boxed(StreamBody::new(frames))
 }
--- a/crates/testkit/src/stand_in/rows.rs
+++ b/crates/testkit/src/stand_in/rows.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the users' platform store: rows with positions, conditions and a feed.
+//! Stand-in of the platform's store: versioned rows, conditional writes and a change feed.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -17,16 +17,16 @@
 use super::{RunningStandIn, query_of, start};
 use crate::FaultSwitches;
 
-/// Largest call, in bytes.
+/// Largest request body, in bytes.
 const MAX_CALL_BYTES: usize = 1 << 20;
 
-/// Time between looks for changes while a reader waits.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
+/// Interval at which a waiting feed request checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Name of a row: its table and its key; every part is empty.
+/// Table and key of a row. The store's third component, `part`, is always empty here.
 type RowName = (String, String);
 
-/// Rows, and what became of them.
+/// Current rows and the history of their changes.
 #[derive(Debug, Default)]
 pub struct StoreRows {
     inner: Mutex<StoreInner>,
@@ -36,17 +36,17 @@
 struct StoreInner {
     position: u64,
     rows: BTreeMap<RowName, StoredRow>,
-    /// Changes in order, as far as the history goes back.
+    /// Changes since the last compaction, oldest first.
     history: Vec<(RowName, StoredRow)>,
-    /// Position up to which the history is gone.
-    forgotten: u64,
+    /// Position up to which changes were compacted.
+    compacted: u64,
     calls: u64,
 }
 
 #[derive(Debug, Clone)]
 struct StoredRow {
     position: u64,
-    /// Missing once the row was removed.
+    /// Value in base64; none if the change removed the row.
     value: Option<String>,
 }
 
@@ -65,12 +65,12 @@
         .await
     }
 
-    /// Writes a row as the operator or an endpoint does.
+    /// Writes a JSON value to a row without a condition, as an operator or endpoint does.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         self.put_bytes(table, key, value.to_string().as_bytes());
     }
 
-    /// Writes a row of any bytes, as another writer may do.
+    /// Writes arbitrary bytes to a row, which may be invalid for its table.
     pub fn put_bytes(&self, table: &str, key: &str, value: &[u8]) {
         let value = STANDARD.encode(value);
         self.lock().change((table.to_owned(), key.to_owned()), Some(value));
@@ -81,19 +81,19 @@
         self.lock().change((table.to_owned(), key.to_owned()), None);
     }
 
-    /// Forgets the history.
+    /// Discards the history, so that a feed from an earlier position gets 410.
     pub fn compact(&self) {
         let mut inner = self.lock();
         inner.history.clear();
-        inner.forgotten = inner.position;
+        inner.compacted = inner.position;
     }
 
-    /// Calls so far.
+    /// Number of requests so far.
     pub fn calls(&self) -> u64 {
         self.lock().calls
     }
 
-    /// Keys of a table.
+    /// Keys of the rows in a table, in order.
     pub fn keys(&self, table: &str) -> Vec<String> {
         let inner = self.lock();
         let rows = inner.rows.keys().filter(|(of, _)| of == table);
@@ -140,7 +140,7 @@
         loop {
             {
                 let inner = self.lock();
-                if after < inner.forgotten {
+                if after < inner.compacted {
                     return error_reply(StatusCode::GONE, "gone", "the history is gone");
                 }
                 let changed = inner.history.iter();
@@ -150,7 +150,7 @@
                     return inner.page(rows);
                 }
             }
-            Timer::after(LOOK_AGAIN).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/testkit/src/stand_in/table.rs
+++ b/crates/testkit/src/stand_in/table.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the table service: rows in memory, guarded writes.
+//! Stand-in of the table service: rows in memory with conditional writes (guards).
 
 use std::{
     collections::BTreeMap,
@@ -19,7 +19,7 @@
 use super::{RunningStandIn, start};
 use crate::FaultSwitches;
 
-/// Largest call, in bytes.
+/// Largest request body, in bytes.
 const MAX_CALL_BYTES: usize = 8 << 20;
 
 /// Rows and counters of the stand-in.
@@ -46,28 +46,28 @@
         .await
     }
 
-    /// Writes every row whatever its guard says, as a table without them would.
+    /// Ignores the guards of writes, as a table without conditional writes would.
     pub fn ignore_guards(&self, on: bool) {
         self.ignores_guards.store(on, Ordering::SeqCst);
     }
 
-    /// Puts back an old row, as a restore from a backup would.
+    /// Overwrites a row by an older one with its revision, as a restore from a backup would.
     pub fn roll_back(&self, row: TableRow) {
         let mut rows = self.rows.lock().unwrap_or_else(|poison| poison.into_inner());
         rows.insert(row.key.clone(), row);
     }
 
-    /// Calls that read.
+    /// Number of read and scan requests so far.
     pub fn reads(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
     }
 
-    /// Calls that write.
+    /// Number of write requests so far.
     pub fn writes(&self) -> u64 {
         self.writes.load(Ordering::Relaxed)
     }
 
-    /// All rows whose keys begin with `prefix`.
+    /// All rows whose keys begin with `prefix`, in the order of their keys.
     pub fn scan(&self, prefix: &str) -> Vec<TableRow> {
         let rows = self.rows.lock().unwrap_or_else(|poison| poison.into_inner());
         let matching = rows.range(prefix.to_owned()..);
@@ -77,13 +77,14 @@
             .collect()
     }
 
-    /// One row.
+    /// The row at `key`, if there is one.
     pub fn read(&self, key: &str) -> Option<TableRow> {
         let rows = self.rows.lock().unwrap_or_else(|poison| poison.into_inner());
         rows.get(key).cloned()
     }
 
-    /// Applies a batch.
+    /// Applies a batch of writes and returns one result per write; if the batch is atomic, a
+    /// conflict aborts the others.
     pub fn apply(&self, call: WriteRequest) -> WriteResult {
         let mut rows = self.rows.lock().unwrap_or_else(|poison| poison.into_inner());
         let ignores_guards = self.ignores_guards.load(Ordering::SeqCst);
