--- a/crates/testkit/src/caller.rs
+++ b/crates/testkit/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that checks what it is told against what it may expect.
+//! Test client that compares each answer with the expected one.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,56 +10,58 @@
 
 use crate::weights::answer_text;
 
-/// What a caller makes of an answer.
+/// Outcome of a call as the caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallVerdict {
-    /// The whole answer to this request.
+    /// A complete answer with the expected body.
     Complete {
-        /// The version that answered.
+        /// Version named in the answer, if any.
         version: Option<String>,
-        /// The preset it was answered under.
+        /// Preset revision named in the answer, if any.
         revision: Option<u64>,
     },
-    /// Told that it was not run.
+    /// The answer says that the request was not run; holds the body.
     NotRun(String),
-    /// Told that it may have run, or told nothing.
+    /// The request may have run: the answer says so, has no outcome or did not arrive; holds
+    /// the reason.
     Unknown(String),
-    /// An answer that looks whole but is not the one expected.
+    /// An answer that claims to be complete but differs from the expected one.
     Wrong(WrongAnswer),
 }
 
-/// An answer that looks whole but is not the one expected.
+/// An answer that claims to be complete but differs from the expected one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WrongAnswer {
-    /// The HTTP status.
+    /// HTTP status of the answer.
     pub status: StatusCode,
-    /// The version that the answer says it is from.
+    /// Version named in the answer, if any.
     pub version: Option<String>,
-    /// The body.
+    /// Body of the answer.
     pub body: String,
 }
 
-/// A caller of one deployment.
+/// Client that calls the entries of a deployment.
 #[derive(Clone, Default)]
 pub struct TestCaller {
     client: HttpClient,
 }
 
-/// One call.
+/// Request to an entry.
 #[derive(Debug, Clone)]
 pub struct TestCall {
-    /// The entry to call.
+    /// Caller address of the entry.
     pub entry: SocketAddr,
     /// Path below `/v1/services/`.
     pub path: String,
-    /// Headers.
+    /// Headers of the request.
     pub headers: Vec<(&'static str, String)>,
-    /// Body.
+    /// Body of the request.
     pub body: Vec<u8>,
 }
 
 impl TestCaller {
-    /// Sends `call`; `expected` gives the whole answer for the version that answered.
+    /// Sends `call` and waits at most `span`; `expected` returns the complete body for the
+    /// version named in the answer.
     pub async fn call(
         &self,
         call: TestCall,
@@ -73,7 +75,8 @@
         }
     }
 
-    /// Asks a model for `tokens` tokens.
+    /// Sends a generation request for `tokens` tokens; `weights` returns the digest of a
+    /// version's weights.
     pub async fn generate(
         &self,
         entry: SocketAddr,
@@ -141,14 +144,14 @@
                     _ => CallVerdict::Wrong(WrongAnswer { status: self.status, version, body }),
                 }
             }
-            // No error, no outcome, and a status that says yes: a caller that
-            // knows nothing of outcomes takes it for the whole answer.
+            // A success status without an outcome: a caller that does not use
+            // outcomes takes such an answer for complete.
             None if self.status.is_success() => CallVerdict::Wrong(WrongAnswer {
                 status: self.status,
                 version: text("cassiawheel-version"),
                 body,
             }),
-            // Without the end mark nothing tells that the answer is whole.
+            // Without the outcome header or trailer the answer may be incomplete.
             _ => CallVerdict::Unknown(format!("{} without an outcome: {body}", self.status)),
         }
     }
--- a/crates/testkit/src/deployment/layout.rs
+++ b/crates/testkit/src/deployment/layout.rs
@@ -43,12 +43,12 @@
 pub(super) const LIST_PORT: u16 = 7008;
 const RELAY_PORT: u16 = 7009;
 
-/// Last octet of the platform's address, of the first entry's and of the first agent's.
+/// Last octets of the addresses of the platform, the first entry and the first agent.
 pub(super) const PLATFORM_HOST: u8 = 1;
 const FIRST_ENTRY: u8 = 10;
 const FIRST_AGENT: u8 = 40;
 
-/// A /24 of loopback addresses.
+/// A /24 network of loopback addresses, `127.second.third.0`.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LoopbackNet {
     second: u8,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Finds a network that no other deployment uses, by listening in it.
+/// Reserves a network that no other deployment uses, by starting the table service in it.
 pub(super) async fn claim_net(
     table: &Arc<TableRows>,
     switches: &Arc<FaultSwitches>,
@@ -76,10 +76,10 @@
             return Ok((net, stand_in));
         }
     }
-    anyhow::bail!("no free loopback network was found")
+    anyhow::bail!("no free loopback network in 100 attempts")
 }
 
-/// Where every process of a deployment listens, and its settings.
+/// Addresses and settings of every process of a deployment.
 pub(super) struct DeploymentLayout<'a> {
     pub(super) plan: &'a DeploymentPlan,
     pub(super) net: LoopbackNet,
@@ -105,7 +105,7 @@
         LogSettings { level: self.plan.log_level.clone(), ..LogSettings::default() }
     }
 
-    /// Port at which others reach an inner address.
+    /// Port to which other processes connect: the relay's if links are severable.
     fn dialled_port(&self) -> u16 {
         if self.plan.severable_links { RELAY_PORT } else { INNER_PORT }
     }
@@ -240,7 +240,7 @@
     }
 }
 
-/// Starts a binary with the settings file `config`; its log goes into `folder`.
+/// Starts a binary with the settings file `config`; its log is written to `folder`.
 pub(super) fn start_process(
     folder: &Path,
     name: &str,
--- a/crates/testkit/src/fault.rs
+++ b/crates/testkit/src/fault.rs
@@ -1,4 +1,4 @@
-//! Switches for the faults of one stand-in.
+//! Fault injection for a stand-in.
 
 use std::{
     sync::atomic::{AtomicBool, AtomicU64, Ordering},
@@ -15,22 +15,22 @@
 }
 
 impl FaultSwitches {
-    /// Answers nothing but errors.
+    /// Answers every request with 503.
     pub fn set_down(&self, on: bool) {
         self.down.store(on, Ordering::SeqCst);
     }
 
-    /// Carries calls out, then closes the connection instead of answering.
+    /// Carries out requests, then closes the connection instead of answering.
     pub fn set_lose_answers(&self, on: bool) {
         self.lose_answers.store(on, Ordering::SeqCst);
     }
 
-    /// Sends chunks with a flipped bit.
+    /// Flips a bit in every chunk that is sent.
     pub fn set_corrupt(&self, on: bool) {
         self.corrupt.store(on, Ordering::SeqCst);
     }
 
-    /// Waits before each answer.
+    /// Delays the handling of each request by `span`.
     pub fn set_delay(&self, span: Duration) {
         self.delay_ms.store(span.as_millis() as u64, Ordering::SeqCst);
     }
@@ -50,7 +50,7 @@
         self.corrupt.load(Ordering::SeqCst)
     }
 
-    /// The wait before each answer.
+    /// Delay before each request is handled.
     pub fn delay(&self) -> Duration {
         Duration::from_millis(self.delay_ms.load(Ordering::SeqCst))
     }
--- a/crates/testkit/src/processes.rs
+++ b/crates/testkit/src/processes.rs
@@ -1,4 +1,4 @@
-//! Processes of the system under test, started and ended by the test kit.
+//! Processes of the system under test, started and stopped by the test kit.
 
 use std::{
     io,
@@ -9,7 +9,7 @@
 
 use smol::Timer;
 
-/// One process that the test kit started; killed when dropped.
+/// Handle of a child process, which is killed when the handle is dropped.
 #[derive(Debug)]
 pub struct ChildProcess {
     name: String,
@@ -17,7 +17,7 @@
 }
 
 impl ChildProcess {
-    /// Starts `binary serve --config CONFIG`; its log goes to `log`.
+    /// Starts `binary serve --config CONFIG`; its output is written to `log`.
     pub fn start(name: &str, binary: &Path, config: &Path, log: &Path) -> io::Result<Self> {
         let log = std::fs::File::create(log)?;
         let child = Command::new(binary)
@@ -48,39 +48,39 @@
         Ok(Self { name: name.to_owned(), child })
     }
 
-    /// Its name in reports.
+    /// Name of the process in reports.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Kills it without warning.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) -> io::Result<()> {
         self.child.kill()?;
         self.child.wait()?;
         Ok(())
     }
 
-    /// Asks it to stop gracefully.
+    /// Sends SIGTERM, which starts a graceful shutdown.
     pub fn terminate(&self) -> io::Result<()> {
         self.signal("TERM")
     }
 
-    /// Freezes it.
+    /// Suspends the process with SIGSTOP.
     pub fn pause(&self) -> io::Result<()> {
         self.signal("STOP")
     }
 
-    /// Lets it go on.
+    /// Resumes the process with SIGCONT.
     pub fn resume(&self) -> io::Result<()> {
         self.signal("CONT")
     }
 
-    /// Waits at most `span` for its end, without blocking the executor's thread.
+    /// Waits at most `span` for the process to exit, without blocking the executor's thread.
     pub async fn wait(&mut self, span: Duration) -> io::Result<Option<ExitStatus>> {
         let end = Instant::now() + span;
         loop {
@@ -112,7 +112,7 @@
     }
 }
 
-/// Where cargo put the binary called `name`, next to the running program.
+/// Path of the binary `name` in the target folder of the running program.
 pub fn binary_path(name: &str) -> io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let found = own.ancestors().skip(1).map(|dir| dir.join(name)).find(|path| path.is_file());
--- a/crates/testkit/src/samples.rs
+++ b/crates/testkit/src/samples.rs
@@ -1,4 +1,4 @@
-//! Messages of usual size, for benches and their bounds.
+//! Messages of typical size, for benches and the tests of their bounds.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -9,10 +9,10 @@
 };
 use cassiawheel_wire::{ControlMessage, RequestMessage, WireMessage};
 
-/// A moment of today.
+/// Fixed time stamp of the messages, with as many digits as a current one.
 const NOW: Timestamp = Timestamp(1_800_000_000_000);
 
-/// A heartbeat of an agent whose engine stages a version while it serves another.
+/// Heartbeat of an agent whose engine stages one version while it serves another.
 pub fn heartbeat() -> Result<WireMessage, IdError> {
     let report = EndpointReport {
         instance: InstanceId::new("samcheok-hall-model-7")?,
@@ -44,7 +44,7 @@
     Ok(WireMessage::Control(ControlMessage::Report(Box::new(report))))
 }
 
-/// The head of a generation.
+/// Head of a generation request.
 pub fn head() -> Result<RequestHead, IdError> {
     Ok(RequestHead {
         id: RequestId::new("andong-hall-entry-2-19f8a3b4c5d-2a7f")?,
@@ -64,13 +64,13 @@
     })
 }
 
-/// A request with a body of `bytes`.
+/// Request message with a body of `bytes` bytes.
 pub fn dispatch(bytes: usize) -> Result<WireMessage, IdError> {
     let (head, body) = (Box::new(head()?), vec![b'x'; bytes]);
     Ok(WireMessage::Request(RequestMessage::Dispatch { attempt: 1_000_000, head, body }))
 }
 
-/// A part of an answer with `bytes`.
+/// Part of an answer with `bytes` bytes.
 pub fn answer_part(bytes: usize) -> WireMessage {
     let bytes = vec![b'x'; bytes];
     WireMessage::Request(RequestMessage::Data { attempt: 1_000_000, bytes })
--- a/crates/testkit/src/traffic.rs
+++ b/crates/testkit/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes of control messages, read from the metrics of a process.
+//! Traffic of control messages, read from the metrics of processes.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,23 +7,24 @@
 use http_body_util::Full;
 use hyper::Request;
 
-/// Longest wait for the metrics of a process.
+/// Timeout of a request for metrics.
 const READ_TIME: Duration = Duration::from_secs(1);
-/// Counters that are added up.
+/// Counters whose sum is the control traffic of a process.
 const COUNTERS: [&str; 2] =
     ["cassiawheel_wire_control_sent_bytes_total", "cassiawheel_wire_control_received_bytes_total"];
 
-/// Bytes that a process has sent and received since its start.
+/// Bytes of control messages that a process has sent and received since its start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ControlBytes {
     total: f64,
 }
 
 impl ControlBytes {
-    /// Mean rate of the processes that lived from `before` to `after`.
+    /// Mean rate over the processes that ran from `before` to `after`, in bytes per second;
+    /// none if there are none.
     pub fn mean_rate(before: &[Option<Self>], after: &[Option<Self>], span_s: f64) -> Option<f64> {
         let pairs = before.iter().zip(after).filter_map(|pair| Some(((*pair.0)?, (*pair.1)?)));
-        // A counter that went down belongs to a process that was started again.
+        // A counter that went down belongs to a process that was restarted.
         let rates: Vec<_> = pairs
             .filter(|(before, after)| after.total >= before.total)
             .map(|(before, after)| (after.total - before.total) / span_s)
@@ -33,7 +34,7 @@
     }
 }
 
-/// Reads the counters of the process whose metrics are at `addr`.
+/// Reads the counters of the process that serves its metrics at `addr`.
 pub async fn read_control_bytes(addr: SocketAddr) -> Option<ControlBytes> {
     let request = Request::get(format!("http://{addr}/metrics")).body(Full::new(Bytes::new()));
     let reply = HttpClient::default().send_and_read(request.ok()?, READ_TIME).await.ok()?;
--- a/crates/testkit/src/weights.rs
+++ b/crates/testkit/src/weights.rs
@@ -1,22 +1,22 @@
-//! Pseudo-random weights and the answers that follow from them.
+//! Pseudo-random weights and the answers that are derived from them.
 //!
-//! An answer is a function of the weights' digest and the prompt, so whoever
-//! knows both can tell a whole, unmixed answer from any other.
+//! An answer is a function of the weights' digest and the prompt. A test that has
+//! both detects answers that are incomplete or that mix versions.
 
 use cassiawheel_model::{ModelVersion, WeightManifest};
 use rand::{RngCore, SeedableRng, rngs::SmallRng};
 
-/// One version with its bytes.
+/// Manifest and content of one version.
 #[derive(Debug, Clone)]
 pub struct WeightImage {
-    /// Its manifest.
+    /// Manifest that describes `bytes`.
     pub manifest: WeightManifest,
-    /// All bytes in order.
+    /// Content of all chunks, in order.
     pub bytes: Vec<u8>,
 }
 
 impl WeightImage {
-    /// Draws `length` bytes from `seed`.
+    /// Generates `length` pseudo-random bytes from `seed`.
     pub fn generate(version: ModelVersion, seed: u64, length: usize, chunk_bytes: u32) -> Self {
         let mut bytes = vec![0; length];
         SmallRng::seed_from_u64(seed).fill_bytes(&mut bytes);
@@ -24,20 +24,20 @@
         Self { manifest, bytes }
     }
 
-    /// Bytes of the chunk at `index`.
+    /// Content of the chunk at `index`, if there is one.
     pub fn chunk(&self, index: usize) -> Option<&[u8]> {
         let entry = self.manifest.chunks.get(index)?;
         let start = self.manifest.offset(index) as usize;
         self.bytes.get(start..start + entry.bytes as usize)
     }
 
-    /// Digest from which answers are made.
+    /// Digest from which answers are derived.
     pub fn answer_digest(&self) -> [u8; 32] {
         *blake3::hash(&self.bytes).as_bytes()
     }
 }
 
-/// One token of the answer to `prompt`.
+/// Token at `index` of the answer to `prompt`.
 pub fn answer_token(weights: &[u8; 32], prompt: &str, index: u32) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher.update(weights);
@@ -46,7 +46,7 @@
     format!("{} ", &hasher.finalize().to_hex()[..8])
 }
 
-/// The whole answer to `prompt`.
+/// Complete answer to `prompt`, of `tokens` tokens.
 pub fn answer_text(weights: &[u8; 32], prompt: &str, tokens: u32) -> String {
     (0..tokens).map(|index| answer_token(weights, prompt, index)).collect()
 }
