--- a/crates/testkit/src/deployment.rs
+++ b/crates/testkit/src/deployment.rs
@@ -1,8 +1,8 @@
-//! A whole deployment on loopback: stand-ins here, entries and agents as
-//! processes of their own.
+//! A complete deployment on loopback: stand-ins in this process, entries and
+//! agents as child processes.
 //!
-//! Every instance has an IP address of its own in 127.0.0.0/8, so ports never
-//! collide and a link can be told by its addresses.
+//! Every instance has its own IP address in 127.0.0.0/8, so ports never collide
+//! and a link is identified by its two addresses.
 
 mod layout;
 
@@ -35,38 +35,38 @@
     },
 };
 
-/// Token of the deployment's operator.
+/// API token with the operator role.
 pub const OPERATOR_TOKEN: &str = "operator-token-for-tests";
-/// Token of one who may only view.
+/// API token with the view-only role.
 pub const VIEWER_TOKEN: &str = "viewer-token-for-tests";
-/// Key between the deployment's processes.
+/// Key with which the deployment's processes authenticate to each other.
 pub const INNER_KEY: &str = "inner-key-for-tests-only";
 /// Name of the model service.
 pub const MODEL_SERVICE: &str = "desk";
 /// Name of the plain service.
 pub const PLAIN_SERVICE: &str = "ledger";
-/// Name of the other web service.
+/// Name of the second plain service.
 pub const WEB_SERVICE: &str = "site";
 
-/// Longest time for the entries to listen.
+/// Longest wait until all entries listen.
 const START_TIME: Duration = Duration::from_secs(20);
 
-/// What a deployment consists of.
+/// Size and settings of a deployment.
 #[derive(Debug, Clone)]
 pub struct DeploymentPlan {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Model engines with their agents.
+    /// Number of model engines, each with an agent.
     pub model_agents: usize,
-    /// Plain services with their agents.
+    /// Number of endpoints of [`PLAIN_SERVICE`], each with an agent.
     pub plain_agents: usize,
-    /// Further plain services of another name, with their agents.
+    /// Number of endpoints of [`WEB_SERVICE`], each with an agent.
     pub web_agents: usize,
-    /// Failure domains over which instances are spread.
+    /// Number of failure domains over which instances are spread.
     pub failure_domains: usize,
-    /// Whether a relay before each inner address can sever links.
+    /// Whether a relay in front of each inner address can inject link faults.
     pub severable_links: bool,
-    /// The origin's link, in bytes per second; zero is unlimited.
+    /// Rate of the origin's link, in bytes per second; zero is unlimited.
     pub origin_bytes_per_s: u64,
     /// Transfer settings of the agents.
     pub transfer: TransferSettings,
@@ -76,11 +76,11 @@
     pub caller: CallerSettings,
     /// Log level of all processes.
     pub log_level: String,
-    /// Whether the model engines refuse old orders.
+    /// Whether the model engines refuse load orders with an old fencing token.
     pub checks_fencing: bool,
-    /// Requests that an agent admits at a time.
+    /// Highest number of requests that an agent admits at a time.
     pub max_in_flight: u32,
-    /// Time that the plain services work on a call.
+    /// Time that the plain services take for a call.
     pub plain_work: Duration,
 }
 
@@ -106,77 +106,77 @@
 }
 
 impl DeploymentPlan {
-    /// Endpoints of all kinds.
+    /// Number of endpoints of all services.
     pub fn endpoints(&self) -> usize {
         self.model_agents + self.plain_agents + self.web_agents
     }
 }
 
-/// One endpoint with its agent.
+/// An endpoint and its agent.
 pub struct TestEndpoint {
-    /// Its instance.
+    /// Instance id of the agent.
     pub instance: InstanceId,
-    /// Its model engine; none at a plain service.
+    /// Model engine; none if the endpoint is a plain service.
     pub engine: Option<Arc<EngineState>>,
-    /// Its plain service; none at a model engine.
+    /// Plain service; none if the endpoint is a model engine.
     pub ledger: Option<Arc<PlainLedger>>,
-    /// Faults of the engine or plain service.
+    /// Fault switches of the engine or plain service.
     pub switches: Arc<FaultSwitches>,
-    /// The agent's process; none while it is stopped.
+    /// Process of the agent; none while it is stopped.
     pub agent: Option<ChildProcess>,
-    /// The agent's settings file.
+    /// Settings file of the agent.
     pub config: PathBuf,
-    /// Where the agent listens for other agents.
+    /// Address on which the agent listens for other processes of the deployment.
     pub inner_addr: SocketAddr,
-    /// Where its metrics are.
+    /// Address at which the agent serves its metrics.
     pub metrics_addr: SocketAddr,
-    /// Where the engine or plain service listens.
+    /// Address on which the engine or plain service listens.
     pub stand_in_addr: SocketAddr,
     _stand_in: RunningStandIn,
 }
 
 impl TestEndpoint {
-    /// Where its engine or plain service listens.
+    /// Address on which the engine or plain service listens.
     pub fn engine_addr(&self) -> SocketAddr {
         self._stand_in.addr
     }
 }
 
-/// One entry.
+/// An entry and the addresses on which it listens.
 pub struct TestEntry {
-    /// Its instance.
+    /// Instance id of the entry.
     pub instance: InstanceId,
-    /// Its process; none while it is stopped.
+    /// Process of the entry; none while it is stopped.
     pub process: Option<ChildProcess>,
-    /// Its settings file.
+    /// Settings file of the entry.
     pub config: PathBuf,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_addr: SocketAddr,
-    /// Where operators reach it.
+    /// Address of the operators' API.
     pub admin_addr: SocketAddr,
-    /// Where our own processes reach it.
+    /// Address for connections from other processes of the deployment.
     pub inner_addr: SocketAddr,
-    /// Where its metrics are.
+    /// Address at which it serves its metrics.
     pub metrics_addr: SocketAddr,
 }
 
-/// A running deployment; everything ends when it is dropped.
+/// A running deployment; its processes and stand-ins stop when it is dropped.
 pub struct Deployment {
     /// Rows of the table service.
     pub table: Arc<TableRows>,
-    /// Faults of the table service.
+    /// Fault switches of the table service.
     pub table_switches: Arc<FaultSwitches>,
-    /// The origin.
+    /// Versions and counters of the origin.
     pub origin: Arc<OriginImages>,
-    /// Faults of the origin.
+    /// Fault switches of the origin.
     pub origin_switches: Arc<FaultSwitches>,
-    /// The platform's list of instances.
+    /// Rows of the platform's list of instances.
     pub instances: Arc<InstanceRows>,
-    /// The endpoints.
+    /// Endpoints with their agents: model engines first, then plain services.
     pub endpoints: Vec<TestEndpoint>,
-    /// The entries.
+    /// Entries, in the order of their start.
     pub entries: Vec<TestEntry>,
-    /// Links with which something is wrong; of use only with severable links.
+    /// Active link faults; they have an effect only if the links are severable.
     pub links: Arc<LinkFaults>,
     client: HttpClient,
     folder: TempDir,
@@ -185,7 +185,7 @@
 }
 
 impl Deployment {
-    /// Starts everything in `plan`.
+    /// Starts the stand-ins and processes of `plan` and waits until the entries listen.
     pub async fn start(plan: &DeploymentPlan) -> anyhow::Result<Self> {
         let folder = tempfile::tempdir()?;
         let table = Arc::new(TableRows::default());
@@ -235,7 +235,7 @@
         })
     }
 
-    /// Makes one call of the operators' API at the entry `index`.
+    /// Sends a request to the operators' API of the entry `index`.
     pub async fn admin(
         &self,
         index: usize,
@@ -252,7 +252,7 @@
         Ok(self.client.send_and_read(request, Duration::from_secs(15)).await?)
     }
 
-    /// Stores a preset and puts it in force; the reply tells its revision.
+    /// Stores a preset, puts it in force and returns the reply, which holds its revision.
     pub async fn force(
         &self,
         name: &str,
@@ -270,7 +270,7 @@
         Ok(serde_json::from_slice(forced.body())?)
     }
 
-    /// The status that the entry `index` tells.
+    /// Status that the entry `index` reports.
     pub async fn status(&self, index: usize) -> anyhow::Result<serde_json::Value> {
         let reply = self.admin(index, VIEWER_TOKEN, Method::GET, "/v1/status", Vec::new()).await?;
         Ok(serde_json::from_slice(reply.body())?)
@@ -292,10 +292,10 @@
             }
             smol::Timer::after(Duration::from_millis(20)).await;
         }
-        anyhow::bail!("the status did not come about within {span:?}; last: {last:?}")
+        anyhow::bail!("the status did not meet the condition within {span:?}; last: {last:?}")
     }
 
-    /// Waits until `count` engines answer from `version`.
+    /// Waits until at least `count` engines have loaded `version`.
     pub async fn wait_engines(
         &self,
         version: &str,
@@ -310,16 +310,16 @@
             smol::Timer::after(Duration::from_millis(5)).await;
         }
         let have = self.engines_with(version);
-        anyhow::bail!("{have} of {count} engines answer from {version} after {span:?}")
+        anyhow::bail!("{have} of {count} engines have loaded {version} after {span:?}")
     }
 
-    /// Engines that answer from `version`.
+    /// Number of engines that have loaded `version`.
     pub fn engines_with(&self, version: &str) -> usize {
         let engines = self.endpoints.iter().filter_map(|endpoint| endpoint.engine.as_ref());
         engines.filter(|engine| engine.version().is_some_and(|v| v.as_str() == version)).count()
     }
 
-    /// Starts the agent of endpoint `index` again.
+    /// Starts the agent of endpoint `index` again with the same settings.
     pub fn restart_agent(&mut self, index: usize) -> anyhow::Result<()> {
         let endpoint = &mut self.endpoints[index];
         endpoint.agent = Some(start_process(
@@ -331,7 +331,7 @@
         Ok(())
     }
 
-    /// Starts the entry `index` again.
+    /// Starts the entry `index` again with the same settings.
     pub fn restart_entry(&mut self, index: usize) -> anyhow::Result<()> {
         let entry = &mut self.entries[index];
         entry.process = Some(start_process(
@@ -343,14 +343,15 @@
         Ok(())
     }
 
-    /// Keeps settings and logs after the end and tells where they are.
+    /// Keeps settings and logs after the deployment is dropped, and returns their folder.
     pub fn keep_logs(&mut self) -> &Path {
         self.folder.disable_cleanup(true);
         self.folder.path()
     }
 }
 
-/// Waits until operators reach every entry; a call made before is refused.
+/// Waits until every entry accepts connections to the operators' API; earlier ones would be
+/// refused.
 async fn wait_listening(entries: &[TestEntry]) -> anyhow::Result<()> {
     let end = Instant::now() + START_TIME;
     for entry in entries {
--- a/crates/testkit/src/platform_site.rs
+++ b/crates/testkit/src/platform_site.rs
@@ -1,5 +1,5 @@
-//! A small deployment on a stand-in of the users' platform: a store, endpoints
-//! without agents, and entries as separate processes.
+//! A small deployment on a stand-in of the platform: a store, endpoints without
+//! agents, and entries that run as separate processes.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -23,75 +23,75 @@
     stand_in::{RunningStandIn, replica::Replica, rows::StoreRows},
 };
 
-/// Host of every route.
+/// Host name of every route.
 pub const HOST: &str = "desk.example";
 
-/// Key of the only workspace.
+/// API key of the only workspace.
 pub const KEY: &str = "a-key-of-the-booth";
 
-/// Ports of an entry, which has an address of its own.
+/// Ports of an entry; they are the same for all, as each entry has its own IP address.
 const FRONT_PORT: u16 = 8_005;
 const READY_PORT: u16 = 8_002;
 const DIRECTORY_PORT: u16 = 8_009;
 const CONTROL_PORT: u16 = 8_000;
 const METRICS_PORT: u16 = 9_464;
 
-/// Time between looks whether something has come about.
+/// Interval at which a condition is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Longest wait for something to come about.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Longest wait for a condition to hold.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The deployment.
+/// A running deployment; its processes and stand-ins stop when it is dropped.
 pub struct PlatformSite {
-    /// The store's rows.
+    /// Rows of the store.
     pub rows: Arc<StoreRows>,
-    /// Faults of the store.
+    /// Fault switches of the store.
     pub store_faults: Arc<FaultSwitches>,
-    /// The endpoints, those that have ended too.
+    /// All endpoints, including crashed ones, in the order of their start.
     pub replicas: Vec<Arc<Replica>>,
-    /// Where they listen.
+    /// Addresses on which the endpoints listen, in the order of `replicas`.
     addrs: Vec<SocketAddr>,
-    /// The entries.
+    /// Entry processes, in the order of their start.
     pub entries: Vec<PlatformEntry>,
     store_addr: SocketAddr,
-    /// First three numbers of the entries' addresses, a network of their own.
+    /// First three octets of the entries' addresses: a random loopback /24 network.
     network: [u8; 3],
     _store: RunningStandIn,
     dir: TempDir,
 }
 
-/// One entry process.
+/// An entry process and the addresses on which it listens.
 pub struct PlatformEntry {
-    /// The process.
+    /// Handle of the process.
     pub process: ChildProcess,
-    /// Where callers reach it.
+    /// Address for callers.
     pub front: SocketAddr,
-    /// Where it tells whether it is ready.
+    /// Address of the readiness check.
     pub ready: SocketAddr,
-    /// Where callers ask which entries to use.
+    /// Address at which callers look up the entries.
     pub directory: SocketAddr,
-    /// Where our own processes reach it.
+    /// Address for connections from other entries.
     pub control: SocketAddr,
-    /// Where it tells its metrics.
+    /// Address at which it serves its metrics.
     pub metrics: SocketAddr,
 }
 
-/// A call of a caller.
+/// A request of a caller.
 #[derive(Debug, Clone, Copy)]
 pub struct SiteCall<'a> {
-    /// The request's id.
+    /// Attempt id of the request.
     pub id: &'a str,
-    /// Its path; routes are `/safe/`, `/unsafe/` and `/stream/`.
+    /// Path of the request; routes are `/safe/`, `/unsafe/` and `/stream/`.
     pub path: &'a str,
-    /// The caller's key.
+    /// API key of the caller, if it sends one.
     pub key: Option<&'a str>,
-    /// How long the caller waits, in milliseconds.
+    /// Deadline that is sent with the request, in milliseconds.
     pub patience_ms: u64,
 }
 
 impl<'a> SiteCall<'a> {
-    /// A call of the workspace with two seconds of patience.
+    /// A request with the key of the workspace and a deadline of two seconds.
     pub fn new(id: &'a str, path: &'a str) -> Self {
         Self { id, path, key: Some(KEY), patience_ms: 2_000 }
     }
@@ -133,7 +133,7 @@
         Ok(site)
     }
 
-    /// Adds an endpoint that registers itself.
+    /// Starts an endpoint and lists it in the store as ready.
     pub async fn add_replica(&mut self, id: &str) -> anyhow::Result<()> {
         let replica = Replica::new(id);
         let addr = replica.serve(loopback(0)).await?;
@@ -143,7 +143,7 @@
         Ok(())
     }
 
-    /// Replaces each endpoint that has ended by one with a new name; how many there were.
+    /// Replaces each crashed endpoint by one with a new id, and returns their number.
     pub async fn replace_ended(&mut self) -> anyhow::Result<usize> {
         let listed = self.rows.keys("servers");
         let is_due = |replica: &&Arc<Replica>| replica.has_ended() && listed.contains(&replica.id);
@@ -155,7 +155,8 @@
         Ok(ended.len())
     }
 
-    /// Has an endpoint say that it leaves, and adds another one; it goes on serving.
+    /// Lists an endpoint as draining and adds another one, unless it is listed no more. The
+    /// draining endpoint goes on serving.
     pub async fn release(&mut self, index: usize) -> anyhow::Result<()> {
         let is_listed = self.rows.keys("servers").contains(&self.replicas[index].id);
         if is_listed && !self.replicas[index].has_ended() {
@@ -165,17 +166,17 @@
         Ok(())
     }
 
-    /// Endpoints that have ended.
+    /// Number of endpoints that have crashed.
     pub fn ended(&self) -> usize {
         self.replicas.iter().filter(|replica| replica.has_ended()).count()
     }
 
-    /// Writes the state of an endpoint into the list.
+    /// Writes the row of an endpoint with this state to the store.
     pub fn set_state(&self, index: usize, state: &str) {
         self.list(&self.replicas[index].id, self.addrs[index], state);
     }
 
-    /// The row of an endpoint that serves.
+    /// Row of an endpoint in the state `ready`.
     pub fn row_of(&self, index: usize) -> Value {
         server_row(self.addrs[index], "ready")
     }
@@ -184,7 +185,7 @@
         self.rows.put("servers", id, &server_row(addr, state));
     }
 
-    /// Starts one more entry; the first two are seeds of those that follow.
+    /// Starts another entry, with the first two entries as its gossip seeds.
     pub fn add_entry(&mut self) -> anyhow::Result<()> {
         let index = self.entries.len();
         let [a, b, c] = self.network;
@@ -207,7 +208,7 @@
         Ok(())
     }
 
-    /// Starts an entry again that has ended.
+    /// Starts the process of an entry again, with the same settings.
     pub fn restart_entry(&mut self, index: usize) -> anyhow::Result<()> {
         let name = format!("entry-{index}");
         let path = self.dir.path().join(format!("{name}.toml"));
@@ -217,7 +218,7 @@
         Ok(())
     }
 
-    /// The log of an entry.
+    /// Path of the log of an entry.
     pub fn log(&self, index: usize) -> PathBuf {
         self.dir.path().join(format!("entry-{index}.log"))
     }
@@ -237,25 +238,26 @@
         )
     }
 
-    /// Waits until an entry says that it is ready, or no longer.
+    /// Waits until the readiness check of an entry matches `ready`, where any answer but 200 means not ready.
     pub async fn wait_ready(&self, entry: &PlatformEntry, ready: bool) -> anyhow::Result<()> {
         let url = format!("http://{}/v1/ready", entry.ready);
         let client = HttpClient::default();
-        let is_so = async || {
+        let condition = async || {
             let request = Request::get(&url).body(Full::new(Bytes::new()))?;
-            let status = client.send_and_read(request, PATIENCE).await.map(|reply| reply.status());
+            let status =
+                client.send_and_read(request, WAIT_TIMEOUT).await.map(|reply| reply.status());
             anyhow::Ok(status.is_ok_and(|status| status == StatusCode::OK) == ready)
         };
-        wait_until(is_so).await
+        wait_until(condition).await
     }
 
-    /// Calls the first entry.
+    /// Sends a request to the first entry and returns its answer.
     pub async fn call(&self, call: SiteCall<'_>) -> anyhow::Result<Response<Bytes>> {
         let request = self.request(0, call)?;
-        Ok(HttpClient::default().send_and_read(request, PATIENCE).await?)
+        Ok(HttpClient::default().send_and_read(request, WAIT_TIMEOUT).await?)
     }
 
-    /// The request of a call to an entry.
+    /// Builds the HTTP request for a call to an entry.
     pub fn request(
         &self,
         entry: usize,
@@ -275,25 +277,25 @@
         Ok(request.body(Full::new(Bytes::from_static(b"a seat")))?)
     }
 
-    /// Runs of a request at all endpoints.
+    /// Number of runs of a request, over all endpoints.
     pub fn runs_of(&self, id: &str) -> u32 {
         let runs = self.replicas.iter().filter_map(|replica| replica.runs().get(id).copied());
         runs.sum()
     }
 }
 
-/// Waits until `is_so` holds.
-pub async fn wait_until(is_so: impl AsyncFn() -> anyhow::Result<bool>) -> anyhow::Result<()> {
-    let deadline = Timestamp::now().deadline_after(PATIENCE);
-    while !is_so().await? {
-        anyhow::ensure!(!deadline.is_past(Timestamp::now()), "it did not come about in time");
+/// Checks `condition` repeatedly until it holds; an error if it does not within 10 seconds.
+pub async fn wait_until(condition: impl AsyncFn() -> anyhow::Result<bool>) -> anyhow::Result<()> {
+    let deadline = Timestamp::now().deadline_after(WAIT_TIMEOUT);
+    while !condition().await? {
+        anyhow::ensure!(!deadline.is_past(Timestamp::now()), "the condition did not hold in time");
         Timer::after(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
-/// A configuration with the named routes, each below a path of its name; those
-/// that are neither `unsafe` nor `stream` may be repeated.
+/// A configuration with the named routes, each with its name as path prefix. Routes that
+/// are neither `unsafe` nor `stream` may be retried.
 pub fn config(version: u64, routes: &[&str], timeout_ms: u64) -> Value {
     let route = |name: &&str| {
         let kind = match *name {
@@ -320,8 +322,8 @@
     })
 }
 
-/// [`config`] with a model service whose weights come from `origin`, which admits `places`
-/// connections.
+/// [`config`] with a model service that loads its weights from `origin`, which admits
+/// `places` connections.
 pub fn model_config(version: u64, model: &str, origin: SocketAddr, places: usize) -> Value {
     let mut config = config(version, &["safe"], 1_500);
     let engine = json!({
--- a/crates/testkit/src/site_soak.rs
+++ b/crates/testkit/src/site_soak.rs
@@ -302,10 +302,10 @@
         let record = AttemptRecord { id, is_fatal, sent_at, undisturbed, answer: None };
         let call = spawn(async move {
             let answer = HttpClient::default().send_and_read(request, CALL_TIME).await;
-            let told = |answer: Response<Bytes>| {
+            let read_answer = |answer: Response<Bytes>| {
                 (answer.status(), String::from_utf8_lossy(answer.body()).into_owned())
             };
-            AttemptRecord { answer: answer.ok().map(told), ..record }
+            AttemptRecord { answer: answer.ok().map(read_answer), ..record }
         });
         self.calls.push((entry, call));
         Ok(())
--- a/crates/testkit/src/stand_in/replica.rs
+++ b/crates/testkit/src/stand_in/replica.rs
@@ -35,7 +35,7 @@
 pub const EVENTS: u64 = 6;
 
 /// Event id that makes the stream fail instead of sending an event.
-const BROKEN: u64 = u64::MAX;
+const FAILING_EVENT: u64 = u64::MAX;
 
 /// Time between two events.
 const EVENT_TIME: Duration = Duration::from_millis(15);
@@ -265,7 +265,7 @@
 
 fn events(after: u64, mode: ReplicaMode, run: OpenRun, ended: Arc<AtomicBool>) -> ReplyBody {
     let frames = stream::unfold((after + 1, None, run), move |(id, rest, run)| {
-        let id = if ended.load(Ordering::SeqCst) { BROKEN } else { id };
+        let id = if ended.load(Ordering::SeqCst) { FAILING_EVENT } else { id };
         next_event(after, mode, (id, rest, run))
     });
     BodyExt::boxed(StreamBody::new(frames))
@@ -279,7 +279,7 @@
     mode: ReplicaMode,
     (id, rest, run): EventState,
 ) -> Option<(std::io::Result<Frame<Bytes>>, EventState)> {
-    if id == BROKEN {
+    if id == FAILING_EVENT {
         return Some((Err(std::io::Error::other("endpoint crashed")), (id, None, run)));
     }
     if let Some(rest) = rest {
@@ -296,7 +296,7 @@
         ReplicaMode::Cuts if id == after + 3 => {
             // Sends half of the event; the next step fails the stream.
             event.truncate(event.len() / 2);
-            Some((Ok(Frame::data(event)), (BROKEN, None, run)))
+            Some((Ok(Frame::data(event)), (FAILING_EVENT, None, run)))
         }
         ReplicaMode::Pauses if id == after + 3 => {
             let rest = event.split_off(event.len() / 2);
