--- a/crates/testkit/src/platform_site.rs
+++ b/crates/testkit/src/platform_site.rs
@@ -238,7 +238,8 @@
         )
     }
 
-    /// Waits until the readiness check of an entry matches `ready`, where any answer but 200 means not ready.
+    /// Waits until the readiness of an entry matches `ready`; any answer but 200 means not
+    /// ready.
     pub async fn wait_ready(&self, entry: &PlatformEntry, ready: bool) -> anyhow::Result<()> {
         let url = format!("http://{}/v1/ready", entry.ready);
         let client = HttpClient::default();
--- a/crates/testkit/src/stand_in/replica.rs
+++ b/crates/testkit/src/stand_in/replica.rs
@@ -57,7 +57,7 @@
     Crosses,
     /// Runs the request and closes the connection in the middle of the answer.
     Cuts,
-    /// Runs the request and answers only after 60 seconds, past every deadline.
+    /// Runs the request and answers only after 60 seconds.
     Mute,
     /// Pauses in the middle of an event of a stream, then continues.
     Pauses,
