--- a/crates/testkit/tests/chunk_service.rs
+++ b/crates/testkit/tests/chunk_service.rs
@@ -1,4 +1,4 @@
-//! What agents send to each other, over real TCP.
+//! The chunk protocol between agents, over real TCP.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,15 +20,14 @@
 const MODEL_BYTES: usize = 1 << 20;
 const CHUNK_BYTES: u32 = 128 << 10;
 
-/// Generous: a test that waits this long has failed.
-const LONG: Duration = Duration::from_secs(60);
+/// Generous timeout; a test that reaches it has failed.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Generous, and far below the five seconds after which a stuck upload ends by itself.
-const SOON: Duration = Duration::from_secs(2);
+/// Generous, yet far below the five seconds after which a stalled upload is aborted.
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A link has narrowed, and whoever asked for a chunk has given it up half-way.
-/// The sender keeps its only slot for the rest, and the agents that could use it
-/// are told that it is busy; a version reaches them seconds later.
+/// A slow receiver abandons a chunk half-way. If the sender kept its only upload slot for the
+/// rest, the other agents would be refused as busy and get the version seconds late.
 #[test]
 fn an_abandoned_chunk_gives_its_slot_back() {
     let image = image("v1");
@@ -39,20 +38,20 @@
     };
     let test = async {
         let deployment = serving_deployment(&plan, &image).await?;
-        let mut asker = ChunkAsker::connect(&deployment).await?;
-        asker.ask(1, &image, 0).await?;
-        anyhow::ensure!(asker.part_of(1).await, "the first chunk begins");
-        asker.sender.send(ChunkMessage::Abandoned { call: 1 }).await?;
-        anyhow::ensure!(asker.gets_slot_soon(&image, 1).await?, "the slot is still taken");
+        let mut client = ChunkClient::connect(&deployment).await?;
+        client.request(1, &image, 0).await?;
+        anyhow::ensure!(client.receives_part(1).await, "the first chunk begins");
+        client.sender.send(ChunkMessage::Abandoned { call: 1 }).await?;
+        anyhow::ensure!(client.gets_slot_soon(&image, 1).await?, "the slot is still taken");
         anyhow::Ok(())
     };
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes");
 }
 
-/// An agent starts again beside an engine that holds a version, and the order to
-/// serve it comes before the engine answers. If the agent took that for all there
-/// is to do, nobody would ever learn what the engine holds: engines that are added
-/// while the origin is away would wait for it, and callers be refused meanwhile.
+/// An agent restarts beside an engine that holds a version, and its load order arrives before the
+/// engine answers. If the agent then considered the order complete, it would never announce the
+/// chunks of the engine: engines that are added while the origin is down would wait for the
+/// origin, and requests be refused meanwhile.
 #[test]
 fn an_engine_that_answers_after_its_order_offers_what_it_holds() {
     let image = image("v1");
@@ -67,12 +66,12 @@
             status["endpoints"][0]["report"]["state"] == "empty"
                 && status["endpoints"][0]["report"]["order"].as_u64().is_some_and(|order| order > 0)
         };
-        deployment.wait_status(0, LONG, is_ordered).await?;
+        deployment.wait_status(0, TEST_TIMEOUT, is_ordered).await?;
         deployment.endpoints[0].switches.set_down(false);
-        let mut asker = ChunkAsker::connect(&deployment).await?;
-        anyhow::ensure!(asker.offer_of(&image).await, "the chunks are not offered");
-        asker.ask(1, &image, 0).await?;
-        anyhow::ensure!(asker.part_of(1).await, "the first chunk comes");
+        let mut client = ChunkClient::connect(&deployment).await?;
+        anyhow::ensure!(client.receives_offer(&image).await, "the chunks are not offered");
+        client.request(1, &image, 0).await?;
+        anyhow::ensure!(client.receives_part(1).await, "the first chunk comes");
         anyhow::Ok(())
     };
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes");
@@ -88,12 +87,12 @@
     let are_known = |status: &serde_json::Value| {
         status["endpoints"].as_array().is_some_and(|list| list.len() == plan.model_agents)
     };
-    deployment.wait_status(0, LONG, are_known).await?;
+    deployment.wait_status(0, TEST_TIMEOUT, are_known).await?;
     let content = json!({ "services": {
         MODEL_SERVICE: { "kind": "model", "version": "v1", "replicas": plan.model_agents }
     } });
     deployment.force("v1", &content, "change-v1").await?;
-    deployment.wait_engines("v1", plan.model_agents, LONG).await?;
+    deployment.wait_engines("v1", plan.model_agents, TEST_TIMEOUT).await?;
     Ok(deployment)
 }
 
@@ -102,18 +101,18 @@
     Arc::new(WeightImage::generate(version, 11, MODEL_BYTES, CHUNK_BYTES))
 }
 
-/// Wait after a sender was busy, as agents take it.
-const ASK_AGAIN: Duration = Duration::from_millis(20);
+/// Backoff after a busy reply; agents use the same.
+const BUSY_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Several times the longest wait between two tries of an agent to carry out its order.
-const OFFER_TIME: Duration = Duration::from_secs(10);
+/// Several times the longest backoff of an agent between two attempts to execute its order.
+const OFFER_TIMEOUT: Duration = Duration::from_secs(10);
 
-struct ChunkAsker {
+struct ChunkClient {
     sender: WireSender,
     receiver: WireReceiver,
 }
 
-impl ChunkAsker {
+impl ChunkClient {
     async fn connect(deployment: &Deployment) -> anyhow::Result<Self> {
         let addr = deployment.endpoints[0].inner_addr;
         let (sender, receiver) = connect(addr, INNER_KEY, None).await?;
@@ -126,34 +125,33 @@
         Ok(Self { sender, receiver })
     }
 
-    async fn ask(&self, call: u64, image: &WeightImage, index: u32) -> anyhow::Result<()> {
+    async fn request(&self, call: u64, image: &WeightImage, index: u32) -> anyhow::Result<()> {
         let manifest = image.manifest.digest;
         let wanted = ChunkMessage::Wanted { call, manifest, index, is_import: false };
         self.sender.send(wanted).await?;
         Ok(())
     }
 
-    /// Whether a part of a chunk comes soon, though the first calls may meet a busy sender.
-    ///
-    /// The sender notes the end of one upload and the call for the next on two
-    /// threads, so that the next may just miss the slot; agents ask again, too.
+    /// Whether part of a chunk arrives soon, although the first requests may be refused as busy.
+    /// The sender handles the end of one upload and the next request on two threads, so a request
+    /// may just miss the free slot; agents retry as well.
     async fn gets_slot_soon(&mut self, image: &WeightImage, index: u32) -> anyhow::Result<bool> {
-        let until = Timestamp::now().deadline_after(SOON);
+        let until = Timestamp::now().deadline_after(CHUNK_TIMEOUT);
         for call in 2.. {
-            self.ask(call, image, index).await?;
-            if self.part_of(call).await {
+            self.request(call, image, index).await?;
+            if self.receives_part(call).await {
                 return Ok(true);
             }
             if until.is_past(Timestamp::now()) {
                 break;
             }
-            Timer::after(ASK_AGAIN).await;
+            Timer::after(BUSY_BACKOFF).await;
         }
         Ok(false)
     }
 
-    /// Whether the agent tells soon that it holds all chunks of `image`.
-    async fn offer_of(&mut self, image: &WeightImage) -> bool {
+    /// Whether the agent soon announces that it holds all chunks of `image`.
+    async fn receives_offer(&mut self, image: &WeightImage) -> bool {
         let chunks = image.manifest.chunks.len();
         let offer = async {
             while let Ok(message) = self.receiver.recv().await {
@@ -166,11 +164,11 @@
             }
             false
         };
-        timeout(OFFER_TIME, offer).await.unwrap_or(false)
+        timeout(OFFER_TIMEOUT, offer).await.unwrap_or(false)
     }
 
-    /// Whether a part of the call's chunk comes, and not a refusal.
-    async fn part_of(&mut self, wanted: u64) -> bool {
+    /// Whether part of the requested chunk arrives, rather than a refusal.
+    async fn receives_part(&mut self, wanted: u64) -> bool {
         let answer = async {
             while let Ok(message) = self.receiver.recv().await {
                 match message {
@@ -185,6 +183,6 @@
             }
             false
         };
-        timeout(SOON, answer).await.unwrap_or(false)
+        timeout(CHUNK_TIMEOUT, answer).await.unwrap_or(false)
     }
 }
--- a/crates/testkit/tests/control_drains.rs
+++ b/crates/testkit/tests/control_drains.rs
@@ -1,4 +1,5 @@
-//! Planned stops over real TCP: advice, words of leaving, the platform's list.
+//! Planned stops over real TCP: entry advice, leave announcements and the platform's instance
+//! list.
 
 use std::{
     net::SocketAddr,
@@ -23,10 +24,10 @@
 use serde_json::{Value, json};
 use smol::Timer;
 
-/// Longest wait for anything that has to come about.
+/// Timeout of every wait.
 const WAIT: Duration = Duration::from_secs(20);
 
-/// Callers that follow the advice while processes are replaced.
+/// Number of callers that follow the advice while processes are restarted.
 const CALLERS: usize = 8;
 
 fn run<T>(test: impl Future<Output = anyhow::Result<T>>) -> T {
@@ -45,12 +46,12 @@
     deployment.wait_status(0, WAIT, |_| true).await?;
     let content = json!({ "services": { PLAIN_SERVICE: { "kind": "plain", "replicas": 3 } } });
     deployment.force("ordinary", &content, "first").await?;
-    wait_whole(&deployment).await?;
+    wait_settled(&deployment).await?;
     Ok(deployment)
 }
 
-/// Waits until every entry serves and knows every other process.
-async fn wait_whole(deployment: &Deployment) -> anyhow::Result<()> {
+/// Waits until every entry serves and has every other process in its status.
+async fn wait_settled(deployment: &Deployment) -> anyhow::Result<()> {
     for index in 0..deployment.entries.len() {
         let whole = |status: &Value| {
             let rows = status["endpoints"].as_array().cloned().unwrap_or_default();
@@ -65,7 +66,8 @@
     Ok(())
 }
 
-/// A caller that asks which entries to use, and asks another one when none answers.
+/// A caller that fetches the advice on which entries to use, from the next known entry if one
+/// does not answer.
 struct AdvisedCaller {
     client: HttpClient,
     caller: TestCaller,
@@ -85,13 +87,13 @@
         }
     }
 
-    /// The entry to use now; asks for new advice once the last has run out.
+    /// The entry to use now; fetches new advice once the last one has expired.
     async fn entry(&mut self) -> SocketAddr {
         let now = cassiawheel_model::Timestamp::now().0;
         while self.addresses.is_empty() || now >= self.valid_until {
             let asked = self.known.remove(0);
             self.known.push(asked);
-            let Some(advice) = self.ask(asked).await else {
+            let Some(advice) = self.request_advice(asked).await else {
                 continue;
             };
             self.valid_until = advice["valid_until"].as_u64().unwrap_or_default();
@@ -104,7 +106,7 @@
         self.addresses[0]
     }
 
-    async fn ask(&self, entry: SocketAddr) -> Option<Value> {
+    async fn request_advice(&self, entry: SocketAddr) -> Option<Value> {
         let request = Request::get(format!("http://{entry}/v1/entries"));
         let request = request.body(Full::new(Bytes::new())).ok()?;
         let reply = self.client.send_and_read(request, Duration::from_secs(2)).await.ok()?;
@@ -134,9 +136,8 @@
     (complete, failed)
 }
 
-/// Every entry and every agent is replaced in turn while callers follow the
-/// advice. A caller that was refused or cut off would have to explain to a
-/// visitor why nothing came back on an ordinary day.
+/// Every entry and agent is restarted in turn while callers follow the advice. None of their
+/// requests may be refused or cut off.
 #[rstest]
 fn planned_stops_of_every_process_refuse_no_advised_caller() {
     run(async {
@@ -151,12 +152,12 @@
             entry.terminate()?;
             assert!(entry.wait(WAIT).await?.is_some_and(|status| status.success()));
             deployment.restart_entry(index)?;
-            wait_whole(&deployment).await?;
+            wait_settled(&deployment).await?;
             let agent = deployment.endpoints[index].agent.as_mut().expect("it runs");
             agent.terminate()?;
             assert!(agent.wait(WAIT).await?.is_some_and(|status| status.success()));
             deployment.restart_agent(index)?;
-            wait_whole(&deployment).await?;
+            wait_settled(&deployment).await?;
         }
         stop.store(true, Ordering::Relaxed);
         let mut complete = 0;
@@ -177,8 +178,8 @@
     row.is_some_and(|row| row["leaving"] == true && row["report"]["state"] == "draining")
 }
 
-/// An operator drains an endpoint and an entry through an entry that need not
-/// be connected to them. They get no new work, and go on with what they have.
+/// An operator drains an endpoint and an entry through another entry that need not be connected
+/// to them. They get no new requests and continue those in progress.
 #[rstest]
 fn an_operator_drains_an_endpoint_and_an_entry() {
     run(async {
@@ -194,7 +195,7 @@
         let caller = AdvisedCaller::new(Vec::new());
         let end = std::time::Instant::now() + WAIT;
         loop {
-            let advice = caller.ask(deployment.entries[0].caller_addr).await;
+            let advice = caller.request_advice(deployment.entries[0].caller_addr).await;
             let advice = advice.unwrap_or_default().to_string();
             if !advice.contains(&drained.to_string()) {
                 break;
@@ -213,8 +214,8 @@
     });
 }
 
-/// The platform's list says that an endpoint leaves before its agent does.
-/// Work that is still sent there would be cut off when the platform stops it.
+/// The platform's list marks an endpoint as leaving before its agent does. Requests that are
+/// still routed there would be cut off when the platform stops it.
 #[rstest]
 fn an_endpoint_that_the_list_calls_leaving_gets_no_new_work() {
     run(async {
@@ -240,9 +241,9 @@
     });
 }
 
-/// An agent is frozen for longer than heartbeats may be missed and then goes on.
-/// Its next heartbeat tells only a load, and the entries have forgotten the rest;
-/// without asking for it, the endpoint would stay without work for ever.
+/// An agent is paused until it misses too many heartbeats and then resumes. Its next heartbeat
+/// carries only its load, and the entries have dropped the rest; unless they request the full
+/// report, the endpoint would get no requests again.
 #[rstest]
 fn a_frozen_agent_that_goes_on_gets_work_again() {
     run(async {
@@ -252,6 +253,6 @@
         let dropped = |status: &Value| status["services"][PLAIN_SERVICE]["replicas_ready"] == 2;
         deployment.wait_status(0, WAIT, dropped).await?;
         frozen.resume()?;
-        wait_whole(&deployment).await
+        wait_settled(&deployment).await
     });
 }
--- a/crates/testkit/tests/control_plan.rs
+++ b/crates/testkit/tests/control_plan.rs
@@ -1,4 +1,4 @@
-//! Versions rolled out over real TCP: orders, waves, staging ahead.
+//! Rollouts of versions over real TCP: load orders, waves and staging in advance.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,7 +12,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// Longest wait for anything that has to come about.
+/// Timeout of every wait.
 const WAIT: Duration = Duration::from_secs(30);
 
 const ENDPOINTS: usize = 4;
@@ -60,7 +60,7 @@
     Ok(serde_json::from_slice(reply.body())?)
 }
 
-/// Calls until every engine answers from `v2`; every call must be answered whole.
+/// Sends requests until every engine serves `v2`; every request must be answered completely.
 async fn call_until_switched(
     deployment: &Deployment,
     images: &[Arc<WeightImage>; 2],
@@ -76,13 +76,13 @@
         let verdict = caller.generate(entry, MODEL_SERVICE, "when", 4, 1, digest).await;
         assert!(matches!(verdict, CallVerdict::Complete { .. }), "{verdict:?}");
         calls += 1;
-        anyhow::ensure!(calls < 100_000, "the switch did not come about");
+        anyhow::ensure!(calls < 100_000, "the engines did not switch");
     }
     Ok(calls)
 }
 
-/// A version is rolled out while callers are answered. Each endpoint switches
-/// in its turn; a caller would be refused if all were without service at once.
+/// A version is rolled out under load. The endpoints switch one after another; if all switched at
+/// once, requests would be refused.
 #[rstest]
 fn callers_are_answered_during_a_rollout() {
     run(async {
@@ -94,9 +94,9 @@
     });
 }
 
-/// The table service goes down right after it accepted the new version. The
-/// rollout needs nothing more of it; otherwise the preset would be in force and
-/// the old version answer for as long as the outage lasts.
+/// The table service goes down right after it accepted the new version. The rollout must not
+/// depend on it any further; otherwise the old version would serve under the new preset for the
+/// whole outage.
 #[rstest]
 fn a_rollout_goes_on_though_the_store_is_down() {
     run(async {
@@ -108,9 +108,9 @@
     });
 }
 
-/// A preset is staged ahead and the origin is down when it is put in force. The
-/// endpoints have the weights already and only switch; a burst would otherwise
-/// begin with nobody ready.
+/// A preset is staged in advance and the origin is down when it is put in force. The endpoints
+/// already hold the weights and only switch; otherwise no replica would be ready at the start of
+/// a burst.
 #[rstest]
 fn a_staged_preset_needs_no_origin_when_it_comes_in_force() {
     run(async {
@@ -134,8 +134,8 @@
     });
 }
 
-/// An endpoint is killed in the middle of a rollout and its agent comes back
-/// without memory. It is ordered anew and serves the version in the end.
+/// An agent is killed during a rollout and restarts without state. It gets a new order and serves
+/// the version in the end.
 #[rstest]
 fn a_killed_agent_joins_the_rollout_again() {
     run(async {
@@ -152,8 +152,8 @@
     });
 }
 
-/// All agents are replaced at the same moment. They take up what their engines
-/// serve; reloading any of them would take the service away for nothing.
+/// All agents are restarted at once. They must adopt what their engines serve; a reload would
+/// interrupt the service needlessly.
 #[rstest]
 fn agents_that_restart_together_move_no_weights() {
     run(async {
@@ -184,16 +184,15 @@
             };
             deployment.wait_status(entry, WAIT, rejoined).await?;
         }
-        // Orders that the reports after the restart led to have been sent by now.
+        // By now every order that results from the reports after the restart has been sent.
         smol::Timer::after(Duration::from_millis(500)).await;
         assert_eq!(before, tokens(&deployment), "an engine was loaded again");
         Ok(())
     });
 }
 
-/// Somebody publishes other bytes under the name of a version that is in use.
-/// Endpoints with the old bytes would count as ready for the new ones, and no
-/// answer would tell which of them it came from.
+/// Other bytes are published under the name of a version in use. Endpoints with the old bytes
+/// would count as ready for the new ones, and no answer would show which bytes it came from.
 #[rstest]
 fn a_version_name_never_stands_for_other_bytes() {
     run(async {
--- a/crates/testkit/tests/control_presets.rs
+++ b/crates/testkit/tests/control_presets.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// Longest wait for anything that has to come about; the figures are measured elsewhere.
+/// Timeout of every wait; the actual times are measured elsewhere.
 const WAIT: Duration = Duration::from_secs(20);
 
 fn run<T>(test: impl Future<Output = anyhow::Result<T>>) -> T {
@@ -51,8 +51,8 @@
     Ok(())
 }
 
-/// Asks entry `entry` to put `preset` in force; its reply.
-async fn ask(
+/// Requests at entry `entry` that `preset` be put in force; returns the reply.
+async fn request_change(
     deployment: &Deployment,
     entry: usize,
     preset: &str,
@@ -81,8 +81,8 @@
     Some("done seat ".to_owned())
 }
 
-/// Whether an entry's status shows `revision` at every entry and endpoint.
-fn everywhere(status: &Value, revision: u64, entries: usize, endpoints: usize) -> bool {
+/// Whether an entry's status shows `revision` for every entry and endpoint.
+fn shows_revision(status: &Value, revision: u64, entries: usize, endpoints: usize) -> bool {
     let entry_rows: Vec<_> = status["entries"].as_object().into_iter().flatten().collect();
     let endpoint_rows: Vec<_> = status["endpoints"].as_array().into_iter().flatten().collect();
     status["revision"] == revision
@@ -92,85 +92,87 @@
         && endpoint_rows.iter().all(|row| row["report"]["revision"] == revision)
 }
 
-/// Waits until every running entry shows `revision` everywhere.
+/// Waits until every running entry shows `revision` for all processes.
 async fn wait_revision(deployment: &Deployment, revision: u64) -> anyhow::Result<()> {
     let running: Vec<_> = (0..deployment.entries.len())
         .filter(|index| deployment.entries[*index].process.is_some())
         .collect();
     let endpoints = deployment.endpoints.iter().filter(|e| e.agent.is_some()).count();
     for index in &running {
-        let holds = |status: &Value| everywhere(status, revision, running.len(), endpoints);
+        let holds = |status: &Value| shows_revision(status, revision, running.len(), endpoints);
         deployment.wait_status(*index, WAIT, holds).await?;
     }
     Ok(())
 }
 
-/// The table service carries the write out and its answer is lost. The operator
-/// is told that the outcome is unknown, asks again by the same id at another
-/// entry, and must find one change, not two.
+/// The table service performs the write but its reply is lost. The operator is told that the
+/// outcome is unknown and retries with the same change id at another entry. The change must be
+/// made once, not twice.
 #[rstest]
 fn a_change_whose_answer_was_lost_is_made_once() {
     run(async {
         let deployment = start().await?;
         deployment.table_switches.set_lose_answers(true);
-        let first = ask(&deployment, 0, "peak", "lost").await?;
+        let first = request_change(&deployment, 0, "peak", "lost").await?;
         assert_eq!(first["result"], "unknown", "{first}");
         assert_eq!(first["change"], "lost");
         deployment.table_switches.set_lose_answers(false);
         let mut last = Value::Null;
         for entry in [1, 2, 0] {
-            last = ask(&deployment, entry, "peak", "lost").await?;
+            last = request_change(&deployment, entry, "peak", "lost").await?;
             assert_eq!(last["result"], "accepted", "{last}");
             assert_eq!(last["preset"]["revision"], 2);
         }
         wait_revision(&deployment, 2).await?;
         let made = history(&deployment).await?;
         assert_eq!(made.iter().filter(|change| change["change"] == "lost").count(), 1);
-        let other = ask(&deployment, 0, "ordinary", "lost").await?;
+        let other = request_change(&deployment, 0, "ordinary", "lost").await?;
         assert_eq!(other["result"], "not-accepted", "an id names one change: {other} {last}");
         Ok(())
     });
 }
 
-/// The table service goes down right after it accepted a change. Entries and
-/// agents that have not read it yet must hear it from each other, or requests
-/// would be answered under two presets for as long as the outage lasts.
+/// The table service goes down right after it accepted a change. Entries and agents that have not
+/// read it yet must get it by gossip; otherwise requests would be answered under two presets for
+/// the whole outage.
 #[rstest]
 fn a_change_reaches_everyone_though_the_store_goes_down() {
     run(async {
         let deployment = start().await?;
-        let reply = ask(&deployment, 1, "peak", "before-outage").await?;
+        let reply = request_change(&deployment, 1, "peak", "before-outage").await?;
         deployment.table_switches.set_down(true);
         assert_eq!(reply["result"], "accepted");
         let began = Instant::now();
         wait_revision(&deployment, 2).await?;
         println!("in force everywhere {:?} after the reply", began.elapsed());
-        let refused = ask(&deployment, 0, "ordinary", "in-outage").await?;
-        assert_eq!(refused["result"], "unknown", "an earlier ask may be on its way: {refused}");
+        let refused = request_change(&deployment, 0, "ordinary", "in-outage").await?;
+        assert_eq!(
+            refused["result"], "unknown",
+            "an earlier attempt may still take effect: {refused}"
+        );
         Ok(())
     });
 }
 
-/// An entry is replaced while the table service is down. It takes the highest
-/// preset of its peers; with none it would answer nobody for the whole outage.
+/// An entry is restarted while the table service is down. It takes the highest revision of its
+/// peers; without a preset it would refuse all requests during the outage.
 #[rstest]
 fn an_entry_starts_from_its_peers_while_the_store_is_down() {
     run(async {
         let mut deployment = start().await?;
-        ask(&deployment, 0, "peak", "second").await?;
+        request_change(&deployment, 0, "peak", "second").await?;
         wait_revision(&deployment, 2).await?;
         deployment.table_switches.set_down(true);
         let entry = &mut deployment.entries[2];
         entry.process.as_mut().expect("it runs").kill()?;
         deployment.restart_entry(2)?;
-        deployment.wait_status(2, WAIT, |status| everywhere(status, 2, 3, 3)).await?;
+        deployment.wait_status(2, WAIT, |status| shows_revision(status, 2, 3, 3)).await?;
         Ok(())
     });
 }
 
-/// All entries are replaced at once while the table service is down. The agents
-/// still know the preset in force and tell it; callers would otherwise be
-/// refused until the table service is back.
+/// All entries are restarted at once while the table service is down. The agents still hold the
+/// preset in force and send it; otherwise requests would be refused until the service is back.
 #[rstest]
 fn entries_start_from_the_agents_when_nobody_else_knows() {
     run(async {
@@ -186,9 +188,9 @@
     });
 }
 
-/// Several operators put different presets in force at the same moment at
-/// different entries. Each is told accepted or refused with the winner, and
-/// the history is one line that holds exactly the accepted changes.
+/// Several operators concurrently put different presets in force at different entries. Each is
+/// accepted, or refused with the winning change, and the history is linear and holds exactly the
+/// accepted changes.
 #[rstest]
 fn racing_operators_make_one_history() {
     run(async {
@@ -200,7 +202,7 @@
                 cassiawheel_runtime::spawn(async move {
                     let preset = if entry == 0 { "ordinary" } else { "peak" };
                     let change = format!("race-{round}-{entry}");
-                    (ask(&deployment, entry, preset, &change).await, change)
+                    (request_change(&deployment, entry, preset, &change).await, change)
                 })
             });
             for asked in asks.collect::<Vec<_>>() {
@@ -231,13 +233,13 @@
     });
 }
 
-/// An agent is replaced. Until it knows the preset in force it runs nothing,
-/// and then it runs requests under that preset and no earlier one.
+/// An agent is restarted. It runs nothing until it has the preset in force, and then runs
+/// requests under that preset and no earlier one.
 #[rstest]
 fn a_restarted_agent_takes_up_the_preset_in_force() {
     run(async {
         let mut deployment = start().await?;
-        ask(&deployment, 0, "peak", "second").await?;
+        request_change(&deployment, 0, "peak", "second").await?;
         wait_revision(&deployment, 2).await?;
         deployment.endpoints[1].agent.as_mut().expect("it runs").kill()?;
         deployment.restart_agent(1)?;
@@ -245,16 +247,16 @@
     });
 }
 
-/// An entry is frozen, the preset changes, and the entry goes on with the old
-/// one in memory. It must revert nobody, and no caller may be answered under
-/// the old preset by an endpoint that knows the new one.
+/// An entry is paused, the preset changes, and the entry resumes with the old one in memory. No
+/// process may revert to it, and no request may be answered under the old preset by an endpoint
+/// that has the new one.
 #[rstest]
 fn a_resumed_entry_reverts_nobody() {
     run(async {
         let deployment = start().await?;
         let frozen = deployment.entries[2].process.as_ref().expect("it runs");
         frozen.pause()?;
-        ask(&deployment, 0, "peak", "second").await?;
+        request_change(&deployment, 0, "peak", "second").await?;
         let endpoints_know = |status: &Value| {
             let rows = status["endpoints"].as_array().cloned().unwrap_or_default();
             rows.len() == 3 && rows.iter().all(|row| row["report"]["revision"] == 2)
--- a/crates/testkit/tests/crashing_requests.rs
+++ b/crates/testkit/tests/crashing_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that end each endpoint which begins to run them, on the users' platform.
+//! Requests that crash every endpoint which starts to run them, on the users' platform.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
 }
 
-/// Endpoints that such a request may end before every entry refuses it.
-const MOST_ENDED: usize = 6;
+/// Maximum number of endpoints that such a request may crash before every entry refuses it.
+const MAX_CRASHED: usize = 6;
 
-/// Time after the third end within which entries may still send it.
-const SPREAD_TIME: Duration = Duration::from_secs(1);
+/// Time after the third crash within which entries may still forward the request.
+const PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
-/// Time between two arrivals of the request.
-const ARRIVAL_TIME: Duration = Duration::from_millis(150);
+/// Interval between two arrivals of the request.
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Sends a request to an entry; the status of its answer, none if it broke off.
+/// Sends a request to an entry. Returns the status, or `None` if the response body broke off.
 async fn send(
     site: &PlatformSite,
     entry: usize,
@@ -33,7 +33,7 @@
     Ok(body.collect().await.is_ok().then_some(head.status))
 }
 
-/// Guards against a request that ends one endpoint after another, at any entry.
+/// A request that crashes endpoints must be quarantined at every entry after a few crashes.
 #[test]
 fn a_request_that_ends_endpoints_reaches_few_of_them() {
     run(async {
@@ -43,22 +43,23 @@
                 let id = format!("fatal-{number}");
                 send(&site, number % 3, SiteCall::new(&id, path)).await?;
                 site.replace_ended().await?;
-                Timer::after(ARRIVAL_TIME).await;
+                Timer::after(ARRIVAL_INTERVAL).await;
             }
             let ended = site.ended();
-            assert!((3..=MOST_ENDED).contains(&ended), "{path}: {ended} endpoints ended");
+            assert!((3..=MAX_CRASHED).contains(&ended), "{path}: {ended} endpoints ended");
             let mut arrivals: Vec<_> =
                 site.replicas.iter().flat_map(|replica| replica.fatal_arrivals()).collect();
             arrivals.sort_unstable();
-            let bound: Deadline = arrivals[2].deadline_after(SPREAD_TIME);
+            let bound: Deadline = arrivals[2].deadline_after(PROPAGATION_TIME);
             let late = arrivals.iter().filter(|arrival| bound.is_past(**arrival)).count();
-            assert_eq!(late, 0, "{path}: sent later than a second after the third end");
+            assert_eq!(late, 0, "{path}: forwarded more than a second after the third crash");
         }
         Ok(())
     });
 }
 
-/// Guards against a refusal that hides that the request may have run, or that calls it back.
+/// A request that may have run must not be reported as not run, and a quarantined request must
+/// get a long `retry-after`.
 #[test]
 fn a_request_that_ends_endpoints_is_refused_truly() {
     run(async {
@@ -70,7 +71,7 @@
             let says_not_run = answer.status() == StatusCode::SERVICE_UNAVAILABLE;
             assert!(!(ran && says_not_run), "{id} ran and was answered {}", answer.status());
             site.replace_ended().await?;
-            Timer::after(ARRIVAL_TIME).await;
+            Timer::after(ARRIVAL_INTERVAL).await;
         }
         let began_at = Timestamp::now();
         let answer = site.call(SiteCall::new("fatal-last", "/safe/fatal")).await?;
@@ -83,10 +84,11 @@
     });
 }
 
-/// Time after the start of an entry from which on it refuses what was barred before.
+/// Time after an entry's start from which it refuses requests that were quarantined before.
 const START_TIME: Duration = Duration::from_millis(2_500);
 
-/// Guards against a barred request that ends endpoints again once every entry has lost power.
+/// The quarantine must survive the loss of all entries; otherwise the request would crash
+/// endpoints again after a power failure.
 #[test]
 fn a_bar_outlives_all_entries() {
     run(async {
@@ -95,7 +97,7 @@
             let id = format!("fatal-{number}");
             send(&site, number % 2, SiteCall::new(&id, "/safe/fatal")).await?;
             site.replace_ended().await?;
-            Timer::after(ARRIVAL_TIME).await;
+            Timer::after(ARRIVAL_INTERVAL).await;
         }
         for entry in &mut site.entries {
             entry.process.kill()?;
@@ -116,8 +118,8 @@
     });
 }
 
-/// Guards against refusing a caller's request for what another caller, path or body has done,
-/// or because its endpoint ended under it.
+/// Requests of another caller, path or body must not be refused because of a quarantined one, nor
+/// because the endpoint that ran them crashed.
 #[test]
 fn requests_beside_one_that_ends_endpoints_are_served() {
     run(async {
@@ -135,7 +137,7 @@
             let cut = status?.is_none_or(|status| status != StatusCode::OK);
             assert!(!cut || site.ended() > 0, "an innocent request failed without cause");
             site.replace_ended().await?;
-            Timer::after(ARRIVAL_TIME).await;
+            Timer::after(ARRIVAL_INTERVAL).await;
         }
         for number in 0..8 {
             let id = format!("after-{number}");
--- a/crates/testkit/tests/distribution.rs
+++ b/crates/testkit/tests/distribution.rs
@@ -21,14 +21,14 @@
 use serde_json::json;
 use smol::Timer;
 
-/// Bytes of a version.
+/// Size of a version in bytes.
 const MODEL_BYTES: usize = 4 << 20;
-/// Bytes of a chunk.
+/// Size of a chunk in bytes.
 const CHUNK_BYTES: u32 = 64 << 10;
-/// Chunks of a version.
+/// Number of chunks of a version.
 const CHUNKS: u64 = MODEL_BYTES as u64 / CHUNK_BYTES as u64;
-/// Generous: a test that waits this long has failed.
-const LONG: Duration = Duration::from_secs(60);
+/// Generous timeout; a test that reaches it has failed.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn run<T>(test: impl Future<Output = anyhow::Result<T>>) -> T {
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
@@ -39,7 +39,7 @@
     Arc::new(WeightImage::generate(version, seed, MODEL_BYTES, CHUNK_BYTES))
 }
 
-/// `base` with the chunks at `changed` replaced.
+/// `base` under another version name, with the chunks at `changed` modified.
 fn changed_image(name: &str, base: &WeightImage, changed: &[usize]) -> Arc<WeightImage> {
     let mut bytes = base.bytes.clone();
     for index in changed {
@@ -50,7 +50,7 @@
     Arc::new(WeightImage { manifest, bytes })
 }
 
-/// Slow enough for a fault in the middle: about two seconds at four agents.
+/// Links slow enough to inject a fault during the transfer: about two seconds with four agents.
 fn slow_plan(agents: usize) -> DeploymentPlan {
     let link = MODEL_BYTES as u64 / 2;
     DeploymentPlan {
@@ -77,7 +77,7 @@
     }
     let agents = plan.model_agents;
     deployment
-        .wait_status(0, LONG, |status| {
+        .wait_status(0, TEST_TIMEOUT, |status| {
             status["endpoints"].as_array().is_some_and(|list| list.len() == agents)
         })
         .await?;
@@ -96,7 +96,7 @@
     deployment.endpoints[index].engine.as_ref().expect("a model engine")
 }
 
-/// Checks that every engine of `indices` answers from the bytes of `image` and no others.
+/// Asserts that every engine of `indices` serves exactly the bytes of `image`.
 fn check_bytes(deployment: &Deployment, indices: std::ops::Range<usize>, image: &WeightImage) {
     for index in indices {
         let digest = engine(deployment, index).answer_digest();
@@ -105,9 +105,9 @@
 }
 
 async fn wait_until(what: &str, holds: impl Fn() -> bool) -> anyhow::Result<()> {
-    let end = Instant::now() + LONG;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !holds() {
-        anyhow::ensure!(Instant::now() < end, "did not come about: {what}");
+        anyhow::ensure!(Instant::now() < end, "timed out waiting for: {what}");
         Timer::after(Duration::from_millis(5)).await;
     }
     Ok(())
@@ -123,8 +123,8 @@
     wait_until("chunks are staged", || engine.staged_chunks(manifest) >= chunks).await
 }
 
-/// Some chunks arrive from the origin with a flipped bit, and some cut short.
-/// Staged as they are, every answer of that version would be nonsense.
+/// Some chunks arrive from the origin with a flipped bit, and some truncated. If they were
+/// staged, every answer of that version would be garbage.
 #[rstest]
 #[case::corrupt(10, 0)]
 #[case::short(0, 10)]
@@ -136,14 +136,14 @@
         deployment.origin.corrupt_every(corrupt_every);
         deployment.origin.shorten_every(shorten_every);
         force(&deployment, "v1", 4).await?;
-        deployment.wait_engines("v1", 4, LONG).await?;
+        deployment.wait_engines("v1", 4, TEST_TIMEOUT).await?;
         check_bytes(&deployment, 0..4, &v1);
         Ok(())
     });
 }
 
-/// The origin sends a manifest that does not match its own digest. A rollout
-/// pinned to it could never be completed, so the change is refused.
+/// The origin sends a manifest that does not match its own digest. A rollout pinned to it could
+/// never complete, so the change is refused.
 #[rstest]
 fn a_corrupt_manifest_is_not_rolled_out() {
     run(async {
@@ -153,14 +153,14 @@
         assert!(force(&deployment, "v1", 2).await.is_err(), "the change is refused");
         deployment.origin.corrupt_manifests(false);
         force(&deployment, "v1", 2).await?;
-        deployment.wait_engines("v1", 2, LONG).await?;
+        deployment.wait_engines("v1", 2, TEST_TIMEOUT).await?;
         check_bytes(&deployment, 0..2, &v1);
         Ok(())
     });
 }
 
-/// An agent tells that it holds everything and sends wrong bytes, refuses, or
-/// keeps silent. The others would wait for it instead of the origin.
+/// A peer claims to hold all chunks but sends wrong bytes, refuses, or does not answer. The
+/// agents must not keep waiting for it instead of fetching from the origin.
 #[rstest]
 #[case::wrong_bytes(PeerLie::WrongBytes)]
 #[case::refusal(PeerLie::Refusal)]
@@ -179,22 +179,21 @@
         };
         let peer = LyingPeer::start("127.0.0.1:0".parse()?, plan).await?;
         deployment
-            .wait_status(0, LONG, |status| {
+            .wait_status(0, TEST_TIMEOUT, |status| {
                 status["endpoints"].as_array().is_some_and(|list| list.len() == 5)
             })
             .await?;
-        // The list of peers follows at once, long before half of the chunks.
+        // The peer list reaches the agents long before half of the chunks are transferred.
         force(&deployment, "v1", 4).await?;
-        deployment.wait_engines("v1", 4, LONG).await?;
+        deployment.wait_engines("v1", 4, TEST_TIMEOUT).await?;
         check_bytes(&deployment, 0..4, &v1);
-        assert!(peer.asked() > 0, "the agents did ask the lying peer");
+        assert!(peer.asked() > 0, "the agents requested chunks from the lying peer");
         Ok(())
     });
 }
 
-/// An agent is killed in the middle of a transfer and started again. The
-/// engine still holds the chunks that were staged; drawing them again would
-/// cost the origin a second copy.
+/// An agent is killed during a transfer and restarted. The engine still holds the staged chunks;
+/// fetching them again would cost the origin a second copy.
 #[rstest]
 fn a_restarted_agent_finds_its_staged_chunks() {
     run(async {
@@ -206,19 +205,19 @@
         let staged = engine(&deployment, 0).staged_chunks(v1.manifest.digest) as u64;
         assert!(staged < CHUNKS, "the agent was killed in the middle");
         deployment.restart_agent(0)?;
-        deployment.wait_engines("v1", 1, LONG).await?;
+        deployment.wait_engines("v1", 1, TEST_TIMEOUT).await?;
         check_bytes(&deployment, 0..1, &v1);
         let drawn: u64 =
             (0..CHUNKS as usize).map(|i| deployment.origin.draws(v1.manifest.digest, i)).sum();
-        // Two fetches may be in progress at the origin when the agent is killed,
-        // and some may be on their way into staging.
+        // Two fetches from the origin may be in progress when the agent is killed,
+        // and some chunks may not be staged yet.
         assert!(drawn <= CHUNKS + 4, "{drawn} draws of {CHUNKS} chunks");
         Ok(())
     });
 }
 
-/// Two agents are killed and one is paused in the middle of a transfer. The
-/// chunks that they were to draw must reach the others all the same.
+/// Two agents are killed and one is paused during a transfer. The chunks that were assigned to
+/// them must still reach the other agents.
 #[rstest]
 fn dead_and_paused_agents_do_not_hold_the_others_up() {
     run(async {
@@ -230,14 +229,14 @@
             deployment.endpoints[index].agent.as_mut().expect("an agent").kill()?;
         }
         deployment.endpoints[5].agent.as_ref().expect("an agent").pause()?;
-        deployment.wait_engines("v1", 3, LONG).await?;
+        deployment.wait_engines("v1", 3, TEST_TIMEOUT).await?;
         check_bytes(&deployment, 0..3, &v1);
         Ok(())
     });
 }
 
-/// A new version comes while the old one is being fetched, and most of its
-/// chunks are the same. Fetching those again would double time and bytes.
+/// A new version is put in force while the old one is being fetched, and most of their chunks are
+/// identical. Fetching those again would double time and bytes.
 #[rstest]
 fn a_version_change_keeps_the_chunks_that_both_share() {
     run(async {
@@ -248,21 +247,21 @@
         force(&deployment, "v1", 3).await?;
         wait_staged(&deployment, 0, v1.manifest.digest, 30).await?;
         force(&deployment, "v2", 3).await?;
-        deployment.wait_engines("v2", 3, LONG).await?;
+        deployment.wait_engines("v2", 3, TEST_TIMEOUT).await?;
         check_bytes(&deployment, 0..3, &v2);
         let engines: Vec<_> = (0..3).map(|index| engine(&deployment, index).clone()).collect();
         let released = || engines.iter().all(|e| e.staged() == [v2.manifest.digest]);
         wait_until("staging of the old version is released", released).await?;
         let drawn = deployment.origin.drawn() / u64::from(CHUNK_BYTES);
-        // Chunks in progress at the change are lost, two at each agent.
+        // Chunks in transit at the change are lost, two at each agent.
         let most = CHUNKS + changed.len() as u64 + 3 * 2 + 3;
         assert!(drawn <= most, "{drawn} chunks drawn, at most {most} were needed");
         Ok(())
     });
 }
 
-/// A version that differs in a few chunks from the one that serves is rolled
-/// out. Only those chunks leave the origin.
+/// A version that differs in a few chunks from the active one is rolled out. Only those chunks
+/// may be fetched from the origin.
 #[rstest]
 fn a_delta_draws_the_changed_chunks_only() {
     run(async {
@@ -271,9 +270,9 @@
         let v2 = changed_image("v2", &v1, &changed);
         let deployment = start(&fast_plan(3), &[&v1, &v2]).await?;
         force(&deployment, "v1", 3).await?;
-        deployment.wait_engines("v1", 3, LONG).await?;
+        deployment.wait_engines("v1", 3, TEST_TIMEOUT).await?;
         force(&deployment, "v2", 3).await?;
-        deployment.wait_engines("v2", 3, LONG).await?;
+        deployment.wait_engines("v2", 3, TEST_TIMEOUT).await?;
         check_bytes(&deployment, 0..3, &v2);
         for index in 0..CHUNKS as usize {
             let draws = deployment.origin.draws(v2.manifest.digest, index);
@@ -283,8 +282,8 @@
     });
 }
 
-/// An agent comes up with an empty engine while the origin is down or sends a
-/// corrupt manifest. The others hold the whole version and must suffice.
+/// An agent starts with an empty engine while the origin is down or sends a corrupt manifest. It
+/// must be able to fetch the whole version from its peers.
 #[rstest]
 #[case::down(true, false)]
 #[case::corrupt_manifest(false, true)]
@@ -293,22 +292,22 @@
         let v1 = image("v1", 1);
         let mut deployment = start(&fast_plan(4), &[&v1]).await?;
         force(&deployment, "v1", 4).await?;
-        deployment.wait_engines("v1", 4, LONG).await?;
+        deployment.wait_engines("v1", 4, TEST_TIMEOUT).await?;
         deployment.endpoints[3].agent.as_mut().expect("an agent").kill()?;
         engine(&deployment, 3).restart();
         deployment.origin_switches.set_down(down);
         deployment.origin.corrupt_manifests(corrupt);
         let drawn = deployment.origin.drawn();
         deployment.restart_agent(3)?;
-        deployment.wait_engines("v1", 4, LONG).await?;
+        deployment.wait_engines("v1", 4, TEST_TIMEOUT).await?;
         check_bytes(&deployment, 0..4, &v1);
         assert_eq!(deployment.origin.drawn(), drawn, "nothing is drawn again");
         Ok(())
     });
 }
 
-/// The origin refuses some calls with 429 and asks to come back a second
-/// later. An agent that does not wait makes the origin refuse ever more.
+/// The origin answers some requests with 429 and a `Retry-After` of one second. An agent that
+/// does not wait would be refused ever more often.
 #[rstest]
 fn the_origins_rate_limit_is_honoured() {
     run(async {
@@ -316,20 +315,20 @@
         let deployment = start(&fast_plan(2), &[&v1]).await?;
         deployment.origin.limit_every(8);
         force(&deployment, "v1", 2).await?;
-        deployment.wait_engines("v1", 2, LONG).await?;
+        deployment.wait_engines("v1", 2, TEST_TIMEOUT).await?;
         check_bytes(&deployment, 0..2, &v1);
         let (drawn, limited) =
             (deployment.origin.drawn() / u64::from(CHUNK_BYTES), deployment.origin.limited());
         assert!(limited > 0, "some calls were refused");
-        // One call in eight is refused; an agent that asks again at once would
-        // be refused no more often, but would not have waited either.
+        // One request in eight is refused. This bound alone does not show the wait: an agent
+        // that retries at once is refused no more often.
         assert!(limited <= drawn / 4, "{limited} refusals for {drawn} chunks");
         Ok(())
     });
 }
 
-/// An engine restarts and loses its weights while its agent lives. Callers
-/// routed there would be answered from nothing.
+/// An engine restarts and loses its weights while its agent keeps running. Requests must not be
+/// routed to it until the weights are loaded again.
 #[rstest]
 fn an_engine_that_lost_its_weights_does_not_serve() {
     run(async {
@@ -337,23 +336,23 @@
         let deployment = start(&fast_plan(3), &[&v1]).await?;
         force(&deployment, "v1", 3).await?;
         deployment
-            .wait_status(0, LONG, |s| s["services"][MODEL_SERVICE]["replicas_ready"] == 3)
+            .wait_status(0, TEST_TIMEOUT, |s| s["services"][MODEL_SERVICE]["replicas_ready"] == 3)
             .await?;
         let drawn = deployment.origin.drawn();
         engine(&deployment, 1).restart();
-        deployment.wait_engines("v1", 3, LONG).await?;
+        deployment.wait_engines("v1", 3, TEST_TIMEOUT).await?;
         check_bytes(&deployment, 0..3, &v1);
         deployment
-            .wait_status(0, LONG, |s| s["services"][MODEL_SERVICE]["replicas_ready"] == 3)
+            .wait_status(0, TEST_TIMEOUT, |s| s["services"][MODEL_SERVICE]["replicas_ready"] == 3)
             .await?;
         assert_eq!(deployment.origin.drawn(), drawn, "the peers hold all chunks");
         Ok(())
     });
 }
 
-/// An agent that was paused wakes up and gives its old order to the engine.
-/// One kind of engine refuses it; the other kind obeys and answers from the old
-/// version until the present agent notices. No caller may see such an answer.
+/// An agent that was paused resumes and sends its outdated order to the engine. One kind of
+/// engine refuses it by the fencing token; the other obeys and serves the old version until the
+/// current agent notices. No caller may get such an answer.
 #[rstest]
 #[case::refuses(true)]
 #[case::ignores(false)]
@@ -363,7 +362,7 @@
         let plan = DeploymentPlan { checks_fencing, ..fast_plan(1) };
         let deployment = start(&plan, &[&v1, &v2]).await?;
         force(&deployment, "v1", 1).await?;
-        deployment.wait_engines("v1", 1, LONG).await?;
+        deployment.wait_engines("v1", 1, TEST_TIMEOUT).await?;
         let old = LoadOrder {
             version: v1.manifest.version.clone(),
             manifest: v1.manifest.digest,
@@ -371,7 +370,7 @@
         };
         force(&deployment, "v2", 1).await?;
         deployment
-            .wait_status(0, LONG, |s| {
+            .wait_status(0, TEST_TIMEOUT, |s| {
                 s["services"][MODEL_SERVICE]["replicas_ready"] == 1
                     && s["services"][MODEL_SERVICE]["version"] == "v2"
             })
@@ -398,8 +397,8 @@
     });
 }
 
-/// Requests are in progress when the version changes. Exchanging the weights
-/// under them would answer from both versions.
+/// Requests are in progress when the version changes. Replacing the weights during a run would
+/// give answers that mix both versions.
 #[rstest]
 fn a_switch_waits_for_the_requests_in_progress() {
     run(async {
@@ -407,7 +406,7 @@
         let deployment = start(&fast_plan(2), &[&v1, &v2]).await?;
         force(&deployment, "v1", 2).await?;
         deployment
-            .wait_status(0, LONG, |s| s["services"][MODEL_SERVICE]["replicas_ready"] == 2)
+            .wait_status(0, TEST_TIMEOUT, |s| s["services"][MODEL_SERVICE]["replicas_ready"] == 2)
             .await?;
         let digests = [("v1", v1.answer_digest()), ("v2", v2.answer_digest())];
         let entry = deployment.entries[0].caller_addr;
@@ -438,27 +437,27 @@
                 "{verdict:?}"
             );
         }
-        deployment.wait_engines("v2", 2, LONG).await?;
+        deployment.wait_engines("v2", 2, TEST_TIMEOUT).await?;
         check_bytes(&deployment, 0..2, &v2);
         Ok(())
     });
 }
 
-/// An agent is paused while the others move on to a newer version. When it
-/// wakes up it must follow, and nobody may get an answer that is not whole.
+/// An agent is paused while the others switch to a newer version. After it resumes it must switch
+/// too.
 #[rstest]
 fn a_paused_agent_follows_the_newer_order() {
     run(async {
         let (v1, v2) = (image("v1", 1), image("v2", 2));
         let deployment = start(&fast_plan(3), &[&v1, &v2]).await?;
         force(&deployment, "v1", 3).await?;
-        deployment.wait_engines("v1", 3, LONG).await?;
+        deployment.wait_engines("v1", 3, TEST_TIMEOUT).await?;
         let paused = deployment.endpoints[0].agent.as_ref().expect("an agent");
         paused.pause()?;
         force(&deployment, "v2", 3).await?;
-        deployment.wait_engines("v2", 2, LONG).await?;
+        deployment.wait_engines("v2", 2, TEST_TIMEOUT).await?;
         paused.resume()?;
-        deployment.wait_engines("v2", 3, LONG).await?;
+        deployment.wait_engines("v2", 3, TEST_TIMEOUT).await?;
         check_bytes(&deployment, 0..3, &v2);
         Ok(())
     });
--- a/crates/testkit/tests/named_limits.rs
+++ b/crates/testkit/tests/named_limits.rs
@@ -1,5 +1,5 @@
-//! Endpoints that name how many requests they take from all entries together, on the
-//! users' platform.
+//! Endpoints that announce a rate limit which applies to all entries together, on the users'
+//! platform.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,25 +13,25 @@
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
 }
 
-/// Requests a second that the endpoint in need takes.
+/// Requests per second that the limited endpoint accepts.
 const LIMIT: f64 = 2.0;
 
 /// Window in which arrivals are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Arrivals in a window beyond the limit that are borne.
+/// Tolerated arrivals per window beyond the limit.
 const SLACK: f64 = 5.0;
 
-/// Time in which every entry learns of a limit.
-const SPREAD_TIME: Duration = Duration::from_secs(1);
+/// Time within which a limit has reached every entry.
+const PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
-/// Time after the first answer with a limit in which every entry learns of it.
+/// Time after the first answer that carries a limit within which every entry must know it.
 const LEARN_TIME: Duration = Duration::from_millis(300);
 
-/// Time between two requests to one entry.
-const REQUEST_TIME: Duration = Duration::from_millis(50);
+/// Interval between two requests to one entry.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Sends requests to every entry for `span`; how many were not served.
+/// Sends requests to every entry for `span`; returns how many were not served.
 async fn load(site: &PlatformSite, span: Duration, name: &str) -> anyhow::Result<usize> {
     let client = HttpClient::default();
     let until = Timestamp::now().deadline_after(span);
@@ -42,15 +42,15 @@
             number += 1;
             let id = format!("{name}-{number}");
             let request = site.request(entry, SiteCall::new(&id, "/safe/x"))?;
-            let answer = client.send_and_read(request, SPREAD_TIME).await?;
+            let answer = client.send_and_read(request, PROPAGATION_TIME).await?;
             failed += usize::from(answer.status() != StatusCode::OK);
         }
-        Timer::after(REQUEST_TIME).await;
+        Timer::after(REQUEST_INTERVAL).await;
     }
     Ok(failed)
 }
 
-/// Most arrivals in a window that begins at `from` or later.
+/// Maximum number of arrivals in any window that begins at `from` or later.
 fn most_in_window(replica: &Arc<Replica>, from: Timestamp) -> usize {
     let arrivals: Vec<_> =
         replica.arrivals().iter().map(|a| a.at).filter(|at| *at >= from).collect();
@@ -61,19 +61,20 @@
     arrivals.iter().map(in_window).max().unwrap_or(0)
 }
 
+/// Number of arrivals since `from`.
 fn since(replica: &Arc<Replica>, from: Timestamp) -> usize {
     replica.arrivals().iter().filter(|arrival| arrival.at >= from).count()
 }
 
-/// Guards against entries that each take the limit of an endpoint for their own, or ignore
-/// it, and against a limit that is kept by sending nothing.
+/// Entries must share an endpoint's limit instead of each using all of it or ignoring it, and
+/// must not keep it by sending nothing.
 #[test]
 fn a_named_limit_holds_for_all_entries_together_and_is_used() {
     run(async {
         let site = PlatformSite::start(4, 5).await?;
-        load(&site, SPREAD_TIME, "before").await?;
+        load(&site, PROPAGATION_TIME, "before").await?;
         site.replicas[0].name_limit(Some(LIMIT));
-        load(&site, SPREAD_TIME, "learns").await?;
+        load(&site, PROPAGATION_TIME, "learns").await?;
         let from = Timestamp::now();
         let span = Duration::from_secs(8);
         let failed = load(&site, span, "limited").await?;
@@ -88,8 +89,8 @@
     });
 }
 
-/// Guards against a limit that outlasts the endpoint's need, and against all entries
-/// coming back to it at the same moment.
+/// Once an endpoint stops announcing a limit, the limit must end, but gradually, so that not all
+/// entries return to the endpoint at the same moment.
 #[test]
 fn a_limit_that_is_named_no_more_ends_step_by_step() {
     run(async {
@@ -110,20 +111,20 @@
     });
 }
 
-/// Guards against a limit that is kept too late, once its endpoint names it anew: from half
-/// a second after the first answer that names it, nobody sends more.
+/// A limit that is announced again must take effect quickly: from half a second after the first
+/// answer that carries it, no entry exceeds it.
 #[test]
 fn a_limit_that_is_named_anew_holds_at_once() {
     run(async {
         let site = PlatformSite::start(3, 5).await?;
-        load(&site, SPREAD_TIME, "before").await?;
+        load(&site, PROPAGATION_TIME, "before").await?;
         for round in 0..3 {
             site.replicas[0].name_limit(Some(1.0));
             let named_at = Timestamp::now();
             load(&site, Duration::from_secs(3), &format!("limited-{round}")).await?;
             let arrivals = site.replicas[0].arrivals().into_iter().map(|arrival| arrival.at);
             let arrivals: Vec<_> = arrivals.filter(|at| *at >= named_at).collect();
-            // Nobody can know before the first answer that names it.
+            // No entry can know the limit before the first answer that carries it.
             let learned_at = arrivals[0].deadline_after(LEARN_TIME);
             let late: Vec<_> = arrivals.iter().filter(|at| learned_at.is_past(**at)).collect();
             assert!(late.len() <= 4, "round {round}: {late:?} after {named_at:?}");
@@ -134,8 +135,8 @@
     });
 }
 
-/// Guards against limits that are kept by refusing what they allow, where every endpoint
-/// names one, and against callers who wait for nothing.
+/// When every endpoint announces a limit, the entries must use what the limits allow and refuse
+/// the rest, instead of letting callers wait in vain.
 #[test]
 fn the_limits_of_all_endpoints_are_used() {
     run(async {
--- a/crates/testkit/tests/origin_connections.rs
+++ b/crates/testkit/tests/origin_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to an origin that admits few.
+//! Connections to an origin that admits a limited number of them.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -20,32 +20,32 @@
 use serde_json::json;
 use smol::{Timer, io::AsyncReadExt, net::TcpListener};
 
-/// Connections that the users' origin admits.
-const PLACES: usize = 48;
+/// Maximum number of connections that the users' origin accepts.
+const MAX_CONNECTIONS: usize = 48;
 
 /// Chunks of a version.
 const CHUNKS: usize = 48;
 
-/// Agents that read a manifest within the seconds before the loss of power.
+/// Agents that read a manifest shortly before the power failure.
 const READERS: usize = 51;
 
-/// Key that processes on the platform show each other.
+/// Shared key of the processes on the platform.
 const INNER_KEY: &str = "cassiawheel-on-the-platform";
 
-/// Time for three entries to meet.
-const MEET_TIME: Duration = Duration::from_millis(1_500);
+/// Time for three entries to connect to each other.
+const CONNECT_TIME: Duration = Duration::from_millis(1_500);
 
-/// Reads of a manifest that are allowed: two by each of the two entries that may begin at the
-/// same time, and the test's own.
+/// Allowed manifest reads: two by each of the two entries that may start at the same time, and
+/// one by the test itself.
 const MOST_READS: usize = 5;
 
-/// Time for which an origin is away.
-const AWAY_TIME: Duration = Duration::from_millis(2_500);
+/// Time for which the origin is down.
+const OUTAGE_TIME: Duration = Duration::from_millis(2_500);
 
-/// Time between heartbeats of an entry.
-const HEARTBEAT_TIME: Duration = Duration::from_millis(200);
+/// Interval between the heartbeats of an entry.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time for a closed connection to be seen at the other end.
+/// Time for the peer to notice a closed connection.
 const CLOSE_TIME: Duration = Duration::from_millis(200);
 
 fn run<T>(test: impl Future<Output = anyhow::Result<T>>) -> T {
@@ -62,23 +62,22 @@
     ModelVersion::new(&format!("guide:{number}")).expect("a valid version")
 }
 
-/// Users were refused for eighteen seconds and longer after all instances had lost
-/// power and were back; only the plain services answered. Engines had been replaced
-/// in the seconds before: fifty new agents had each read the manifest of the version
-/// and kept the connection to the origin, which admits 48 of all clients together.
-/// Instances that lose power do not close their connections, so the origin counted
-/// them as open, reset every new one after it was made, and no entry learned which
-/// bytes the version consists of; without that no agent gets an order. The entries'
-/// logs proved it: `A manifest cannot be read` with a reset after connecting, fifteen
-/// times a second and never a success, while the agents' logs stayed empty.
+/// After all instances had lost power and were back, requests were refused for eighteen seconds
+/// and longer; only plain services answered. Fifty new agents had each read the manifest of the
+/// version in the seconds before and kept the connection to the origin, which accepts 48 in
+/// total. Instances that lose power do not close their connections, so the origin still counted
+/// them and reset every new one after it was made. No entry could read the manifest, and without
+/// it no agent gets an order. The entries' logs showed `A manifest cannot be read` with a reset
+/// after connecting, fifteen times a second without a success, while the agents' logs stayed
+/// empty.
 #[test]
 fn a_manifest_is_read_after_all_instances_lost_power() {
     run(async {
-        let origin = LimitedOrigin::start(PLACES, CHUNKS, Duration::ZERO).await?;
+        let origin = LimitedOrigin::start(MAX_CONNECTIONS, CHUNKS, Duration::ZERO).await?;
         let mut agents = Vec::new();
         for _ in 0..READERS {
             let agent = client_of(&origin);
-            // Those for whom there is no place ask other agents instead.
+            // Agents that get no connection would fetch from other agents instead.
             let _ = agent.manifest(&version(2)).await;
             agents.push(agent);
         }
@@ -93,9 +92,9 @@
     });
 }
 
-/// Instances that lose power in the middle of a call leave its connection behind. An
-/// origin that was asked to close it does so after its answer, though nobody is there;
-/// one that was not waits for the next request.
+/// An instance that loses power during a call leaves its connection open at the origin. With
+/// `connection: close` the origin closes it after its answer although the client is gone;
+/// without, it waits for another request.
 #[test]
 fn the_origin_is_asked_to_close() {
     run(async {
@@ -113,8 +112,11 @@
     });
 }
 
-/// Connects to an entry as an agent does, and asks for a manifest until it has it.
-async fn told_manifest(addr: SocketAddr, wanted: &WeightManifest) -> anyhow::Result<Told> {
+/// Connects to an entry as an agent does and requests a manifest; returns the first reply.
+async fn request_manifest(
+    addr: SocketAddr,
+    wanted: &WeightManifest,
+) -> anyhow::Result<ManifestReply> {
     let (sender, mut receiver) = connect(addr, INNER_KEY, None).await?;
     let instance = InstanceId::new("side-1")?;
     sender.send(HelloMessage { kind: ProcessKind::Agent, instance, incarnation: 1 }).await?;
@@ -122,37 +124,38 @@
     loop {
         match receiver.recv().await? {
             WireMessage::Control(ControlMessage::Manifest(told)) => {
-                return Ok(Told::Whole(told.as_ref().clone()));
+                return Ok(ManifestReply::Whole(told.as_ref().clone()));
             }
             WireMessage::Control(ControlMessage::ManifestUnknown { .. }) => {
-                return Ok(Told::Unknown);
+                return Ok(ManifestReply::Unknown);
             }
             _ => {}
         }
     }
 }
 
-/// Sends what keeps a link between entries up.
+/// Sends the gossip messages that keep a link between entries alive.
 async fn send_heartbeats(sender: WireSender) {
     while sender.send(ControlMessage::Gossip(Box::default())).await.is_ok() {
-        Timer::after(HEARTBEAT_TIME).await;
+        Timer::after(HEARTBEAT_INTERVAL).await;
     }
 }
 
+/// Reply of an entry to a manifest request.
 #[derive(Debug, PartialEq)]
-enum Told {
+enum ManifestReply {
     Whole(WeightManifest),
     Unknown,
 }
 
-/// After a loss of power every process needs the manifest of the version in force. When
-/// a hundred agents read it at an origin of 48 connections, half of them were reset, and
-/// engines that held all chunks served nothing for two seconds. One entry reads it, twice
-/// since the origin may send damaged bytes, and all entries pass it on.
+/// After a power failure every process needs the manifest of the version in force. When a hundred
+/// agents read it at an origin of 48 connections, half of them were reset, and engines that held
+/// all chunks served nothing for two seconds. One entry reads it, twice because the origin may
+/// send corrupt bytes, and all entries forward it.
 #[test]
 fn entries_read_a_manifest_once_and_pass_it_on() {
     run(async {
-        let origin = LimitedOrigin::start(PLACES, CHUNKS, Duration::ZERO).await?;
+        let origin = LimitedOrigin::start(MAX_CONNECTIONS, CHUNKS, Duration::ZERO).await?;
         let mut site = PlatformSite::prepare(1).await?;
         for _ in 0..3 {
             site.add_entry()?;
@@ -160,14 +163,14 @@
         for entry in &site.entries {
             site.wait_ready(entry, true).await?;
         }
-        // All entries know each other before the version is named.
-        Timer::after(MEET_TIME).await;
-        site.rows.put("op", "config", &model_config(2, "guide", origin.addr, PLACES));
+        // All entries are connected before the version is announced.
+        Timer::after(CONNECT_TIME).await;
+        site.rows.put("op", "config", &model_config(2, "guide", origin.addr, MAX_CONNECTIONS));
         let wanted = client_of(&origin).manifest(&version(1)).await?;
         for entry in &site.entries {
             wait_until(async || {
-                let told = told_manifest(entry.control, &wanted).await?;
-                Ok(told == Told::Whole(wanted.clone()))
+                let told = request_manifest(entry.control, &wanted).await?;
+                Ok(told == ManifestReply::Whole(wanted.clone()))
             })
             .await?;
         }
@@ -177,9 +180,9 @@
     });
 }
 
-/// The origin is away when a version is named, and back seconds later. Who pins the
-/// version tells the others how long ago it was named; told as just named, an entry that
-/// had not heard of it would let older versions answer for those seconds too long.
+/// The origin is down when a version is announced and comes back seconds later. The entry that
+/// pins the version must send how long ago it was announced. With an age of zero, an entry that
+/// had missed the announcement would let older versions answer for those seconds too long.
 #[test]
 fn a_version_that_is_pinned_late_is_told_with_its_age() {
     run(async {
@@ -187,15 +190,16 @@
         let addr = reserved.local_addr()?;
         drop(reserved);
         let site = PlatformSite::start(1, 1).await?;
-        site.rows.put("op", "config", &model_config(2, "guide", addr, PLACES));
+        site.rows.put("op", "config", &model_config(2, "guide", addr, MAX_CONNECTIONS));
         site.rows.put("op", "version/guide", &json!({ "model": "guide", "version": 2 }));
 
         let (sender, mut receiver) = connect(site.entries[0].control, INNER_KEY, None).await?;
         let instance = InstanceId::new("entry-other")?;
         sender.send(HelloMessage { kind: ProcessKind::Entry, instance, incarnation: 1 }).await?;
         let _heartbeats = spawn(send_heartbeats(sender));
-        Timer::after(AWAY_TIME).await;
-        let _origin = LimitedOrigin::start_at(addr, PLACES, CHUNKS, Duration::ZERO).await?;
+        Timer::after(OUTAGE_TIME).await;
+        let _origin =
+            LimitedOrigin::start_at(addr, MAX_CONNECTIONS, CHUNKS, Duration::ZERO).await?;
         let told = loop {
             if let WireMessage::Control(ControlMessage::Named(named)) = receiver.recv().await?
                 && named.manifest.is_some()
@@ -204,7 +208,7 @@
             }
         };
         let told_age = Duration::from_millis(told.age_ms);
-        assert!(told_age >= AWAY_TIME, "told as named {told_age:?} ago");
+        assert!(told_age >= OUTAGE_TIME, "announced with an age of {told_age:?}");
         Ok(())
     });
 }
--- a/crates/testkit/tests/platform_path.rs
+++ b/crates/testkit/tests/platform_path.rs
@@ -1,5 +1,5 @@
-//! Requests on the users' platform: entries as processes, endpoints and store
-//! as stand-ins that misbehave.
+//! Requests on the users' platform: entries run as processes; endpoints and store are
+//! stand-ins with injected faults.
 
 use std::time::Duration;
 
@@ -19,18 +19,18 @@
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
 }
 
-/// Generous: entries read the list every half second.
+/// Time until every entry has read a change of the list; they poll it every 500 ms.
 const LIST_TIME: Duration = Duration::from_millis(1_900);
 
-/// Patience of a caller whose stream pauses for 1.7 s.
+/// Caller timeout that covers a stream which pauses for 1.7 s.
 const PATIENT_MS: u64 = 5_000;
 
 fn whole_stream() -> String {
     (1..=EVENTS).map(|id| format!("id: {id}\ndata: piece {id}\n\n")).collect()
 }
 
-/// The endpoint gets the caller's request unchanged, with the workspace in place
-/// of the key, and the caller gets the endpoint's answer with its signature.
+/// The endpoint receives the caller's request unchanged, except that the workspace replaces the
+/// key, and the caller receives the endpoint's answer with its signature.
 #[test]
 fn a_request_passes_unchanged_but_for_its_key() {
     run(async {
@@ -48,8 +48,8 @@
     });
 }
 
-/// Callers that nobody let in, or that ask for what does not exist, are told so
-/// and nothing runs.
+/// Requests without a valid key, for an unknown route or with an invalid id are refused, and
+/// nothing runs.
 #[rstest]
 #[case(SiteCall { key: Some("taken away"), ..SiteCall::new("r-1", "/safe/x") }, 401)]
 #[case(SiteCall { key: None, ..SiteCall::new("r-1", "/safe/x") }, 401)]
@@ -64,8 +64,8 @@
     });
 }
 
-/// An endpoint says that it has not run a request. Another one runs it, and the
-/// caller notices nothing.
+/// An endpoint reports that it has not run a request. The request is retried at another endpoint,
+/// transparently to the caller.
 #[rstest]
 #[case("/safe/x")]
 #[case("/unsafe/x")]
@@ -82,8 +82,8 @@
     });
 }
 
-/// An endpoint runs a sale and its answer is lost, cut off, or another's. The
-/// sale must not run again, and its caller must not be told that it did not run.
+/// An endpoint runs a non-idempotent request and its answer is lost, truncated, or belongs to
+/// another request. The request must not run again and must not be reported as not run.
 #[rstest]
 #[case(ReplicaMode::Cuts)]
 #[case(ReplicaMode::Crosses)]
@@ -100,8 +100,8 @@
     });
 }
 
-/// The same happens to a look-up, which may run again. The caller gets the whole
-/// answer of another endpoint, and never a half or foreign one.
+/// The same faults with an idempotent request, which may run again. The caller gets the whole
+/// answer of another endpoint, never a truncated one or that of another request.
 #[rstest]
 #[case(ReplicaMode::Cuts)]
 #[case(ReplicaMode::Crosses)]
@@ -119,8 +119,8 @@
     });
 }
 
-/// Every endpoint fails at a look-up. The caller gets the endpoint's own failure,
-/// not one of the system's.
+/// Every endpoint fails an idempotent request. The caller gets the endpoint's own error response
+/// instead of one that the entry generates.
 #[test]
 fn an_endpoints_own_failure_is_passed_on() {
     run(async {
@@ -134,8 +134,8 @@
     });
 }
 
-/// An engine dies in the middle of an event. Another one goes on, and the caller
-/// sees every event once, in order, under the head of the first.
+/// An engine dies in the middle of an event. Another one resumes the stream, and the caller
+/// receives every event once, in order, under the response head of the first.
 #[test]
 fn a_broken_stream_is_resumed_within_its_answer() {
     run(async {
@@ -150,8 +150,8 @@
     });
 }
 
-/// Both engines break the stream off. The caller's connection ends in an error;
-/// an answer that looks whole would hide that its end is missing.
+/// Both engines break the stream off. The caller's connection must end in an error, since a clean
+/// end would hide that the answer is truncated.
 #[test]
 fn a_stream_that_nobody_finishes_does_not_look_whole() {
     run(async {
@@ -165,13 +165,13 @@
     });
 }
 
-/// Callers of a stream got half of their answer and a closed connection, though the
-/// engine had finished it. Machines of a region had lost their power, so that the
-/// links there were full of what was sent again, and the engine's last events took
-/// longer than 1.2 s. The entry took the engine for dead and looked for another one
-/// to go on; all were full, and it gave the caller up while the rest of the answer
-/// was on its way. Its log showed "the endpoint fell silent" with one attempt in the
-/// same millisecond as the cut, 0.5 s after the engine's run had ended whole.
+/// Callers of a stream got half of their answer and a closed connection although the engine had
+/// finished it. Machines of a region had lost power, the links there were full of
+/// retransmissions, and the engine's last events took longer than 1.2 s. The entry considered the
+/// engine dead and looked for another one to resume the stream; all were full, and it cut the
+/// stream while the rest of the answer was in transit. Its log showed "the endpoint fell silent"
+/// with one attempt in the same millisecond as the cut, 0.5 s after the engine's run had
+/// completed.
 #[rstest]
 #[case::there_is_no_other(1)]
 #[case::another_one_is_as_silent(2)]
@@ -193,8 +193,8 @@
     });
 }
 
-/// A caller hangs up while an engine works for it. The engine is told within
-/// half a second, or it would work for nobody while others wait.
+/// The caller disconnects while an engine works on its request. The engine must be cancelled
+/// within half a second; otherwise it does useless work while other requests wait.
 #[test]
 fn an_engine_stops_when_its_caller_is_gone() {
     run(async {
@@ -212,8 +212,8 @@
     });
 }
 
-/// A request is still unanswered when its route's time is over. It gets its
-/// final answer then, also if its caller would wait longer.
+/// A request is still unanswered when its route's timeout expires. It gets its final answer then,
+/// even if the caller's own timeout is longer.
 #[test]
 fn a_request_is_answered_when_its_routes_time_is_over() {
     run(async {
@@ -229,8 +229,8 @@
     });
 }
 
-/// An operator drops a route and adds another. Both are in force at every entry
-/// within two seconds, and no entry goes back.
+/// An operator removes a route and adds another. Both changes take effect at every entry within
+/// two seconds, and no entry reverts to an older revision.
 #[test]
 fn a_change_is_in_force_at_every_entry_and_stays() {
     run(async {
@@ -256,10 +256,10 @@
     });
 }
 
-/// Another writer overwrites an endpoint's row with one that lacks a field, has one
-/// of another type, tells an unknown state, or cannot be read at all. It names no
-/// endpoint: nothing goes there until its own row is back, and the other endpoint
-/// serves all callers meanwhile.
+/// Another writer overwrites an endpoint's row with one that lacks a field, has a field of the
+/// wrong type or an unknown state, or cannot be parsed. Such a row designates no endpoint: it
+/// gets no requests until a valid row is back, and the other endpoint serves all callers
+/// meanwhile.
 #[rstest]
 #[case::lacks_a_field(json!({ "slots": null }))]
 #[case::other_type(json!({ "version": 3 }))]
@@ -294,8 +294,8 @@
     });
 }
 
-/// An endpoint says that it leaves, or its row vanishes without a word. From two
-/// seconds later it gets nothing new.
+/// An endpoint is marked as draining, or its row is removed without notice. Two seconds later it
+/// must get no new requests.
 #[rstest]
 #[case(true)]
 #[case(false)]
@@ -322,8 +322,8 @@
     });
 }
 
-/// The store's history is dropped in the middle of the day. An entry that relied
-/// on the feed alone would miss every change from then on.
+/// The store's change history is compacted while entries follow it. An entry that relied on the
+/// change feed alone would miss every later change.
 #[test]
 fn changes_are_seen_after_the_history_is_dropped() {
     run(async {
@@ -339,8 +339,8 @@
     });
 }
 
-/// An entry starts while the store is away. It refuses callers as not run, tells
-/// them when to come back, and serves once the store is back.
+/// An entry starts while the store is down. It refuses requests as not run with a `retry-after`
+/// header, and serves once the store is back.
 #[test]
 fn an_entry_that_starts_without_the_store_refuses_and_recovers() {
     run(async {
@@ -360,8 +360,8 @@
     });
 }
 
-/// A second entry starts while only it cannot reach the store, and knows the
-/// first. It gets preset and list from there and serves.
+/// A second entry starts while the store is down. It gets the preset and the list of endpoints
+/// from the first entry and serves.
 #[test]
 fn an_entry_learns_from_the_others_while_the_store_is_away() {
     run(async {
@@ -376,8 +376,8 @@
     });
 }
 
-/// An entry is stopped while it answers. It is no longer ready at once, finishes
-/// the answer, and ends within the grace period.
+/// An entry is terminated while it streams an answer. It reports not ready at once, completes the
+/// answer, and exits within the grace period.
 #[test]
 fn a_planned_stop_cuts_nothing_off() {
     run(async {
@@ -397,8 +397,7 @@
     });
 }
 
-/// Callers that ask which entries to use are told those that live, and no longer
-/// one that leaves.
+/// The directory lists the live entries and drops one that is shutting down.
 #[test]
 fn the_advice_names_the_entries_that_live() {
     run(async {
--- a/crates/testkit/tests/requests.rs
+++ b/crates/testkit/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests over real TCP under faults, with every entry and agent a process of its own.
+//! Requests over real TCP under faults; every entry and agent is a separate process.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -26,7 +26,13 @@
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
 }
 
-async fn ledgers(count: usize, entries: usize, work: Duration) -> anyhow::Result<Deployment> {
+/// Starts a deployment of `count` plain services and waits until every entry sees all of them
+/// ready.
+async fn start_plain_services(
+    count: usize,
+    entries: usize,
+    work: Duration,
+) -> anyhow::Result<Deployment> {
     let plan = DeploymentPlan {
         entries,
         model_agents: 0,
@@ -50,7 +56,7 @@
     Ok(deployment)
 }
 
-/// A sale with a key.
+/// A non-idempotent request with an idempotency key.
 fn sale(entry: SocketAddr, key: &str, deadline: Duration) -> TestCall {
     let deadline = Timestamp::now().deadline_after(deadline);
     TestCall {
@@ -64,7 +70,7 @@
     }
 }
 
-/// A question that may be repeated.
+/// A request that is marked as idempotent.
 fn question(entry: SocketAddr, text: &str) -> TestCall {
     TestCall {
         entry,
@@ -83,13 +89,14 @@
     matches!(verdict, CallVerdict::Complete { .. })
 }
 
-/// What all ledgers together carried out.
-fn carried(deployment: &Deployment) -> Vec<CarriedCall> {
+/// All requests that the plain services executed.
+fn executed_calls(deployment: &Deployment) -> Vec<CarriedCall> {
     deployment.endpoints.iter().filter_map(|e| e.ledger.as_ref()).flat_map(|l| l.calls()).collect()
 }
 
+/// How often the request with this idempotency key was executed.
 fn runs_of(deployment: &Deployment, key: &str) -> usize {
-    carried(deployment).iter().filter(|call| call.key.as_deref() == Some(key)).count()
+    executed_calls(deployment).iter().filter(|call| call.key.as_deref() == Some(key)).count()
 }
 
 async fn wait_for(what: &str, mut holds: impl FnMut() -> bool) -> anyhow::Result<()> {
@@ -99,16 +106,16 @@
         }
         Timer::after(Duration::from_millis(5)).await;
     }
-    anyhow::bail!("did not come about: {what}")
+    anyhow::bail!("timed out waiting for: {what}")
 }
 
-/// The table service carries a claim out and its answer is lost on the way. The
-/// agent cannot tell whether it may run. The seat is sold once all the same, and
-/// who asks again with the key is told the same answer.
+/// The table service stores the claim of an idempotency key, but its reply is lost, so the agent
+/// cannot tell whether it may run the request. The request must still run exactly once, and a
+/// retry with the same key must get the same answer.
 #[test]
 fn a_sale_whose_store_answer_is_lost_runs_once() {
     run(async {
-        let deployment = ledgers(2, 1, Duration::from_millis(5)).await?;
+        let deployment = start_plain_services(2, 1, Duration::from_millis(5)).await?;
         let entry = deployment.entries[0].caller_addr;
         deployment.table_switches.set_lose_answers(true);
         let first = spawn(send(sale(entry, "lift-1", Duration::from_secs(10))));
@@ -123,16 +130,14 @@
     });
 }
 
-/// A caller buys a seat through an entry that is killed while the table service is slow
-/// to write the claim. The agent cancels the sale before its run, and the claim is
-/// written a moment later. It stayed held by an attempt that never ran: whoever asked
-/// again with the key was told "unknown" for ever and could not buy the seat. The agent's
-/// lines showed the claim written and the refusal as cancelled in the same millisecond,
-/// and no release of the row.
+/// The entry is killed while the table service is slow to write the claim. The agent cancels the
+/// request before it runs, and the claim is written a moment later. The claim used to stay held
+/// by an attempt that never ran, without a release of the row, so every retry with the key was
+/// answered "unknown" forever.
 #[test]
 fn a_sale_that_is_cancelled_while_it_is_claimed_can_be_made_again() {
     run(async {
-        let mut deployment = ledgers(1, 2, Duration::from_millis(5)).await?;
+        let mut deployment = start_plain_services(1, 2, Duration::from_millis(5)).await?;
         let slow = Duration::from_millis(400);
         deployment.table_switches.set_delay(slow);
         let first =
@@ -151,13 +156,13 @@
     });
 }
 
-/// An agent dies while a card is charged. Whether the charge went through is not
-/// known, so nobody may be told that it did not, and nobody may charge again,
-/// also not a caller that asks again with the same key.
+/// An agent dies while it runs a request with a key. Whether the request took effect is unknown,
+/// so it must not be reported as not run, and it must not run again, not even on a retry with the
+/// same key.
 #[test]
 fn a_sale_whose_agent_dies_is_unknown_and_never_doubled() {
     run(async {
-        let mut deployment = ledgers(2, 1, Duration::from_millis(700)).await?;
+        let mut deployment = start_plain_services(2, 1, Duration::from_millis(700)).await?;
         let entry = deployment.entries[0].caller_addr;
         let first = spawn(send(sale(entry, "card-1", Duration::from_secs(10))));
         wait_for("the run", || runs_of(&deployment, "card-1") == 1).await?;
@@ -175,13 +180,13 @@
     });
 }
 
-/// The table service is away. Questions do not need it and are answered as ever.
-/// Sales are refused within seconds as not run, are not run, and the same key
-/// can buy once the service is back.
+/// The table service is down. Idempotent requests do not need it and are answered as usual.
+/// Requests with a key are refused as not run within seconds and do not run; the same key
+/// succeeds once the service is back.
 #[test]
 fn an_outage_of_the_store_refuses_sales_and_nothing_else() {
     run(async {
-        let deployment = ledgers(2, 1, Duration::from_millis(5)).await?;
+        let deployment = start_plain_services(2, 1, Duration::from_millis(5)).await?;
         let entry = deployment.entries[0].caller_addr;
         deployment.table_switches.set_down(true);
         let sales: Vec<_> = (0..4)
@@ -195,7 +200,7 @@
             let verdict = sale.await;
             assert!(matches!(&verdict, CallVerdict::NotRun(_)), "{verdict:?}");
         }
-        assert!(carried(&deployment).iter().all(|call| call.key.is_none()));
+        assert!(executed_calls(&deployment).iter().all(|call| call.key.is_none()));
         deployment.table_switches.set_down(false);
         for number in 0..4 {
             let key = format!("seat-{number}");
@@ -207,13 +212,12 @@
     });
 }
 
-/// An agent is frozen with a sale in its socket and wakes after the caller was
-/// told that the outcome is unknown. A seat that is sold now would surprise a
-/// visitor who has gone home.
+/// An agent is paused with a request in its socket and resumes after the caller was told that the
+/// outcome is unknown. It must not execute the request after its deadline.
 #[test]
 fn a_paused_agent_runs_nothing_after_the_deadline() {
     run(async {
-        let deployment = ledgers(1, 1, Duration::from_millis(5)).await?;
+        let deployment = start_plain_services(1, 1, Duration::from_millis(5)).await?;
         let entry = deployment.entries[0].caller_addr;
         let agent = deployment.endpoints[0].agent.as_ref().expect("it runs");
         agent.pause()?;
@@ -225,17 +229,17 @@
         assert!(verdicts.iter().all(|v| matches!(v, CallVerdict::Unknown(_))), "{verdicts:?}");
         agent.resume()?;
         Timer::after(Duration::from_millis(800)).await;
-        assert_eq!(carried(&deployment), []);
+        assert_eq!(executed_calls(&deployment), []);
         Ok(())
     });
 }
 
-/// A caller hangs up while its sale runs. The run must not be cut in the middle
-/// of its effect: it ends, and its outcome is there for who asks with the key.
+/// The caller disconnects while its request runs. The run must not be interrupted half-way: it
+/// completes, and a retry with the same key gets its outcome.
 #[test]
 fn a_sale_whose_caller_goes_away_is_finished_and_recorded() {
     run(async {
-        let deployment = ledgers(1, 1, Duration::from_millis(400)).await?;
+        let deployment = start_plain_services(1, 1, Duration::from_millis(400)).await?;
         let entry = deployment.entries[0].caller_addr;
         let caller = spawn(send(sale(entry, "gone-1", Duration::from_secs(10))));
         wait_for("the run", || runs_of(&deployment, "gone-1") == 1).await?;
@@ -247,13 +251,12 @@
     });
 }
 
-/// Agents and entries are replaced one after another while visitors ask and buy.
-/// A planned stop finishes what is in progress: nobody may be cut off, and
-/// nothing may run twice.
+/// Agents and entries are stopped one after another under load. A planned stop completes the
+/// requests in progress: none may be cut off, and none may run twice.
 #[test]
 fn planned_stops_cut_off_no_request() {
     run(async {
-        let mut deployment = ledgers(3, 2, Duration::from_millis(60)).await?;
+        let mut deployment = start_plain_services(3, 2, Duration::from_millis(60)).await?;
         let steady = deployment.entries[0].caller_addr;
         let leaving = deployment.entries[1].caller_addr;
         let callers: Vec<_> = (0..12)
@@ -280,8 +283,8 @@
     });
 }
 
-/// Asks and buys in turn; a caller of an entry that leaves stops well before
-/// its advice has run out.
+/// Sends requests with and without a key in turn. A caller of an entry that is being stopped ends
+/// well before its advice expires.
 async fn call_for_a_while(caller: usize, entry: SocketAddr) -> Vec<(String, CallVerdict)> {
     let rounds = if caller >= 100 { 3 } else { 12 };
     let mut verdicts = Vec::new();
@@ -296,13 +299,12 @@
     verdicts
 }
 
-/// Far more calls come at once than the services may work on. Each is either
-/// answered in whole, or told that it was not run and then was not; and no
-/// service is given more than its limit.
+/// Far more requests arrive at once than the services may run. Each must either be answered
+/// completely or be refused as not run and then not run; no service may exceed its limit.
 #[test]
 fn an_overload_is_answered_or_refused_and_nothing_between() {
     run(async {
-        let deployment = ledgers(2, 1, Duration::from_secs(1)).await?;
+        let deployment = start_plain_services(2, 1, Duration::from_secs(1)).await?;
         let entry = deployment.entries[0].caller_addr;
         let calls: Vec<_> = (0..600)
             .map(|number| {
@@ -318,7 +320,7 @@
         for (text, call) in calls {
             verdicts.push((text, call.await));
         }
-        let ran = carried(&deployment);
+        let ran = executed_calls(&deployment);
         for (text, verdict) in &verdicts {
             let runs = ran.iter().filter(|call| call.body == text.as_bytes()).count();
             match verdict {
@@ -334,13 +336,13 @@
                 CallVerdict::Wrong(answer) => panic!("{text}: {answer:?}"),
             }
         }
-        // 64 calls of a second each fit at a time, and all have a second and a half.
+        // 64 calls of one second each run at a time, and every deadline is 1.5 s.
         assert!(complete >= 1 && refused >= 300, "{complete} complete, {refused} refused");
         Ok(())
     });
 }
 
-/// Two model engines that answer from the same version.
+/// Two model engines that serve the same version.
 async fn engines() -> anyhow::Result<(Deployment, Arc<WeightImage>)> {
     let plan = DeploymentPlan { entries: 1, model_agents: 2, ..DeploymentPlan::default() };
     let deployment = Deployment::start(&plan).await?;
@@ -356,7 +358,7 @@
     Ok((deployment, image))
 }
 
-/// Asks for eight tokens, one each tenth of a second.
+/// Requests an answer of eight tokens, generated 100 ms apart.
 fn ask_engine(deployment: &Deployment, image: &WeightImage) -> smol::Task<CallVerdict> {
     let (entry, digest) = (deployment.entries[0].caller_addr, image.answer_digest());
     spawn(async move {
@@ -366,7 +368,7 @@
     })
 }
 
-/// The endpoint whose engine began the only run.
+/// Index of the endpoint whose engine started the only run.
 async fn running_engine(deployment: &Deployment) -> anyhow::Result<usize> {
     wait_for("the run", || deployment.endpoints.iter().any(has_run)).await?;
     Ok(deployment.endpoints.iter().position(has_run).expect("one of them runs it"))
@@ -376,9 +378,9 @@
     endpoint.engine.as_ref().is_some_and(|engine| !engine.runs().is_empty())
 }
 
-/// An engine's instance dies while it computes a long prompt, or in the middle of
-/// its answer. The question may be repeated, so another engine of the same version
-/// answers it again, and its caller sees one whole answer and no error.
+/// An engine's instance dies while it processes a long prompt or in the middle of its answer. The
+/// request is idempotent, so another engine of the same version runs it again, and the caller
+/// sees one whole answer and no error.
 #[rstest]
 #[case::before_the_first_token(0)]
 #[case::in_the_middle(350)]
@@ -396,9 +398,8 @@
     });
 }
 
-/// An engine dies in the middle of its answer, and the other one answers
-/// otherwise, as an engine does that draws its tokens at random. Half of one
-/// answer and half of another must not look like a whole one.
+/// An engine dies in the middle of its answer, and the other one generates a different answer, as
+/// with random sampling. Parts of the two answers must not be joined into one that looks whole.
 #[test]
 fn two_different_answers_are_not_joined() {
     run(async {
@@ -416,7 +417,7 @@
     });
 }
 
-/// Makes an engine answer otherwise under the same version.
+/// Loads other weights under the same version directly into an engine, without its agent.
 async fn load_behind_the_agent(endpoint: &TestEndpoint, image: &WeightImage) -> anyhow::Result<()> {
     let settings: AgentSettings = serde_json::from_slice(&std::fs::read(&endpoint.config)?)?;
     let engine = HttpEngine::new(HttpClient::default(), settings.engine.addr);
@@ -434,13 +435,13 @@
     Ok(engine.load_weights(&order).await?)
 }
 
-/// The table service takes a few hundred writes a second and answers slowly, and
-/// three hundred visitors buy at the same moment. Each sale needs two rows; were
-/// each row a write of its own, most visitors would be refused.
+/// The table service handles a few hundred writes per second with high latency, and three hundred
+/// requests with keys arrive at once. Each needs two rows; without batching of the writes, most
+/// requests would be refused.
 #[test]
 fn many_sales_share_the_writes_of_the_store() {
     run(async {
-        let deployment = ledgers(2, 1, Duration::ZERO).await?;
+        let deployment = start_plain_services(2, 1, Duration::ZERO).await?;
         let entry = deployment.entries[0].caller_addr;
         deployment.table_switches.set_delay(Duration::from_millis(20));
         let before = deployment.table.writes();
