--- a/crates/testkit/benches/hot_paths.rs
+++ b/crates/testkit/benches/hot_paths.rs
@@ -1,9 +1,9 @@
-//! Time of the steps that every request or heartbeat takes: the codec, the
-//! gate, and the read and swap of a snapshot.
+//! Benchmarks of the steps on the path of every request or heartbeat: the codec, the gate, and
+//! the load and swap of a snapshot.
 //!
 //! Run as `cargo bench -p cassiawheel-testkit --bench hot_paths`.
 
-#![allow(missing_docs)] // The macro that collects benchmarks writes none.
+#![allow(missing_docs)] // `criterion_group!` generates items without docs.
 
 use std::{collections::HashMap, hint::black_box, sync::Arc};
 
--- a/crates/testkit/tests/bounds.rs
+++ b/crates/testkit/tests/bounds.rs
@@ -1,8 +1,8 @@
-//! Regression bounds: counts of bytes, and ratios of two times of one run.
+//! Regression bounds on message sizes and on ratios of two times measured in the same run.
 //!
-//! The bounds are in `benches/bounds.json`. A ratio compares the shortest of
-//! many rounds with the same of another size, so that neither the machine nor
-//! what else runs on it matters.
+//! The bounds are in `benches/bounds.json`. A ratio compares the minimum of many rounds with
+//! that of another input size, so that it depends neither on the machine nor on its other
+//! load.
 
 use std::{
     collections::HashMap,
@@ -21,17 +21,18 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct BoundValues {
-    /// Largest heartbeat.
+    /// Maximum size of a heartbeat.
     heartbeat_bytes: usize,
-    /// Most bytes that a request has beyond its body.
+    /// Maximum size of a request beyond its body.
     dispatch_overhead_bytes: usize,
-    /// Most bytes that a part of an answer has beyond its text.
+    /// Maximum size of a part of an answer beyond its text.
     answer_part_overhead_bytes: usize,
-    /// Most time to decode four times the bytes, by the time for one.
+    /// Maximum time to decode four times the bytes, relative to the time for one.
     decode_4x_ratio: f64,
-    /// Most time of the gate with a million requests in progress, by the time with none.
+    /// Maximum time of the gate with a million requests in progress, relative to the time with
+    /// none.
     gate_busy_ratio: f64,
-    /// Most time to load a snapshot of 7,300 endpoints, by the time for 16.
+    /// Maximum time to load a snapshot of 7,300 endpoints, relative to the time for 16.
     snapshot_size_ratio: f64,
 }
 
@@ -39,8 +40,8 @@
     serde_json::from_str(include_str!("../benches/bounds.json")).expect("valid bounds")
 }
 
-/// The shortest of many rounds of many calls.
-fn shortest(mut call: impl FnMut()) -> Duration {
+/// Minimum time of 200 rounds of 1,000 calls each.
+fn min_round_time(mut call: impl FnMut()) -> Duration {
     let round = |call: &mut dyn FnMut()| {
         let begun = Instant::now();
         (0..1_000).for_each(|_| call());
@@ -73,7 +74,7 @@
 fn decoding_stays_linear() {
     let decode = |bytes: usize| {
         let message = codec::encode(&samples::answer_part(bytes)).expect("can be encoded");
-        shortest(|| drop(black_box(codec::decode(black_box(&message)))))
+        min_round_time(|| drop(black_box(codec::decode(black_box(&message)))))
     };
     let found = ratio(decode(64 << 10), decode(16 << 10));
     assert!(found <= bounds().decode_4x_ratio, "four times the bytes take {found:.1} times");
@@ -89,7 +90,7 @@
         for _ in 0..in_progress {
             gate.acquire(PresetRevision(1), Some(&version)).expect("the gate admits");
         }
-        shortest(|| {
+        min_round_time(|| {
             let _ = black_box(gate.acquire(PresetRevision(1), black_box(Some(&version))));
             gate.release();
         })
@@ -105,7 +106,7 @@
             .map(|index| (InstanceId::new(&format!("endpoint-{index}")).expect("valid"), 0))
             .collect();
         let snapshot = ArcSwap::from_pointee(rows);
-        shortest(|| _ = black_box(snapshot.load()).len())
+        min_round_time(|| _ = black_box(snapshot.load()).len())
     };
     let found = ratio(load(7_300), load(16));
     assert!(found <= bounds().snapshot_size_ratio, "7,300 endpoints take {found:.1} times");
--- a/crates/testkit/tests/burst_guards.rs
+++ b/crates/testkit/tests/burst_guards.rs
@@ -1,7 +1,7 @@
-//! With a guard switched off in a stand-in, the count that it protects rises.
+//! A guard is disabled in a stand-in, and the count that it protects must rise.
 //!
-//! The system under test is whole; a stand-in misbehaves as if the guard were
-//! not there, and the checker has to see it in a real run.
+//! The system under test is unchanged; a stand-in behaves as if the guard were missing, and
+//! the checker has to detect it in a real run.
 
 use std::{
     sync::Arc,
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// One caller's request through one entry.
+    /// Sends one request of a caller through one entry.
     async fn request(&self, entry: usize, kind: CallKind) -> anyhow::Result<RequestRecord> {
         let entries = Arc::new(vec![self.deployment.entries[entry].caller_addr]);
         let arrival = PlannedArrival {
@@ -108,8 +108,8 @@
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
 }
 
-/// Nobody checks chunks: one is corrupt when the engine loads it. A caller
-/// reads an answer that no version of the model would have given.
+/// The engine does not verify its chunks and loads a corrupt one. The answer is one that no
+/// version of the model would give.
 #[rstest]
 fn without_the_chunk_check_answers_are_mixed() {
     run(async {
@@ -124,7 +124,7 @@
     });
 }
 
-/// The claim of a key is never refused. A sale whose caller asks again at
+/// The table service never refuses the claim of a key. A request with a key that is retried at
 /// another entry runs twice.
 #[rstest]
 fn without_the_claim_a_sale_doubles() {
@@ -143,8 +143,8 @@
     });
 }
 
-/// A request is refused since the preset in force has no such service, and a
-/// replica runs it all the same. The caller was told that nothing ran.
+/// A request is refused because the preset in force has no such service, and a replica runs it
+/// nevertheless, although the caller was told that it did not run.
 #[rstest]
 fn a_run_after_a_refusal_is_seen() {
     run(async {
@@ -165,8 +165,8 @@
     });
 }
 
-/// The table service comes back from an old backup: the preset in force goes
-/// back, and operators find yesterday's limits.
+/// The table service is restored from an old backup, so the preset in force reverts to an earlier
+/// revision.
 #[rstest]
 fn a_row_that_is_rolled_back_is_a_revert() {
     run(async {
--- a/crates/testkit/tests/burst_scenario.rs
+++ b/crates/testkit/tests/burst_scenario.rs
@@ -1,4 +1,5 @@
-//! Scenarios: what is accepted, what is found, and that a seed fixes the arrivals.
+//! Scenario files: which are valid, which findings are reported, and that a seed determines
+//! the arrivals.
 
 use std::path::Path;
 
@@ -29,8 +30,7 @@
     assert!(parsed.is_ok(), "{parsed:?}");
 }
 
-/// An operator's scenario has several mistakes at once. All of them are told
-/// together, each with its place, so that one run names them all.
+/// A scenario with several mistakes: one run reports all of them, each with its path.
 #[rstest]
 fn all_findings_are_reported_together() {
     let findings = smoke_with(|scenario| {
@@ -76,6 +76,6 @@
     assert_ne!(first, draw_arrivals(&scenario, 8));
     let in_burst = |at_s: f64| (3.0..4.0).contains(&at_s);
     let burst = first.iter().filter(|arrival| in_burst(arrival.at.as_secs_f64())).count();
-    // 60 are expected in the burst's second and 20 in each other one.
+    // 60 arrivals are expected in the second of the burst and 20 in every other second.
     assert!((35..=90).contains(&burst), "{burst} of {} arrive in the burst", first.len());
 }
--- a/crates/testkit/tests/burst_smoke.rs
+++ b/crates/testkit/tests/burst_smoke.rs
@@ -1,4 +1,5 @@
-//! The smoke scenario with a fixed seed: judged by invariants and counts only.
+//! The smoke scenario with a fixed seed, judged by invariants and counts only, and the faults
+//! of relayed links.
 
 use std::{
     collections::BTreeSet,
@@ -21,8 +22,8 @@
     net::{TcpListener, TcpStream},
 };
 
-/// A rollout, a planned stop and lost answers of the store under load. Every
-/// caller gets a whole answer or an honest word, and no operator's change is lost.
+/// A rollout, a planned stop and lost replies of the store under load. Every answer is complete
+/// or its outcome is reported truthfully, and no operator's change is lost.
 #[rstest]
 fn the_smoke_scenario_breaks_no_invariant() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/smoke.json");
@@ -44,7 +45,7 @@
     assert!(drawing.contains("<polyline"), "the plot has no lines");
 }
 
-/// A connection through a relay: the caller's end, the endpoint's, and what is wrong.
+/// A connection through a relay: the caller's end, the endpoint's end and the link's faults.
 struct RelayedLink {
     caller: TcpStream,
     endpoint: TcpStream,
@@ -61,19 +62,23 @@
         let relay = relay(free, far.local_addr()?, links.clone()).await?;
         let mut caller = TcpStream::connect(free).await?;
         let (mut endpoint, _) = far.accept().await?;
-        carry(&mut caller, &mut endpoint, 1).await?;
+        transfer(&mut caller, &mut endpoint, 1).await?;
         Ok(Self { caller, endpoint, links, _relay: relay })
     }
 
-    /// Brings trouble to what the caller's instance sends to others, and gets.
+    /// Injects a fault into what the caller's instance sends and receives.
     fn begin(&self, trouble: LinkTrouble) {
         let here = IpAddr::V4(Ipv4Addr::LOCALHOST);
         self.links.begin(1, BTreeSet::from([here]), trouble);
     }
 }
 
-/// Sends `count` bytes and waits for them; how long it took.
-async fn carry(from: &mut TcpStream, to: &mut TcpStream, count: usize) -> anyhow::Result<Duration> {
+/// Sends `count` bytes and waits for them; returns the time taken.
+async fn transfer(
+    from: &mut TcpStream,
+    to: &mut TcpStream,
+    count: usize,
+) -> anyhow::Result<Duration> {
     let begun = Instant::now();
     let mut bytes = vec![7; count];
     from.write_all(&bytes).await?;
@@ -86,8 +91,8 @@
     outcome.expect("the executor runs").expect("in time").expect("the test passes");
 }
 
-/// A switch drops everything between two instances and closes nothing. Bytes
-/// wait, and arrive once the link carries again.
+/// A network partition drops all packets between two instances and closes no connection. Bytes
+/// are held back and arrive once the link is restored.
 #[rstest]
 fn a_severed_link_carries_nothing_until_it_is_restored() {
     run(async {
@@ -104,21 +109,22 @@
     });
 }
 
-/// What one side sends is lost on the way, and what it gets arrives.
+/// A link that is cut in one direction delivers nothing there and still delivers in the other
+/// direction.
 #[rstest]
 fn a_link_that_is_cut_one_way_carries_the_other() {
     run(async {
         let mut link = RelayedLink::new().await?;
         link.begin(LinkTrouble::SeveredOut);
-        carry(&mut link.endpoint, &mut link.caller, 1).await?;
-        let sent = carry(&mut link.caller, &mut link.endpoint, 1);
+        transfer(&mut link.endpoint, &mut link.caller, 1).await?;
+        let sent = transfer(&mut link.caller, &mut link.endpoint, 1);
         let early = timeout(Duration::from_millis(200), sent).await;
         anyhow::ensure!(early.is_none(), "the cut direction carried a byte");
         Ok(())
     });
 }
 
-/// What is sent over a slow or narrow link arrives whole and later.
+/// What is sent over a link with added latency or limited bandwidth arrives complete, but later.
 #[rstest]
 #[case::slow(LinkTrouble::Slow(Duration::from_millis(150)), 1)]
 #[case::narrow(LinkTrouble::Narrow(100_000), 20_000)]
@@ -126,13 +132,13 @@
     run(async {
         let mut link = RelayedLink::new().await?;
         link.begin(trouble);
-        let took = carry(&mut link.caller, &mut link.endpoint, count).await?;
+        let took = transfer(&mut link.caller, &mut link.endpoint, count).await?;
         anyhow::ensure!(took >= Duration::from_millis(140), "took only {took:?}");
         Ok(())
     });
 }
 
-/// Both ends see that the connection is gone.
+/// Both ends see that the connection is closed.
 #[rstest]
 fn a_reset_link_ends_its_connections() {
     run(async {
--- a/crates/testkit/tests/burst_verdicts.rs
+++ b/crates/testkit/tests/burst_verdicts.rs
@@ -1,4 +1,4 @@
-//! The checker sees each broken invariant in hand-made records.
+//! The checker detects each broken invariant in hand-written records.
 
 use std::time::Duration;
 
@@ -101,8 +101,8 @@
     assert_eq!(broken(&sale), vec![]);
 }
 
-/// A stream ends early and yet carries the end mark. The caller reads a
-/// summary that lacks its last sentence and cannot know.
+/// A stream ends early but carries the end marker, so the caller cannot detect that the answer is
+/// incomplete.
 #[rstest]
 fn a_short_answer_with_an_end_mark_is_truncated() {
     let whole = answer_text(&NEW, TEXT, TOKENS);
@@ -110,8 +110,8 @@
     assert_eq!(broken(&short), vec![("truncated", 1)]);
 }
 
-/// Weights are exchanged underneath a run, or are corrupt. The caller reads an
-/// answer that no version of the model would have given.
+/// The weights are replaced during a run, or are corrupt. The answer is one that no version of
+/// the model would give.
 #[rstest]
 #[case::two_versions(&[OLD, OLD, OLD, NEW, NEW, NEW])]
 #[case::corrupt(&[[9; 32]; 6])]
@@ -125,7 +125,7 @@
     assert_eq!(judged(&generated(told, &body)).mixed, 1);
 }
 
-/// Answers arrive crossed. A caller gets the whole answer to another's request.
+/// Answers are swapped: a caller gets the complete answer to another request.
 #[rstest]
 fn the_answer_to_another_request_counts() {
     let other = sold(
@@ -137,14 +137,14 @@
     assert_eq!(broken(&old), vec![("wrong", 1)]);
 }
 
-/// A visitor holds a receipt for a sale that the ledger does not know.
+/// A request is answered as complete, but no replica ran it.
 #[rstest]
 fn a_receipt_without_a_sale_is_wrong() {
     let sale = sold(vec![ask(ToldOutcome::Complete, &plain_answer(TEXT))], vec![]);
     assert_eq!(broken(&sale), vec![("wrong", 1)]);
 }
 
-/// A retry runs a sale again. The card is charged twice.
+/// A retry runs a request with a key again.
 #[rstest]
 fn a_second_run_is_a_double() {
     let runs = vec![run("endpoint-2", Some(TEXT), 1_010), run("endpoint-3", Some(TEXT), 1_050)];
@@ -152,7 +152,7 @@
     assert_eq!(broken(&sale), vec![("doubles", 1)]);
 }
 
-/// A caller is told that nothing ran and buys elsewhere, and yet it ran.
+/// A request is reported as not run, but it ran.
 #[rstest]
 fn a_run_behind_a_refusal_counts() {
     let sale = sold(vec![ask(ToldOutcome::NotRun, "")], vec![run("endpoint-2", Some(TEXT), 1_200)]);
@@ -164,8 +164,8 @@
     FaultRecord { kind, touched, from: Timestamp(from), until: Timestamp(until) }
 }
 
-/// A planned stop ends a stream in the middle. Only a fault that touched the
-/// entry or the endpoint at that time is an excuse.
+/// A stream is cut off by a planned stop. Only a fault that affected the entry or the endpoint at
+/// that time exempts it.
 #[rstest]
 #[case::no_fault(None, 1)]
 #[case::the_endpoint_was_killed(Some(fault(FaultKind::Kill, "endpoint-0", 1_050, 2_000)), 0)]
@@ -182,7 +182,7 @@
     assert_eq!(judged(&cut).cut_off, cut_off);
 }
 
-/// An endpoint was told to leave and still begins requests seconds later.
+/// An endpoint was told to leave and still starts runs seconds later.
 #[rstest]
 #[case::at_once(1_500, 0)]
 #[case::late(5_500, 1)]
@@ -208,7 +208,7 @@
     RunRecords { forced: samples.collect(), ..records(vec![], vec![]) }
 }
 
-/// The preset in force goes back, or is another one under the same revision.
+/// The preset in force reverts, or is replaced by another one of the same revision.
 #[rstest]
 #[case::forward(&[(0, 1, "a"), (10, 2, "b")], 0)]
 #[case::back(&[(0, 1, "a"), (10, 2, "b"), (20, 1, "a")], 1)]
@@ -227,7 +227,7 @@
     )
 }
 
-/// An entry answers under a new preset and afterwards under the old one again.
+/// An entry answers under a new preset and later under the old one again.
 #[rstest]
 fn an_entry_that_goes_back_is_a_revert() {
     let both = vec![answered_at(1_000, 2), answered_at(1_100, 1)];
@@ -236,7 +236,7 @@
     assert_eq!(judged(&records(crossing, vec![])).reverts, 0);
 }
 
-/// An entry goes on under a preset that was replaced long ago.
+/// An entry still answers under a preset that was replaced long ago.
 #[rstest]
 fn an_old_preset_that_still_answers_counts() {
     let mut run = forced(&[(0, 1, "a"), (1_000, 2, "b")]);
@@ -248,7 +248,7 @@
     assert_eq!((counts.two_in_force, counts.converge_s_max), (1, 5.5));
 }
 
-/// What an operator was told and what the history shows differ.
+/// The operator was told a result that contradicts the history.
 #[rstest]
 #[case::kept("b", ToldChange::Accepted(2), 0)]
 #[case::lost("c", ToldChange::Accepted(3), 1)]
@@ -270,7 +270,7 @@
     assert_eq!(judged(&run).lost_changes, lost);
 }
 
-/// A history with a gap or with one change twice is not linear.
+/// A history with a gap or with a duplicate change is not linear.
 #[rstest]
 #[case(&[(1, "a"), (3, "b")], 1)]
 #[case(&[(1, "a"), (2, "a")], 1)]
--- a/crates/testkit/tests/foreign_order.rs
+++ b/crates/testkit/tests/foreign_order.rs
@@ -1,4 +1,4 @@
-//! Orders that reach an engine behind its agent's back.
+//! Load orders that reach an engine without its agent.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,7 +20,8 @@
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
 }
 
-/// Stages `image` and orders `engine` to load it, as a paused process would that goes on.
+/// Stages `image` and orders `engine` to load it, as an outdated process does that was paused and
+/// resumes.
 async fn load_directly(engine: &HttpEngine, image: &WeightImage) -> anyhow::Result<()> {
     let manifest = &image.manifest;
     engine.open_staging(manifest).await?;
@@ -32,10 +33,9 @@
     Ok(engine.load_weights(&LoadOrder { version, manifest: manifest.digest, fencing: 0 }).await?)
 }
 
-/// A process that was paused goes on and orders the engine back to an old
-/// version, while the engine streams an answer; this engine ignores fencing
-/// tokens. The caller would get an answer that begins in one version and ends
-/// in another, and nothing in it would tell.
+/// A process that was paused resumes and orders the engine back to an old version while the
+/// engine streams an answer; this engine ignores fencing tokens. The answer would start in one
+/// version and end in another, with no sign of it, so it must not be reported as complete.
 #[rstest]
 fn an_answer_during_a_foreign_order_is_not_called_whole() {
     run(async {
@@ -67,7 +67,7 @@
         load_directly(&engine, &old).await?;
         let verdict = call.await;
         assert!(matches!(verdict, CallVerdict::Unknown(_)), "{verdict:?}");
-        // The agent notices and brings the wanted version back.
+        // The agent detects the foreign version and restores the ordered one.
         deployment.wait_status(0, WAIT, ready).await?;
         deployment.wait_engines("v2", 1, WAIT).await
     });
--- a/crates/testkit/tests/foreign_rows.rs
+++ b/crates/testkit/tests/foreign_rows.rs
@@ -1,4 +1,4 @@
-//! Rows of other writers in the store's tables: any bytes at all.
+//! Rows of other writers in the store's tables, which may hold arbitrary bytes.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,12 +16,13 @@
 };
 use serde_json::{Value, json};
 
-/// Draws of each test; each is a call over loopback of a few milliseconds.
+/// Generated cases per test; each is a request over loopback of a few milliseconds.
 const CASES: u32 = 96;
 
-/// Longest wait for the store.
+/// Timeout of a request to the store.
 const WAIT: Duration = Duration::from_secs(5);
 
+/// Starts an empty store and a client for it.
 async fn store() -> anyhow::Result<(Arc<StoreRows>, RunningStandIn, RowClient)> {
     let rows = Arc::new(StoreRows::default());
     let addr = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -30,7 +31,8 @@
     Ok((rows, running, client))
 }
 
-fn sound_endpoint() -> Value {
+/// A valid row of an endpoint.
+fn valid_endpoint() -> Value {
     json!({
         "service": "ledger", "address": "10.1.0.9:8000", "zone": "hall", "version": "v1",
         "slots": 8, "state": "ready", "cold_remaining_ms": 0, "sequence": 1, "born": 1_000,
@@ -38,7 +40,7 @@
     })
 }
 
-/// Any JSON value of a few levels.
+/// Any JSON value, nested up to three levels.
 fn any_json() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -56,12 +58,12 @@
     })
 }
 
-/// `sound` with one field missing or of any other content.
-fn spoilt(sound: Value) -> impl Strategy<Value = Vec<u8>> {
+/// `valid` with one field removed or replaced by any JSON value.
+fn corrupted(valid: Value) -> impl Strategy<Value = Vec<u8>> {
     let fields: Vec<String> =
-        sound.as_object().map(|map| map.keys().cloned().collect()).unwrap_or_default();
+        valid.as_object().map(|map| map.keys().cloned().collect()).unwrap_or_default();
     (prop::sample::select(fields), prop::option::of(any_json())).prop_map(move |(field, value)| {
-        let mut row = sound.clone();
+        let mut row = valid.clone();
         if let Some(map) = row.as_object_mut() {
             match value {
                 Some(value) => map.insert(field, value),
@@ -72,17 +74,17 @@
     })
 }
 
-/// Bytes, JSON, or a row that is sound but for one field.
-fn any_row(sound: Value) -> impl Strategy<Value = Vec<u8>> {
+/// Arbitrary bytes, arbitrary JSON, or a valid row with one field corrupted.
+fn any_row(valid: Value) -> impl Strategy<Value = Vec<u8>> {
     prop_oneof![
         prop::collection::vec(any::<u8>(), 0..200),
         any_json().prop_map(|value| value.to_string().into_bytes()),
-        spoilt(sound),
+        corrupted(valid),
     ]
 }
 
-/// Plays `check` on drawn bytes, always the same ones.
-fn for_rows(sound: Value, check: impl Fn(Vec<u8>) -> Result<(), TestCaseError>) {
+/// Runs `check` on generated rows, with a fixed seed.
+fn for_rows(valid: Value, check: impl Fn(Vec<u8>) -> Result<(), TestCaseError>) {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(
         config,
@@ -90,39 +92,39 @@
             proptest::test_runner::RngAlgorithm::ChaCha,
         ),
     );
-    runner.run(&any_row(sound), check).expect("every row is borne");
+    runner.run(&any_row(valid), check).expect("every row is handled");
 }
 
 fn run<T>(test: impl Future<Output = anyhow::Result<T>>) -> T {
     cassiawheel_runtime::run(2, test).expect("the executor runs").expect("the test passes")
 }
 
-/// Another writer puts bytes into the list of endpoints where a sound row was. Callers
-/// must not be sent to the earlier endpoint on the word of a row that is gone, and the
-/// other rows must hold: a reader that gave up on the page would lose every endpoint.
+/// Another writer overwrites a valid endpoint row with arbitrary bytes. Requests must not be
+/// routed to the earlier endpoint by a row that is gone, and the other rows must stay valid: a
+/// reader that rejected the whole page would lose every endpoint.
 #[test]
 fn a_foreign_row_of_the_list_harms_no_other() {
-    for_rows(sound_endpoint(), |bytes| {
+    for_rows(valid_endpoint(), |bytes| {
         let listed: Vec<ListedRow> = run(async {
             let (rows, _running, client) = store().await?;
-            rows.put("servers", "i-1", &sound_endpoint());
-            rows.put("servers", "i-2", &sound_endpoint());
+            rows.put("servers", "i-1", &valid_endpoint());
+            rows.put("servers", "i-2", &valid_endpoint());
             rows.put_bytes("servers", "i-1", &bytes);
             Ok(ServerTable::new(client).read_all().await?.rows)
         });
         prop_assert_eq!(listed.len(), 2);
         for row in &listed {
             let is_foreign = row.instance.as_str() == "i-1";
-            prop_assert!(is_foreign || row.endpoint.is_some(), "the sound row is lost");
-            // A foreign row is told as one, or happens to be sound.
+            prop_assert!(is_foreign || row.endpoint.is_some(), "the valid row is lost");
+            // A foreign row is reported as unusable, or happens to be valid.
             prop_assert!(row.endpoint.is_some() != row.is_unusable);
         }
         Ok(())
     });
 }
 
-/// Another writer spoils the operators' row of a version. The preset beside it stays in
-/// force, and the damage is told with the row's name.
+/// Another writer corrupts the operators' row of a version. The preset beside it stays in force,
+/// and the finding names the row.
 #[test]
 fn a_foreign_row_of_the_operators_harms_no_other() {
     for_rows(json!({ "model": "guide", "version": 2 }), |bytes| {
@@ -144,8 +146,8 @@
     });
 }
 
-/// Another writer spoils the configuration. No caller may be routed by half of it: it is
-/// one finding, and nothing of it comes into force.
+/// Another writer corrupts the configuration. It must not be applied in part: it is reported as
+/// one finding, and nothing of it takes effect.
 #[test]
 fn a_spoilt_configuration_is_one_finding() {
     for_rows(config(1, &["safe", "unsafe"], 1_500), |bytes| {
--- a/crates/testkit/tests/headers.rs
+++ b/crates/testkit/tests/headers.rs
@@ -1,4 +1,4 @@
-//! Header fields on their way to a plain service and back.
+//! Header fields passed through to a plain service and back.
 
 use std::time::Duration;
 
@@ -18,9 +18,8 @@
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
 }
 
-/// A booth's request carries a field of its service's own, and the answer too.
-/// Were they dropped, the service would answer a booth that it does not know. A
-/// service that claims a field of the system's must not be believed.
+/// A request and its answer carry a header field of the service, which must be passed on in both
+/// directions. A header field of the system that the service sets itself must be replaced.
 #[rstest]
 #[case::streamed("true")]
 #[case::whole("false")]
@@ -30,8 +29,9 @@
         let deployment = Deployment::start(&plan).await?;
         let content = json!({ "services": { PLAIN_SERVICE: { "kind": "plain", "replicas": 1 } } });
         deployment.force("ordinary", &content, "change-1").await?;
-        // A plain service serves before its agent has heard of the preset; until
-        // then the agent sends a request back once, to be routed by the newer one.
+        // A plain service is ready before its agent has the preset. Until then the
+        // agent returns a request once so that it is routed under the newer preset,
+        // and the number of attempts would be higher.
         let ready = |status: &serde_json::Value| {
             status["services"][PLAIN_SERVICE]["replicas_ready"] == 1
                 && status["behind"].as_array().is_some_and(Vec::is_empty)
--- a/crates/testkit/tests/product_admin.rs
+++ b/crates/testkit/tests/product_admin.rs
@@ -1,4 +1,4 @@
-//! The operators' API against strangers and bad input, over real TCP.
+//! The admin API with invalid credentials and bad input, over real TCP.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 const START_TIME: Duration = Duration::from_secs(20);
 
-/// Every call that there is.
+/// Every method and path of the API.
 const CALLS: [(Method, &str); 8] = [
     (Method::GET, "/v1/status"),
     (Method::GET, "/v1/force"),
@@ -38,12 +38,13 @@
     let deployment = Deployment::start(&plan).await?;
     deployment.wait_status(0, START_TIME, |_| true).await?;
     deployment.force("ordinary", &content(1), "change-1").await?;
-    // An entry that has just started takes a preset up once it has heard its peers.
+    // A newly started entry adopts a preset only after it has heard from its peers.
     deployment.wait_status(0, START_TIME, |status| status["revision"] == 1).await?;
     Ok(deployment)
 }
 
-/// What a stranger could change: rows, the preset in force, who leaves.
+/// Everything that an unauthorized request could change: rows, the revision in force, the
+/// entries.
 async fn state(deployment: &Deployment) -> anyhow::Result<(String, Value, Value)> {
     let rows = format!("{:?}", deployment.table.scan("preset/"));
     let rows = format!("{rows}{:?}", deployment.table.scan("change"));
@@ -59,9 +60,8 @@
     body.to_string().into_bytes()
 }
 
-/// Someone without a token finds the operators' port, or an operator's script
-/// has an old token. Whatever is called, the answer is a refusal and nothing
-/// has changed.
+/// Requests without a token, or with an invalid or outdated one, are refused on every path and
+/// change nothing.
 #[rstest]
 #[case::no_token("")]
 #[case::wrong_token("not-a-token-of-the-settings")]
@@ -82,7 +82,7 @@
     });
 }
 
-/// A wall display's token leaks. It reads everything and changes nothing.
+/// A viewer token may read everything and change nothing.
 #[test]
 fn a_viewer_changes_nothing() {
     run(async {
@@ -101,8 +101,8 @@
     });
 }
 
-/// An operator's tool sends what it should not. Each time it is told what is
-/// wrong and where, nothing is stored, and the entry goes on.
+/// Bad input gets an error that says what is wrong and where; nothing is stored, and the entry
+/// keeps running.
 #[rstest]
 #[case::no_json(Method::PUT, "/v1/presets/peak", "{\"services\": ", 400, "bad-request", "")]
 #[case::two_bodies(
@@ -178,7 +178,7 @@
     });
 }
 
-/// Every fault of a preset is named at once, as with settings.
+/// All findings of a preset are reported at once, as with settings.
 #[test]
 fn all_findings_of_a_preset_are_told() {
     run(async {
@@ -205,7 +205,7 @@
     });
 }
 
-/// A body far beyond what a preset needs. The entry refuses it without taking it in.
+/// A body far larger than any preset is refused without being buffered.
 #[test]
 fn an_over_long_body_is_refused() {
     run(async {
--- a/crates/testkit/tests/product_cli.rs
+++ b/crates/testkit/tests/product_cli.rs
@@ -1,4 +1,4 @@
-//! The operator's commands as a script sees them: output and exit codes.
+//! The operator's commands as used by a script: output and exit codes.
 
 use std::{path::Path, process::Output, time::Duration};
 
@@ -10,13 +10,14 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-const LONG: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn run<T>(test: impl Future<Output = anyhow::Result<T>>) -> T {
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
 }
 
-async fn one_of_each() -> anyhow::Result<Deployment> {
+/// Starts one entry and one plain service with its agent.
+async fn start_pair() -> anyhow::Result<Deployment> {
     let plan = DeploymentPlan {
         entries: 1,
         model_agents: 0,
@@ -24,7 +25,7 @@
         ..DeploymentPlan::default()
     };
     let deployment = Deployment::start(&plan).await?;
-    deployment.wait_status(0, LONG, |status| status["endpoints"][0].is_object()).await?;
+    deployment.wait_status(0, TEST_TIMEOUT, |status| status["endpoints"][0].is_object()).await?;
     Ok(deployment)
 }
 
@@ -56,7 +57,7 @@
 #[test]
 fn a_session_of_an_operator() {
     run(async {
-        let deployment = one_of_each().await?;
+        let deployment = start_pair().await?;
         let folder = tempfile::tempdir()?;
         for (name, limit) in [("ordinary", 32), ("peak", 64)] {
             let file = write_preset(folder.path(), name, limit)?;
@@ -67,7 +68,7 @@
         assert_eq!(listed.lines().collect::<Vec<_>>(), ["PRESET", "ordinary", "peak"]);
         let told = operate(&deployment, &["preset", "force", "ordinary"]).await?;
         assert_eq!(told.trim(), "in force: ordinary as of revision 1");
-        deployment.wait_status(0, LONG, |status| status["revision"] == 1).await?;
+        deployment.wait_status(0, TEST_TIMEOUT, |status| status["revision"] == 1).await?;
 
         let changed = operate(&deployment, &["preset", "diff", "peak"]).await?;
         assert!(changed.contains("max_in_flight") && changed.contains("64"), "{changed}");
@@ -84,7 +85,7 @@
         assert!(got.contains(PLAIN_SERVICE), "{got}");
 
         let one_ready = |status: &Value| status["services"][PLAIN_SERVICE]["replicas_ready"] == 1;
-        deployment.wait_status(0, LONG, one_ready).await?;
+        deployment.wait_status(0, TEST_TIMEOUT, one_ready).await?;
         let rollout = operate(&deployment, &["rollout", "--json"]).await?;
         let rollout: Value = serde_json::from_str(&rollout)?;
         assert_eq!(rollout[0]["replicas_wanted"], 1);
@@ -95,20 +96,20 @@
     });
 }
 
-/// A drained endpoint gets no new work and its agent says so everywhere.
+/// A drained endpoint stops taking requests and its status shows that it is leaving.
 #[test]
 fn a_drained_endpoint_leaves() {
     run(async {
-        let deployment = one_of_each().await?;
+        let deployment = start_pair().await?;
         let told = operate(&deployment, &["drain", "endpoint-0"]).await?;
         assert!(told.contains("was asked to leave"), "{told}");
         let leaves = |status: &Value| status["endpoints"][0]["leaving"] != false;
-        deployment.wait_status(0, LONG, leaves).await?;
+        deployment.wait_status(0, TEST_TIMEOUT, leaves).await?;
         Ok(())
     });
 }
 
-/// Scripts decide by the exit code, so each kind of failure has its own.
+/// Scripts branch on the exit code, so each kind of failure has its own.
 #[rstest]
 #[case::usage(OPERATOR_TOKEN, &["preset", "force"], 2, "cassiawheel --help")]
 #[case::no_such_command(OPERATOR_TOKEN, &["restart"], 2, "cassiawheel --help")]
@@ -126,7 +127,7 @@
     #[case] told: &str,
 ) {
     run(async {
-        let deployment = one_of_each().await?;
+        let deployment = start_pair().await?;
         let output = command(&deployment, token, args).await?;
         let error = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(code), "{error}");
@@ -138,7 +139,7 @@
 #[test]
 fn findings_of_a_preset_are_told_with_their_places() {
     run(async {
-        let deployment = one_of_each().await?;
+        let deployment = start_pair().await?;
         let folder = tempfile::tempdir()?;
         let file = write_preset(folder.path(), "peak", 0)?;
         let args = ["preset", "put", "peak", &file];
@@ -150,13 +151,13 @@
     });
 }
 
-/// The table service carries the change out, and its answer is lost, as is
-/// every later one. The operator must neither be told yes nor no; the command
-/// that is printed, run again once the service answers, finds the one change.
+/// The table service performs the change, but this reply and all later ones are lost. The command
+/// must report neither success nor failure; the retry command that it prints, run once the
+/// service answers again, finds the one change.
 #[test]
 fn an_unknown_outcome_prints_how_to_ask_again() {
     run(async {
-        let deployment = one_of_each().await?;
+        let deployment = start_pair().await?;
         let folder = tempfile::tempdir()?;
         let file = write_preset(folder.path(), "peak", 8)?;
         operate(&deployment, &["preset", "put", "peak", &file]).await?;
@@ -176,14 +177,13 @@
     });
 }
 
-/// Two operators put different presets in force at the same moment, and the
-/// table service is slow, so that both read the same revision before either
-/// writes. One change wins; the other's operator must be told that it lost, and
-/// to whom, or would believe a preset in force that is not.
+/// Two operators concurrently put different presets in force, and the table service is slow, so
+/// that both read the same revision before either writes. One change wins; the other command must
+/// report the conflict and the winning preset.
 #[test]
 fn the_loser_of_a_race_is_told_the_winner() {
     run(async {
-        let deployment = one_of_each().await?;
+        let deployment = start_pair().await?;
         let folder = tempfile::tempdir()?;
         for name in ["ordinary", "peak"] {
             let file = write_preset(folder.path(), name, 8)?;
--- a/crates/testkit/tests/product_process.rs
+++ b/crates/testkit/tests/product_process.rs
@@ -1,4 +1,4 @@
-//! Start and stop of the binaries, and what `check-config` tells.
+//! Start and stop of the binaries, and the output of `check-config`.
 
 use std::{
     io::ErrorKind,
@@ -20,7 +20,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-const LONG: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn run<T>(test: impl Future<Output = anyhow::Result<T>>) -> T {
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
@@ -50,8 +50,8 @@
     }
 }
 
-/// A file with faults is refused before anything starts, by `serve` as well,
-/// and every line names the file and a place in it.
+/// Invalid settings are refused before anything starts, by `serve` as well, and every line of the
+/// output names the file and a place in it.
 #[test]
 fn settings_with_findings_start_nothing() {
     let files = files("../model/tests/data/invalid");
@@ -68,8 +68,8 @@
     }
 }
 
-/// The last address that an entry takes is in use. An entry that had already
-/// spoken to its peers by then would be advised to callers and then be gone.
+/// The last address that an entry binds is in use. If the entry had already connected to its
+/// peers by then, it would be listed in the advice to callers and then exit.
 #[test]
 fn an_address_in_use_starts_nothing() {
     let bind = || TcpListener::bind("127.0.0.1:0").expect("listens");
@@ -91,11 +91,11 @@
     assert_eq!(output.status.code(), Some(1), "{told}");
     assert!(told.contains("listen.metrics"), "{told}");
     peer.set_nonblocking(true).expect("set");
-    let spoke = peer.accept().map(drop);
-    assert_eq!(spoke.expect_err("nobody came").kind(), ErrorKind::WouldBlock);
+    let accepted = peer.accept().map(drop);
+    assert_eq!(accepted.expect_err("no connection is pending").kind(), ErrorKind::WouldBlock);
 }
 
-/// An entry and an agent with a caller whose answer takes far longer than any stop.
+/// One entry and one agent, with a request in progress that takes far longer than any stop.
 async fn with_slow_call(drain_ms: u64) -> anyhow::Result<Deployment> {
     let plan = DeploymentPlan {
         entries: 1,
@@ -107,13 +107,13 @@
     let deployment = Deployment::start(&plan).await?;
     let image = WeightImage::generate(ModelVersion::new("v1")?, 1, 1 << 20, 256 << 10);
     deployment.origin.add(image.into());
-    deployment.wait_status(0, LONG, |_| true).await?;
+    deployment.wait_status(0, TEST_TIMEOUT, |_| true).await?;
     let content = json!({ "services": {
         MODEL_SERVICE: { "kind": "model", "version": "v1", "replicas": 1 }
     } });
     deployment.force("ordinary", &content, "change-1").await?;
     let ready = |status: &Value| status["services"][MODEL_SERVICE]["replicas_ready"] == 1;
-    deployment.wait_status(0, LONG, ready).await?;
+    deployment.wait_status(0, TEST_TIMEOUT, ready).await?;
     let entry = deployment.entries[0].caller_addr;
     let slow = async move {
         let caller = TestCaller::default();
@@ -127,22 +127,21 @@
     Ok(deployment)
 }
 
-/// A request would hold up a planned stop for ever. The process ends at its
-/// deadline, and its exit code tells that a request was cut off.
+/// A request would block a planned stop indefinitely. The process exits at its drain deadline,
+/// and its exit code reports that a request was cut off.
 #[test]
 fn a_stop_ends_at_its_deadline() {
     run(async {
         let mut deployment = with_slow_call(500).await?;
         let mut entry = deployment.entries[0].process.take().expect("it was started");
         entry.terminate()?;
-        let ended = entry.wait(LONG).await?.expect("it ended");
+        let ended = entry.wait(TEST_TIMEOUT).await?.expect("it ended");
         assert_eq!(ended.code(), Some(1));
         Ok(())
     });
 }
 
-/// Whoever stops the process cannot wait for its deadline of minutes and asks
-/// again. Both binaries then end at once.
+/// A second SIGTERM during a drain of several minutes ends either binary at once.
 #[rstest]
 #[case::entry(true)]
 #[case::agent(false)]
@@ -155,7 +154,7 @@
         };
         let mut process = process.take().expect("it was started");
         process.terminate()?;
-        // A graceful stop is under way and waits for the request.
+        // The graceful stop is in progress and waits for the request.
         assert_eq!(process.wait(Duration::from_millis(500)).await?, None);
         process.terminate()?;
         let ended = process.wait(Duration::from_secs(5)).await?.expect("it ended");
@@ -164,25 +163,27 @@
     });
 }
 
-/// With nothing to finish, a stop is quick and clean.
+/// Without requests in progress, a stop is quick and exits with code 0.
 #[test]
 fn an_idle_process_stops_cleanly() {
     run(async {
         let plan = DeploymentPlan { entries: 1, model_agents: 1, ..DeploymentPlan::default() };
         let mut deployment = Deployment::start(&plan).await?;
-        deployment.wait_status(0, LONG, |status| status["endpoints"][0].is_object()).await?;
+        deployment
+            .wait_status(0, TEST_TIMEOUT, |status| status["endpoints"][0].is_object())
+            .await?;
         let entry = deployment.entries[0].process.take();
         let agent = deployment.endpoints[0].agent.take();
         for mut process in [agent, entry].into_iter().flatten() {
             process.terminate()?;
-            let ended = process.wait(LONG).await?.expect("it ended");
+            let ended = process.wait(TEST_TIMEOUT).await?.expect("it ended");
             assert_eq!(ended.code(), Some(0), "{}", process.name());
         }
         Ok(())
     });
 }
 
-/// Every metric that a process shows is explained to operators, with its name.
+/// Every metric that a process exports is documented for operators by its name.
 #[test]
 fn every_metric_is_documented() {
     let page = std::fs::read_to_string(folder("../../docs/operate/metrics-and-logs.md"))
@@ -190,7 +191,9 @@
     run(async {
         let plan = DeploymentPlan { entries: 1, model_agents: 1, ..DeploymentPlan::default() };
         let deployment = Deployment::start(&plan).await?;
-        deployment.wait_status(0, LONG, |status| status["endpoints"][0].is_object()).await?;
+        deployment
+            .wait_status(0, TEST_TIMEOUT, |status| status["endpoints"][0].is_object())
+            .await?;
         for config in [&deployment.entries[0].config, &deployment.endpoints[0].config] {
             let settings: Value = serde_json::from_slice(&std::fs::read(config)?)?;
             let addr = settings["listen"]["metrics"].as_str();
@@ -198,7 +201,7 @@
             let request = hyper::Request::get(format!("http://{addr}/metrics"))
                 .body(http_body_util::Full::default())?;
             let client = cassiawheel_edge::HttpClient::default();
-            let reply = client.send_and_read(request, LONG).await?;
+            let reply = client.send_and_read(request, TEST_TIMEOUT).await?;
             let text = String::from_utf8_lossy(reply.body()).into_owned();
             let names = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
             let names = names.filter_map(|line| line.split(' ').next());
--- a/crates/testkit/tests/rollout_bound.rs
+++ b/crates/testkit/tests/rollout_bound.rs
@@ -1,4 +1,4 @@
-//! The yardstick of rollouts.
+//! The lower bound on the duration of a rollout.
 
 use std::time::Duration;
 
@@ -12,8 +12,9 @@
     origin_bytes_per_s: 16 << 20,
 };
 
-/// The figure of the quickstart was 0.572: the bound counted links to which nothing held
-/// agents that serve nobody yet. What holds them is the origin's rate alone.
+/// The quickstart once reported 0.572 of the lower bound: the bound counted the agents' links,
+/// although nothing limits them while the agents serve no requests. Only the origin's rate limits
+/// such agents.
 #[rstest]
 #[case(BOUND, 4_000)]
 #[case(RolloutBound { link_bytes_per_s: None, ..BOUND }, 2_000)]
--- a/crates/testkit/tests/site_soak.rs
+++ b/crates/testkit/tests/site_soak.rs
@@ -1,4 +1,5 @@
-//! Drawn days on the users' platform, and verdicts that fail on a record with one thing wrong.
+//! Randomly generated runs on the users' platform, and checks that each verdict fails on a
+//! record with one defect.
 
 use std::time::Duration;
 
@@ -9,8 +10,8 @@
 use hyper::StatusCode;
 use rstest::rstest;
 
-/// Guards against requests that end endpoints and limits that are broken while entries and
-/// endpoints end, freeze and return, and against others who pay for it.
+/// Requests that crash endpoints, and rate limits, while entries and endpoints crash, freeze and
+/// return: the rules must hold, and other requests must not suffer.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -21,7 +22,7 @@
     assert_eq!(record.judge(), SiteVerdicts::default(), "seed {seed}");
 }
 
-/// Days for hand, as many as `SOAK_SEEDS` says from `SOAK_FROM` on, with fifteen entries.
+/// Long runs, started by hand: `SOAK_SEEDS` seeds from `SOAK_FROM` on, with fifteen entries.
 #[test]
 #[ignore = "started by hand, see docs/soak.md"]
 fn long_days_break_no_rule() {
@@ -50,8 +51,9 @@
     Timestamp(START.0 + ms)
 }
 
-/// A day on which nothing is wrong: three ends, and a limit of two that is used in full.
-fn sound_day() -> SiteRecord {
+/// A run without a defect: three crashes, and a limit of two requests per second that is fully
+/// used.
+fn valid_day() -> SiteRecord {
     let mut day = SiteRecord::default();
     let mut limited =
         EndpointRecord { limits: vec![LimitSpan::new(3, at(0), 2.0)], ..EndpointRecord::default() };
@@ -77,20 +79,20 @@
 
 #[test]
 fn a_sound_day_breaks_no_rule() {
-    assert_eq!(sound_day().judge(), SiteVerdicts::default());
+    assert_eq!(valid_day().judge(), SiteVerdicts::default());
 }
 
-/// Guards against a verdict that cannot fail.
+/// Each verdict must be able to fail.
 #[test]
 fn each_verdict_fails_on_a_day_with_one_thing_wrong() {
     let none = SiteVerdicts::default();
-    let mut day = sound_day();
+    let mut day = valid_day();
     day.endpoints[3].arrivals.push((at(1_300), "fatal-2".to_owned()));
     assert_eq!(day.judge(), SiteVerdicts { late_sends: 1, ..none });
     day.attempts.iter_mut().for_each(|attempt| attempt.in_touch = false);
-    assert_eq!(day.judge(), none, "an entry that was disturbed is excused");
+    assert_eq!(day.judge(), none, "entries that were disturbed are exempt");
 
-    let mut day = sound_day();
+    let mut day = valid_day();
     let more = (0..6).map(|number| (at(8_010), format!("r-{number}")));
     day.endpoints[3].arrivals.extend(more);
     assert!(day.judge().over_limit > 0);
@@ -98,18 +100,18 @@
     day.endpoints[3].limits[0].until = Some(at(8_000));
     assert_eq!(day.judge(), none, "a limit that has ended");
 
-    let mut day = sound_day();
+    let mut day = valid_day();
     day.attempts[0].answer = Some((StatusCode::SERVICE_UNAVAILABLE, "quarantined".to_owned()));
     day.endpoints[3].arrivals.remove(0);
     assert_eq!(day.judge(), SiteVerdicts { barred_others: 1, ..none });
 
-    let mut day = sound_day();
+    let mut day = valid_day();
     day.attempts[5].answer = Some((StatusCode::SERVICE_UNAVAILABLE, "overloaded".to_owned()));
     assert_eq!(day.judge(), none, "a request that reached an endpoint may have been refused");
     day.endpoints[3].runs.push("r-5".to_owned());
     assert_eq!(day.judge(), SiteVerdicts { false_refusals: 1, ..none });
 
-    let mut day = sound_day();
+    let mut day = valid_day();
     day.attempts[5].answer = Some((StatusCode::OK, "/safe/r-4".to_owned()));
     assert_eq!(day.judge(), SiteVerdicts { wrong_answers: 1, ..none });
 }
--- a/crates/testkit/tests/soak.rs
+++ b/crates/testkit/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Drawn scenarios, and a short one played.
+//! Randomly generated scenarios, and short runs of some of them.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 use cassiawheel_testkit::burst::{BurstOptions, BurstScenario, draw::draw_scenario, run_burst};
 use rstest::rstest;
 
-/// Drawn scenarios are valid ones, and a seed always draws the same.
+/// Generated scenarios are valid, and a seed always generates the same one.
 #[rstest]
 fn every_seed_draws_a_valid_scenario() {
     for seed in 0..300 {
@@ -22,9 +22,9 @@
     }
 }
 
-/// Processes are killed, paused and cut off in overlapping series while operators change
-/// the preset and links are slow, narrow, cut one way or reset. Callers get whole answers
-/// or honest words, and the end state is reached.
+/// Processes are killed, paused and partitioned in overlapping series while operators change the
+/// preset and links are slow, narrow, cut in one direction or reset. Every answer is complete or
+/// its outcome is reported truthfully, and the desired state is reached at the end.
 #[rstest]
 #[case(1, 8.0)]
 #[case(2, 8.0)]
@@ -33,10 +33,10 @@
     play(&scenario, seed);
 }
 
-/// Buyers were told "unknown" for ever of a sale that never ran. An entry had died while
-/// an agent wrote the claim of the sale's key; the agent saw the cancel after the write
-/// and gave the attempt up without a release. Five of five plays of this scenario broke,
-/// as it had been drawn, and the store still held the claims at the end.
+/// Requests with a key were answered "unknown" forever although they never ran. An entry had died
+/// while an agent wrote the claim of the key; the agent handled the cancel after the write and
+/// dropped the attempt without a release. Five of five runs of this scenario failed, as it had
+/// been generated, and the store still held the claims at the end.
 #[rstest]
 fn a_sale_cancelled_while_it_is_claimed_leaves_its_key_free() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
--- a/crates/testkit/tests/start_traffic.rs
+++ b/crates/testkit/tests/start_traffic.rs
@@ -1,4 +1,4 @@
-//! What entries send each other when all of them start at once.
+//! Traffic between entries that start at the same time.
 
 use std::time::Duration;
 
@@ -10,18 +10,19 @@
 use serde_json::json;
 use smol::Timer;
 
-/// Entries that start at once.
+/// Number of entries that start at the same time.
 const ENTRIES: usize = 8;
 
-/// Endpoints on the list.
-const LISTED: usize = 200;
+/// Number of endpoints on the list.
+const LISTED_ENDPOINTS: usize = 200;
 
-/// Bytes of a row of the list between entries, generously.
+/// Generous size of one list row on the wire between entries.
 const ROW_BYTES: usize = 300;
 
-/// Time for the entries to meet.
-const MEET_TIME: Duration = Duration::from_millis(1_500);
+/// Time for the entries to connect to each other.
+const CONNECT_TIME: Duration = Duration::from_millis(1_500);
 
+/// Control bytes that an entry has sent, from its metrics.
 async fn control_bytes(entry: &PlatformEntry) -> anyhow::Result<usize> {
     let url = format!("http://{}/metrics", entry.metrics);
     let request = Request::get(url).body(Full::new(Bytes::new()))?;
@@ -34,17 +35,17 @@
     Ok(line.parse()?)
 }
 
-/// All instances came back after a loss of power. Each of 45 entries told the whole list
-/// of endpoints to every other one and asked every other one for it: 46 MB in the first
-/// 0.6 s over links between regions that carry 4 MB a second. Entries of one region heard
-/// three seconds late that an endpoint was leaving and went on sending it requests, and
-/// answers that crossed regions were late. One list for each entry is enough.
+/// All instances came back after a power failure. Each of 45 entries sent the whole list of
+/// endpoints to every other one and requested it from every other one: 46 MB in the first 0.6 s
+/// over links between regions that carry 4 MB/s. Entries of one region learned three seconds late
+/// that an endpoint was leaving and kept routing requests to it, and answers between regions were
+/// late. One list per entry is enough.
 #[test]
 fn entries_that_start_together_send_one_list_to_each() {
     let test = async {
         let mut site = PlatformSite::prepare(1).await?;
         let row = site.row_of(0);
-        for index in 0..LISTED {
+        for index in 0..LISTED_ENDPOINTS {
             let mut row = row.clone();
             row["address"] = json!(format!("10.9.{}.{}:80", index / 250, index % 250 + 1));
             site.rows.put("servers", &format!("listed-{index}"), &row);
@@ -55,12 +56,12 @@
         for entry in &site.entries {
             site.wait_ready(entry, true).await?;
         }
-        Timer::after(MEET_TIME).await;
+        Timer::after(CONNECT_TIME).await;
         let mut sent = 0;
         for entry in &site.entries {
             sent += control_bytes(entry).await?;
         }
-        let bound = ENTRIES * LISTED * ROW_BYTES;
+        let bound = ENTRIES * LISTED_ENDPOINTS * ROW_BYTES;
         assert!(sent <= bound, "{sent} bytes; one list for each entry is {bound}");
         anyhow::Ok(())
     };
--- a/crates/testkit/tests/whole_path.rs
+++ b/crates/testkit/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path over real TCP, with every entry and agent a process of its own.
+//! The whole path over real TCP; every entry and agent is a separate process.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,8 +14,8 @@
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
 }
 
-/// A new version goes from the origin to every engine, and a caller gets its
-/// whole answer from that version.
+/// A new version is distributed from the origin to every engine, and a caller gets a complete
+/// answer from that version.
 #[rstest]
 fn a_version_is_distributed_and_answers() {
     run(async {
