--- a/crates/testkit/examples/capacity.rs
+++ b/crates/testkit/examples/capacity.rs
@@ -1,9 +1,9 @@
-//! What control costs an entry and an agent, at several sizes.
+//! Measures the cost of control traffic for entries and agents at several deployment sizes.
 //!
-//! Starts deployments of growing size without requests, with a change of the
-//! preset in force every five seconds, and prints processor time, memory,
-//! control bytes and store calls of a mean entry and agent. The slopes between
-//! the sizes are what `docs/CAPACITY.md` is worked out from.
+//! Starts deployments of growing size without requests, puts a preset in force every five
+//! seconds, and prints the mean processor time, memory and control bytes per entry and agent,
+//! and the store's reads and writes. The figures in `docs/CAPACITY.md` are derived from the
+//! slopes between the sizes.
 
 use std::{
     net::SocketAddr,
@@ -22,25 +22,25 @@
 use hyper::Request;
 use serde_json::json;
 
-/// Measures control cost at several sizes.
+/// Measures the cost of control traffic at several sizes.
 #[derive(FromArgs)]
 struct CapacityArgs {
-    /// sizes as ENTRIESxAGENTS, separated by commas
+    /// deployment sizes as ENTRIESxAGENTS, separated by commas
     #[argh(option, default = "String::from(\"3x8,3x32,3x96,9x32\")")]
     sizes: String,
-    /// seconds measured at each size
+    /// duration of the measurement at each size in seconds
     #[argh(option, default = "15")]
     seconds: u64,
 }
 
-/// Time between changes of the preset in force.
-const CHANGE_TIME: Duration = Duration::from_secs(5);
-/// Clock ticks a second in `/proc`.
+/// Interval between changes of the preset in force.
+const CHANGE_INTERVAL: Duration = Duration::from_secs(5);
+/// Clock ticks per second of the processor times in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
-/// Bytes of the version; small, since only control is measured.
+/// Size of the version in bytes; small, since only control traffic is measured.
 const MODEL_BYTES: usize = 1 << 20;
 
-/// Counters of one process at one moment.
+/// Resource counters of one process at one moment.
 #[derive(Debug, Clone, Copy, Default)]
 struct ProcessSample {
     cpu_s: f64,
@@ -89,7 +89,7 @@
     while started.elapsed() < span {
         change += 1;
         deployment.force("ordinary", &content, &format!("capacity-{change}")).await?;
-        smol::Timer::after(CHANGE_TIME).await;
+        smol::Timer::after(CHANGE_INTERVAL).await;
     }
     let seconds = started.elapsed().as_secs_f64();
     let reads = (deployment.table.reads() - reads) as f64 / seconds;
--- a/crates/testkit/examples/control.rs
+++ b/crates/testkit/examples/control.rs
@@ -1,7 +1,7 @@
-//! Figures of the control traffic: how long a change takes to be in force
-//! everywhere, how fast membership reacts, and what it all costs at rest.
+//! Measures the control traffic: time until a change is in force everywhere, reaction time of
+//! the membership, and resource use when idle.
 //!
-//! Entries and agents are processes of their own on loopback.
+//! Entries and agents are separate processes on loopback.
 
 use std::{
     fs,
@@ -29,21 +29,21 @@
 /// Measures control traffic on loopback.
 #[derive(FromArgs)]
 struct ControlArgs {
-    /// changes in each case
+    /// changes per case
     #[argh(option, default = "10")]
     changes: u64,
-    /// seconds over which the cost at rest is measured
+    /// seconds over which the resource use is measured
     #[argh(option, default = "10")]
     seconds: u64,
-    /// leave out the sizes and measure only one deployment
+    /// measure the resource use of one deployment size only
     #[argh(switch)]
     one_size: bool,
 }
 
-/// Entries and endpoints of today's users.
+/// Size of the users' present deployment.
 const TODAY: Size = Size { entries: 9, model_agents: 16, plain_agents: 4 };
 
-/// Sizes at which the cost at rest is measured.
+/// Deployment sizes at which the resource use is measured.
 const SIZES: [Size; 4] = [
     Size { entries: 3, model_agents: 8, plain_agents: 2 },
     TODAY,
@@ -51,14 +51,14 @@
     Size { entries: 18, model_agents: 60, plain_agents: 4 },
 ];
 
-/// Wait between two looks at a process.
-const LOOK: Duration = Duration::from_millis(5);
+/// Poll interval of a process's status.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Longest wait for anything.
+/// Timeout of every wait.
 const WAIT: Duration = Duration::from_secs(60);
 
-/// Jiffies in a second.
-const JIFFIES: f64 = 100.0;
+/// Clock ticks per second of the processor times in `/proc`.
+const TICKS_PER_S: f64 = 100.0;
 
 #[derive(Debug, Clone, Copy)]
 struct Size {
@@ -104,9 +104,8 @@
     Ok(())
 }
 
-/// Times changes while a third of the links between entries is missing.
-///
-/// The entries start again with lists of peers that leave those links out.
+/// Measures changes while a third of the links between entries is missing: the entries are
+/// restarted with peer lists that leave out those links.
 async fn time_with_cut_links(changes: u64) -> anyhow::Result<()> {
     let mut deployment = start(TODAY).await?;
     let inner: Vec<_> =
@@ -179,7 +178,7 @@
     deployment.wait_status(entry, WAIT, holds).await.map(drop)
 }
 
-/// What happens right after a change is accepted.
+/// Event right after a change is accepted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum ChangeCase {
     Quiet,
@@ -187,7 +186,7 @@
     EntryRestart,
 }
 
-/// Makes a change; the time from its acceptance until every process has it.
+/// Makes a change; returns the time from its acceptance until every process has it.
 async fn time_change(
     deployment: &mut Deployment,
     case: ChangeCase,
@@ -209,7 +208,7 @@
             deployment.restart_entry(last)?;
         }
     }
-    let looks: Vec<_> = deployment
+    let polls: Vec<_> = deployment
         .entries
         .iter()
         .map(|entry| spawn(entry_has(entry.admin_addr, revision)))
@@ -217,8 +216,8 @@
     let agents_addr = deployment.entries[0].admin_addr;
     let agents = deployment.endpoints.len();
     let agents = spawn(agents_have(agents_addr, revision, agents));
-    for look in looks {
-        look.await?;
+    for poll in polls {
+        poll.await?;
     }
     agents.await?;
     let took = accepted_at.elapsed();
@@ -229,7 +228,7 @@
     Ok(took)
 }
 
-async fn look(client: &HttpClient, addr: SocketAddr, path: &str) -> Option<Value> {
+async fn fetch(client: &HttpClient, addr: SocketAddr, path: &str) -> Option<Value> {
     let request = Request::get(format!("http://{addr}{path}"))
         .header("authorization", format!("Bearer {VIEWER_TOKEN}"))
         .body(Full::new(Bytes::new()))
@@ -239,18 +238,18 @@
 }
 
 async fn entry_has(addr: SocketAddr, revision: u64) -> anyhow::Result<()> {
-    look_until(addr, "/v1/force", |preset| preset["revision"] == revision).await
+    poll_until(addr, "/v1/force", |preset| preset["revision"] == revision).await
 }
 
 async fn agents_have(addr: SocketAddr, revision: u64, agents: usize) -> anyhow::Result<()> {
-    look_until(addr, "/v1/status", |status| {
+    poll_until(addr, "/v1/status", |status| {
         let rows = status["endpoints"].as_array().cloned().unwrap_or_default();
         rows.len() == agents && rows.iter().all(|row| row["report"]["revision"] == revision)
     })
     .await
 }
 
-async fn look_until(
+async fn poll_until(
     addr: SocketAddr,
     path: &str,
     holds: impl Fn(&Value) -> bool,
@@ -258,15 +257,16 @@
     let client = HttpClient::default();
     let end = Instant::now() + WAIT;
     while Instant::now() < end {
-        if look(&client, addr, path).await.is_some_and(|found| holds(&found)) {
+        if fetch(&client, addr, path).await.is_some_and(|found| holds(&found)) {
             return Ok(());
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
-    anyhow::bail!("{addr}{path} did not come about")
+    anyhow::bail!("{addr}{path} did not reach the expected state")
 }
 
-/// Times from a word of leaving, the list's word and a kill until no entry routes there.
+/// Measures the time until no entry routes to an endpoint after its agent announces its leave,
+/// the platform's list marks it as leaving, its agent is killed, or its agent is paused.
 async fn time_membership(deployment: &mut Deployment) -> anyhow::Result<()> {
     let endpoint = deployment.endpoints[0].agent.as_ref().context("it runs")?;
     endpoint.terminate()?;
@@ -288,19 +288,19 @@
 async fn time_gone(deployment: &Deployment, index: usize) -> anyhow::Result<Duration> {
     let began = Instant::now();
     let instance = deployment.endpoints[index].instance.to_string();
-    let looks: Vec<_> = deployment
+    let polls: Vec<_> = deployment
         .entries
         .iter()
         .map(|entry| spawn(is_gone(entry.admin_addr, instance.clone())))
         .collect();
-    for look in looks {
-        look.await?;
+    for poll in polls {
+        poll.await?;
     }
     Ok(began.elapsed())
 }
 
 async fn is_gone(addr: SocketAddr, instance: String) -> anyhow::Result<()> {
-    look_until(addr, "/v1/status", |status| {
+    poll_until(addr, "/v1/status", |status| {
         let rows = status["endpoints"].as_array().cloned().unwrap_or_default();
         rows.iter().all(|row| row["report"]["instance"] != *instance || row["leaving"] == true)
     })
@@ -313,7 +313,7 @@
     println!("{what}: n={} p50={} max={}", times.len(), at(50), at(100));
 }
 
-/// What a set of processes has used so far.
+/// Resources that a set of processes has used so far.
 #[derive(Debug, Clone, Copy, Default)]
 struct Usage {
     cpu_s: f64,
@@ -328,8 +328,8 @@
         let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
         let fields: Vec<_> =
             stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-        let jiffies = |index: usize| fields[index].parse::<f64>().unwrap_or_default();
-        total.cpu_s += (jiffies(11) + jiffies(12)) / JIFFIES;
+        let ticks = |index: usize| fields[index].parse::<f64>().unwrap_or_default();
+        total.cpu_s += (ticks(11) + ticks(12)) / TICKS_PER_S;
         let status = fs::read_to_string(format!("/proc/{id}/status"))?;
         let rss = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let rss = rss.and_then(|text| text.split_whitespace().next()?.parse::<f64>().ok());
@@ -339,7 +339,7 @@
     Ok(total)
 }
 
-/// Bytes that a process has sent to others of the system.
+/// Bytes that a process has sent to other processes of the system, from its metrics.
 async fn sent_bytes(client: &HttpClient, metrics: SocketAddr) -> anyhow::Result<f64> {
     let request = Request::get(format!("http://{metrics}/metrics")).body(Full::default())?;
     let reply = client.send_and_read(request, Duration::from_secs(2)).await?;
--- a/crates/testkit/examples/hop.rs
+++ b/crates/testkit/examples/hop.rs
@@ -1,9 +1,10 @@
-//! What one entry and one agent add to a call, and how many calls one entry takes.
+//! Measures the latency that one entry and one agent add to a call, and the throughput of one
+//! entry.
 //!
-//! Open loop: calls at a fixed rate, each timed from the moment at which it was
-//! due, once straight to the services and once through the entry. Closed loop:
-//! a fixed number of callers that send one call after another. Load, services,
-//! entry and agents share the machine; the decision log is on.
+//! Open loop: calls at a fixed rate, each timed from the moment at which it was due, once
+//! directly to the services and once through the entry. Closed loop: a fixed number of callers
+//! that send one call after another. Load generator, services, entry and agents share the
+//! machine; the decision log is enabled.
 
 use std::{
     net::SocketAddr,
@@ -33,22 +34,22 @@
 const CALL_TIME: Duration = Duration::from_secs(10);
 const START_TIME: Duration = Duration::from_secs(30);
 
-/// Measures the hop of one entry and its agents.
+/// Measures the latency and throughput of one entry and its agents.
 #[derive(FromArgs)]
 struct HopArgs {
     /// calls per second in the open loop
     #[argh(option, default = "2000")]
     rate: u64,
-    /// length of each measurement in seconds
+    /// duration of each measurement in seconds
     #[argh(option, default = "10")]
     seconds: u64,
     /// callers in the closed loop
     #[argh(option, default = "128")]
     callers: usize,
-    /// plain services with their agents
+    /// plain services, each with its agent
     #[argh(option, default = "4")]
     endpoints: usize,
-    /// threads of this process: load and services
+    /// threads of this process, which runs the load generator and the services
     #[argh(option, default = "6")]
     threads: usize,
 }
@@ -106,10 +107,11 @@
     Ok(())
 }
 
-/// Microseconds in a tick of the kernel's account of processor time.
+/// Microseconds per clock tick of the processor times in `/proc`.
 const TICK_US: f64 = 10_000.0;
 
-/// Processor time of our processes, in ticks; other load does not disturb it much.
+/// Processor time of the entries and agents in ticks; other load on the machine barely affects
+/// it.
 struct ProcessorTime {
     entry: u64,
     agents: u64,
@@ -129,7 +131,7 @@
 /// User and system time of a process, in ticks.
 fn ticks(process: u32) -> anyhow::Result<u64> {
     let text = std::fs::read_to_string(format!("/proc/{process}/stat"))?;
-    // The name in parentheses may have spaces; times are the 12th and 13th after it.
+    // The name in parentheses may contain spaces; the times are fields 12 and 13 after it.
     let (_, fields) = text.rsplit_once(')').context("not a stat line")?;
     let mut times = fields.split_whitespace().skip(11).take(2).map(str::parse::<u64>);
     let user = times.next().context("no user time")??;
@@ -137,7 +139,7 @@
     Ok(user + system)
 }
 
-/// Where an endpoint's service is called, as its agent is told.
+/// URL of an endpoint's service, from the settings of its agent.
 fn service_url(endpoint: &TestEndpoint) -> anyhow::Result<String> {
     let settings: AgentSettings = serde_json::from_slice(&std::fs::read(&endpoint.config)?)?;
     Ok(format!("http://{}/ask", settings.engine.addr))
@@ -167,7 +169,8 @@
     Ok(())
 }
 
-/// Sends calls at a fixed rate and times each from the moment at which it was due.
+/// Sends calls at a fixed rate and times each from the moment at which it was due, so that
+/// queueing delay is included.
 async fn open_loop(urls: &[String], rate: u64, span: Duration) -> anyhow::Result<Histogram<u64>> {
     let client = HttpClient::default();
     let (times, results) = unbounded();
@@ -195,7 +198,8 @@
     Ok(histogram)
 }
 
-/// Lets `callers` send one call after another; tells calls and failures.
+/// Runs `callers` that each send one call after another; returns the numbers of successful and
+/// failed calls.
 async fn closed_loop(url: &str, callers: usize, span: Duration) -> anyhow::Result<(u64, u64)> {
     let (calls, failed) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
     let end = Instant::now() + span;
--- a/crates/testkit/examples/quickstart.rs
+++ b/crates/testkit/examples/quickstart.rs
@@ -1,8 +1,8 @@
-//! The main job, from the weights at the origin to a caller's whole answer.
+//! The main path of the system, from the weights at the origin to a caller's complete answer.
 //!
-//! Starts the stand-ins, three entries and eight agents as separate processes
-//! on loopback; distributes a version, calls it, rolls a second version out and
-//! stops an agent under load, then prints what happened.
+//! Starts the stand-ins, three entries and eight agents as separate processes on loopback;
+//! distributes a version, calls it, rolls out a second version, stops an agent under load, and
+//! prints the results.
 
 use std::{
     collections::HashMap,
@@ -32,46 +32,46 @@
 use http_body_util::Full;
 use serde_json::json;
 
-/// Runs the main job on loopback and prints what happened.
+/// Runs the main path on loopback and prints the results.
 #[derive(FromArgs)]
 struct QuickstartArgs {
-    /// end with one line of JSON
+    /// print the results as one line of JSON at the end
     #[argh(switch)]
     json: bool,
-    /// keep settings and logs of the processes and tell where they are
+    /// keep the settings and logs of the processes and print their folder
     #[argh(switch)]
     keep_logs: bool,
 }
 
-/// Bytes of each version.
+/// Size of each version in bytes.
 const MODEL_BYTES: usize = 32 << 20;
-/// Bytes of a chunk.
+/// Size of a chunk in bytes.
 const CHUNK_BYTES: u32 = 256 << 10;
-/// Time in which the origin's link carries four copies and a machine's two.
+/// Seconds in which the origin's link carries four copies and a machine's link two.
 const WINDOW_S: u64 = 8;
-/// Agents.
+/// Number of agents.
 const AGENTS: usize = 8;
-/// Callers at a time during the rollout.
+/// Number of concurrent callers during the rollout.
 const CALLERS: usize = 8;
 
-/// Tokens of an answer.
+/// Number of tokens of an answer.
 const TOKENS: u32 = 16;
 
-/// What callers were told.
+/// Numbers of calls by outcome.
 #[derive(Debug, Default)]
 struct CallCounts {
-    /// Whole answers, each compared with the one that its version gives.
+    /// Complete answers that match the expected answer of their version.
     complete: u64,
-    /// Told that the request was not run.
+    /// Reported as not run.
     not_run: u64,
-    /// Told that it is unknown, or cut off with an error.
+    /// Reported as unknown, or cut off with an error.
     unknown: u64,
-    /// Answers that look whole and are neither right nor one of the next two.
+    /// Answers that look complete but are wrong, other than truncated or mixed ones.
     wrong: u64,
-    /// Answers that look whole and lack their end.
+    /// Answers that look complete but lack their end.
     truncated: u64,
-    /// Answers whose tokens are from the weights of more than one version, or
-    /// of another version than the answer says.
+    /// Answers with tokens from the weights of more than one version, or of another
+    /// version than the answer names.
     mixed: u64,
 }
 
@@ -85,8 +85,8 @@
         self.mixed += other.mixed;
     }
 
-    /// Answers that a caller would have taken for right ones.
-    fn dishonest(&self) -> u64 {
+    /// Incorrect answers that a caller cannot tell from correct ones.
+    fn undetected(&self) -> u64 {
         self.wrong + self.truncated + self.mixed
     }
 }
@@ -144,7 +144,7 @@
     let bound = RolloutBound {
         model_bytes: MODEL_BYTES as u64,
         agents: AGENTS,
-        // The engines serve nothing yet.
+        // The engines serve nothing yet, so the agents' links are not limited.
         link_bytes_per_s: None,
         origin_bytes_per_s: plan.origin_bytes_per_s,
     };
@@ -187,11 +187,11 @@
         println!("{line}");
     }
     anyhow::ensure!(counts.complete > 0, "no caller got an answer");
-    anyhow::ensure!(counts.dishonest() == 0, "some answers were not what they seemed");
+    anyhow::ensure!(counts.undetected() == 0, "some answers were wrong, truncated or mixed");
     Ok(())
 }
 
-/// Stores a preset and puts it in force, as an operator does.
+/// Stores a preset and puts it in force with the operator's commands.
 async fn put_in_force(
     deployment: &Deployment,
     folder: &Path,
@@ -244,7 +244,7 @@
     let mut leaving = deployment.endpoints[0].agent.take().context("the agent is gone")?;
     leaving.terminate()?;
     let ended = leaving.wait(Duration::from_secs(15)).await?;
-    anyhow::ensure!(ended.is_some_and(|status| status.success()), "the agent did not stop well");
+    anyhow::ensure!(ended.is_some_and(|status| status.success()), "the agent did not stop cleanly");
     stop.store(true, Ordering::SeqCst);
     let mut total = CallCounts::default();
     for caller in callers {
@@ -253,8 +253,8 @@
     Ok(total)
 }
 
-/// Asks any of `entries` which of them to use.
-async fn ask_advice(entries: &[SocketAddr]) -> anyhow::Result<EntryAdvice> {
+/// Fetches the advice on which entries to use from the first of `entries` that answers.
+async fn fetch_advice(entries: &[SocketAddr]) -> anyhow::Result<EntryAdvice> {
     let client = HttpClient::default();
     for entry in entries {
         let request =
@@ -264,7 +264,7 @@
         };
         return Ok(serde_json::from_slice(reply.body())?);
     }
-    anyhow::bail!("no entry tells which one to use")
+    anyhow::bail!("no entry answered the request for advice")
 }
 
 async fn call_until(
@@ -276,10 +276,10 @@
     let client = TestCaller::default();
     let mut counts = CallCounts::default();
     let mut number = 0;
-    let mut advice = ask_advice(&entries).await?;
+    let mut advice = fetch_advice(&entries).await?;
     while !stop.load(Ordering::SeqCst) {
         if advice.valid_until.is_past(Timestamp::now()) {
-            advice = ask_advice(&entries).await?;
+            advice = fetch_advice(&entries).await?;
         }
         number += 1;
         let prompt = format!("tour slot for caller {caller}, question {number}");
@@ -293,7 +293,7 @@
                 counts.unknown += 1;
             }
             CallVerdict::Wrong(answer) => {
-                eprintln!("not what it seems: {answer:?}");
+                eprintln!("incorrect answer: {answer:?}");
                 count_wrong(&mut counts, &images, &prompt, &answer);
             }
         }
@@ -301,7 +301,7 @@
     Ok(counts)
 }
 
-/// Tells what is wrong with an answer by the weights from which each token comes.
+/// Classifies an incorrect answer by the weights that produced each token.
 fn count_wrong(
     counts: &mut CallCounts,
     images: &HashMap<String, Arc<WeightImage>>,
--- a/crates/testkit/examples/soak.rs
+++ b/crates/testkit/examples/soak.rs
@@ -1,4 +1,4 @@
-//! Drawn scenarios one after another; `docs/soak.md` tells how.
+//! Runs randomly generated scenarios one after another; see `docs/soak.md`.
 
 use argh::FromArgs;
 use cassiawheel_testkit::burst::{
@@ -6,27 +6,28 @@
 };
 use serde_json::json;
 
-/// Plays scenarios with random faults and judges what callers and engines saw.
+/// Runs scenarios with random faults and checks the invariants on what callers and engines
+/// recorded.
 #[derive(FromArgs)]
 struct SoakArgs {
     /// first seed; default 1
     #[argh(option, default = "1")]
     seed: u64,
-    /// seeds, one after another; default 1
+    /// number of consecutive seeds; default 1
     #[argh(option, default = "1")]
     seeds: u64,
-    /// length of each run's arrivals, in seconds; default 20
+    /// time over which requests arrive in each run, in seconds; default 20
     #[argh(option, default = "20.0")]
     seconds: f64,
-    /// a line of JSON for each seed
+    /// print one line of JSON per seed
     #[argh(switch)]
     json: bool,
-    /// keep settings and logs of the processes and tell where they are
+    /// keep the settings and logs of the processes and print their folder
     #[argh(switch)]
     keep_logs: bool,
 }
 
-/// Threads of the stand-ins and callers.
+/// Executor threads for the stand-ins and callers.
 const THREADS: usize = 4;
 
 fn main() -> anyhow::Result<()> {
--- a/crates/testkit/examples/transfer.rs
+++ b/crates/testkit/examples/transfer.rs
@@ -1,9 +1,9 @@
-//! One version on many agents over real TCP: time and origin copies beside the
-//! lower bound and two baselines.
+//! Distributes one version to many agents over real TCP and compares time and origin copies
+//! with the lower bound and two baselines.
 //!
-//! The origin's link carries four copies in a window and each machine's link
-//! two. With faults, two agents are killed, one is paused, one chunk in a
-//! hundred from the origin is corrupt, and the version changes half-way.
+//! The origin's link carries four copies per window and each machine's link two. With faults,
+//! two agents are killed, one is paused, one chunk in a hundred from the origin is corrupt,
+//! and the version changes half-way.
 
 use std::{
     sync::{
@@ -30,7 +30,7 @@
 /// Distributes a version over TCP and prints time and origin copies.
 #[derive(FromArgs)]
 struct TransferArgs {
-    /// agents (16)
+    /// number of agents (16)
     #[argh(option, default = "16")]
     agents: usize,
     /// size of a version in MiB (64)
@@ -42,26 +42,26 @@
     /// seconds in which the origin's link carries four copies (16)
     #[argh(option, default = "16")]
     window_s: u64,
-    /// part of each link kept free for live requests (0)
+    /// share of each link that is reserved for live requests (0)
     #[argh(option, default = "0.0")]
     live_share: f64,
-    /// weigh time more: allow up to four copies from the origin
+    /// optimise for time: allow up to four copies from the origin
     #[argh(switch)]
     time_mode: bool,
     /// kill two agents, pause one, corrupt one chunk in a hundred, change the version half-way
     #[argh(switch)]
     faults: bool,
-    /// call the service all the while, and tell the latencies with and without a transfer
+    /// also send calls, and print their latencies with and without a transfer
     #[argh(switch)]
     calls: bool,
-    /// keep settings and logs of the processes and tell where they are
+    /// keep the settings and logs of the processes and print their folder
     #[argh(switch)]
     keep_logs: bool,
 }
 
-/// Callers at a time.
+/// Number of concurrent callers.
 const CALLERS: usize = 8;
-/// Time that latencies are measured without a transfer.
+/// Duration of the latency measurement without a transfer.
 const QUIET_TIME: Duration = Duration::from_secs(8);
 
 fn main() -> anyhow::Result<()> {
@@ -78,7 +78,7 @@
         2 * self.model_bytes() as u64 / self.window_s
     }
 
-    /// What bounds a rollout to agents whose engines serve, or serve nothing yet.
+    /// Lower bound on a rollout. The agents' links limit it only if their engines already serve.
     fn bound(&self, serves: bool) -> RolloutBound {
         let share = 1.0 - self.live_share;
         RolloutBound {
@@ -132,7 +132,7 @@
         })
         .await
         .context("the agents did not report")?;
-    // The lists of peers follow the reports.
+    // The agents get their peer lists after their reports.
     Timer::after(Duration::from_secs(1)).await;
     if args.faults {
         return run_faulty(&args, &mut deployment).await;
@@ -175,7 +175,7 @@
     Ok(())
 }
 
-/// Prints a rollout to engines that served nothing before.
+/// Prints the result of a rollout to engines that served nothing before.
 fn print(
     case: &str,
     args: &TransferArgs,
@@ -190,7 +190,7 @@
     Ok(())
 }
 
-/// Baselines as their links would carry them at best; they are computed, not run.
+/// Prints the best possible times of two baselines; they are computed, not run.
 fn print_baselines(args: &TransferArgs) {
     let (size, origin) = (args.model_bytes() as f64, 2.0 * args.link() as f64);
     let link = args.link() as f64 * (1.0 - args.live_share);
@@ -227,7 +227,7 @@
     Ok(())
 }
 
-/// Latencies of calls while `work` goes on, ascending.
+/// Latencies of the calls that complete while `work` runs, ascending.
 async fn measure(
     deployment: &Deployment,
     images: &[Arc<WeightImage>],
--- a/crates/testkit/tests/burst_guards.rs
+++ b/crates/testkit/tests/burst_guards.rs
@@ -144,7 +144,7 @@
 }
 
 /// A request is refused because the preset in force has no such service, and a replica runs it
-/// nevertheless, although the caller was told that it did not run.
+/// nevertheless, although it was reported as not run.
 #[rstest]
 fn a_run_after_a_refusal_is_seen() {
     run(async {
--- a/crates/testkit/tests/burst_verdicts.rs
+++ b/crates/testkit/tests/burst_verdicts.rs
@@ -182,7 +182,7 @@
     assert_eq!(judged(&cut).cut_off, cut_off);
 }
 
-/// An endpoint was told to leave and still starts runs seconds later.
+/// An endpoint was ordered to leave and still starts runs seconds later.
 #[rstest]
 #[case::at_once(1_500, 0)]
 #[case::late(5_500, 1)]
@@ -248,7 +248,7 @@
     assert_eq!((counts.two_in_force, counts.converge_s_max), (1, 5.5));
 }
 
-/// The operator was told a result that contradicts the history.
+/// The result that the operator got contradicts the history.
 #[rstest]
 #[case::kept("b", ToldChange::Accepted(2), 0)]
 #[case::lost("c", ToldChange::Accepted(3), 1)]
--- a/crates/testkit/tests/control_presets.rs
+++ b/crates/testkit/tests/control_presets.rs
@@ -105,8 +105,8 @@
     Ok(())
 }
 
-/// The table service performs the write but its reply is lost. The operator is told that the
-/// outcome is unknown and retries with the same change id at another entry. The change must be
+/// The table service performs the write but its reply is lost. The outcome is reported as
+/// unknown, and the operator retries with the same change id at other entries. The change must be
 /// made once, not twice.
 #[rstest]
 fn a_change_whose_answer_was_lost_is_made_once() {
--- a/crates/testkit/tests/named_limits.rs
+++ b/crates/testkit/tests/named_limits.rs
@@ -25,7 +25,7 @@
 /// Time within which a limit has reached every entry.
 const PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
-/// Time after the first answer that carries a limit within which every entry must know it.
+/// Time after the first answer that carries a limit within which every entry must apply it.
 const LEARN_TIME: Duration = Duration::from_millis(300);
 
 /// Interval between two requests to one entry.
@@ -124,7 +124,7 @@
             load(&site, Duration::from_secs(3), &format!("limited-{round}")).await?;
             let arrivals = site.replicas[0].arrivals().into_iter().map(|arrival| arrival.at);
             let arrivals: Vec<_> = arrivals.filter(|at| *at >= named_at).collect();
-            // No entry can know the limit before the first answer that carries it.
+            // No entry has the limit before the first answer that carries it.
             let learned_at = arrivals[0].deadline_after(LEARN_TIME);
             let late: Vec<_> = arrivals.iter().filter(|at| learned_at.is_past(**at)).collect();
             assert!(late.len() <= 4, "round {round}: {late:?} after {named_at:?}");
--- a/crates/testkit/tests/product_admin.rs
+++ b/crates/testkit/tests/product_admin.rs
@@ -38,7 +38,7 @@
     let deployment = Deployment::start(&plan).await?;
     deployment.wait_status(0, START_TIME, |_| true).await?;
     deployment.force("ordinary", &content(1), "change-1").await?;
-    // A newly started entry adopts a preset only after it has heard from its peers.
+    // A newly started entry adopts a preset only after messages from its peers.
     deployment.wait_status(0, START_TIME, |status| status["revision"] == 1).await?;
     Ok(deployment)
 }
--- a/crates/testkit/tests/requests.rs
+++ b/crates/testkit/tests/requests.rs
@@ -212,8 +212,8 @@
     });
 }
 
-/// An agent is paused with a request in its socket and resumes after the caller was told that the
-/// outcome is unknown. It must not execute the request after its deadline.
+/// An agent is paused with a request in its socket and resumes after the outcome was reported as
+/// unknown. It must not execute the request after its deadline.
 #[test]
 fn a_paused_agent_runs_nothing_after_the_deadline() {
     run(async {
