--- a/crates/testkit/tests/burst_guards.rs
+++ b/crates/testkit/tests/burst_guards.rs
@@ -117,9 +117,9 @@
         let engine = bench.deployment.endpoints[0].engine.clone();
         engine.expect("a model engine").skip_chunk_check(true);
         bench.force().await?;
-        let asked = bench.request(0, CallKind::Generate).await?;
-        assert_eq!(asked.asks.last().map(|ask| ask.told), Some(ToldOutcome::Complete));
-        assert_eq!(bench.judge(vec![asked], Vec::new()).broken(), vec![("mixed", 1)]);
+        let record = bench.request(0, CallKind::Generate).await?;
+        assert_eq!(record.asks.last().map(|ask| ask.told), Some(ToldOutcome::Complete));
+        assert_eq!(bench.judge(vec![record], Vec::new()).broken(), vec![("mixed", 1)]);
         Ok(())
     });
 }
@@ -133,8 +133,8 @@
         bench.force().await?;
         let guarded =
             [bench.request(0, CallKind::Keyed).await?, bench.request(1, CallKind::Keyed).await?];
-        let told = guarded.iter().filter_map(|sale| sale.asks.last()?.revision);
-        assert_eq!(told.collect::<Vec<_>>(), [1, 1], "answers name the preset in force");
+        let revisions = guarded.iter().filter_map(|sale| sale.asks.last()?.revision);
+        assert_eq!(revisions.collect::<Vec<_>>(), [1, 1], "answers name the preset in force");
         assert_eq!(bench.judge(guarded.to_vec(), Vec::new()).doubles, 0);
         bench.deployment.table.ignore_guards(true);
         let sale = bench.request(0, CallKind::Keyed).await?;
--- a/crates/testkit/tests/burst_verdicts.rs
+++ b/crates/testkit/tests/burst_verdicts.rs
@@ -72,8 +72,8 @@
 }
 
 fn generated(told: ToldOutcome, body: &str) -> RunRecords {
-    let asked = request(CallKind::Generate, vec![ask(told, body)]);
-    records(vec![asked], vec![run("endpoint-0", None, 1_010)])
+    let record = request(CallKind::Generate, vec![ask(told, body)]);
+    records(vec![record], vec![run("endpoint-0", None, 1_010)])
 }
 
 fn sold(asks: Vec<AskRecord>, runs: Vec<RunRecord>) -> RunRecords {
--- a/crates/testkit/tests/control_drains.rs
+++ b/crates/testkit/tests/control_drains.rs
@@ -91,9 +91,9 @@
     async fn entry(&mut self) -> SocketAddr {
         let now = cassiawheel_model::Timestamp::now().0;
         while self.addresses.is_empty() || now >= self.valid_until {
-            let asked = self.known.remove(0);
-            self.known.push(asked);
-            let Some(advice) = self.request_advice(asked).await else {
+            let entry = self.known.remove(0);
+            self.known.push(entry);
+            let Some(advice) = self.request_advice(entry).await else {
                 continue;
             };
             self.valid_until = advice["valid_until"].as_u64().unwrap_or_default();
--- a/crates/testkit/tests/control_presets.rs
+++ b/crates/testkit/tests/control_presets.rs
@@ -197,7 +197,7 @@
         let deployment = Arc::new(start().await?);
         let mut accepted = vec![(1, "first".to_owned())];
         for round in 0..8 {
-            let asks = (0..3).map(|entry| {
+            let tasks = (0..3).map(|entry| {
                 let deployment = deployment.clone();
                 cassiawheel_runtime::spawn(async move {
                     let preset = if entry == 0 { "ordinary" } else { "peak" };
@@ -205,8 +205,8 @@
                     (request_change(&deployment, entry, preset, &change).await, change)
                 })
             });
-            for asked in asks.collect::<Vec<_>>() {
-                let (reply, change) = asked.await;
+            for task in tasks.collect::<Vec<_>>() {
+                let (reply, change) = task.await;
                 let reply = reply?;
                 match reply["result"].as_str() {
                     Some("accepted") => {
--- a/crates/testkit/tests/distribution.rs
+++ b/crates/testkit/tests/distribution.rs
@@ -433,7 +433,7 @@
             let verdict = call.await;
             let version = Some("v1".to_owned());
             assert!(
-                matches!(&verdict, CallVerdict::Complete { version: told, .. } if *told == version),
+                matches!(&verdict, CallVerdict::Complete { version: answered, .. } if *answered == version),
                 "{verdict:?}"
             );
         }
--- a/crates/testkit/tests/origin_connections.rs
+++ b/crates/testkit/tests/origin_connections.rs
@@ -123,8 +123,8 @@
     sender.send(ControlMessage::ManifestWanted { manifest: wanted.digest }).await?;
     loop {
         match receiver.recv().await? {
-            WireMessage::Control(ControlMessage::Manifest(told)) => {
-                return Ok(ManifestReply::Whole(told.as_ref().clone()));
+            WireMessage::Control(ControlMessage::Manifest(manifest)) => {
+                return Ok(ManifestReply::Whole(manifest.as_ref().clone()));
             }
             WireMessage::Control(ControlMessage::ManifestUnknown { .. }) => {
                 return Ok(ManifestReply::Unknown);
@@ -169,8 +169,8 @@
         let wanted = client_of(&origin).manifest(&version(1)).await?;
         for entry in &site.entries {
             wait_until(async || {
-                let told = request_manifest(entry.control, &wanted).await?;
-                Ok(told == ManifestReply::Whole(wanted.clone()))
+                let reply = request_manifest(entry.control, &wanted).await?;
+                Ok(reply == ManifestReply::Whole(wanted.clone()))
             })
             .await?;
         }
@@ -200,15 +200,15 @@
         Timer::after(OUTAGE_TIME).await;
         let _origin =
             LimitedOrigin::start_at(addr, MAX_CONNECTIONS, CHUNKS, Duration::ZERO).await?;
-        let told = loop {
+        let announced = loop {
             if let WireMessage::Control(ControlMessage::Named(named)) = receiver.recv().await?
                 && named.manifest.is_some()
             {
                 break named;
             }
         };
-        let told_age = Duration::from_millis(told.age_ms);
-        assert!(told_age >= OUTAGE_TIME, "announced with an age of {told_age:?}");
+        let announced_age = Duration::from_millis(announced.age_ms);
+        assert!(announced_age >= OUTAGE_TIME, "announced with an age of {announced_age:?}");
         Ok(())
     });
 }
--- a/crates/testkit/tests/product_admin.rs
+++ b/crates/testkit/tests/product_admin.rs
@@ -169,10 +169,10 @@
         let before = state(&deployment).await?;
         let body = body.as_bytes().to_vec();
         let reply = deployment.admin(0, OPERATOR_TOKEN, method, path, body).await?;
-        let told: Value = serde_json::from_slice(reply.body())?;
-        assert_eq!(reply.status().as_u16(), status, "{told}");
-        assert_eq!(told["error"], code, "{told}");
-        assert!(told["message"].as_str().is_some_and(|text| text.contains(named)), "{told}");
+        let error: Value = serde_json::from_slice(reply.body())?;
+        assert_eq!(reply.status().as_u16(), status, "{error}");
+        assert_eq!(error["error"], code, "{error}");
+        assert!(error["message"].as_str().is_some_and(|text| text.contains(named)), "{error}");
         assert_eq!(state(&deployment).await?, before);
         Ok(())
     });
@@ -191,8 +191,8 @@
         let path = "/v1/presets/peak";
         let reply = deployment.admin(0, OPERATOR_TOKEN, Method::PUT, path, body).await?;
         assert_eq!(reply.status(), StatusCode::UNPROCESSABLE_ENTITY);
-        let told: Value = serde_json::from_slice(reply.body())?;
-        let paths: Vec<_> = told["findings"].as_array().into_iter().flatten().collect();
+        let error: Value = serde_json::from_slice(reply.body())?;
+        let paths: Vec<_> = error["findings"].as_array().into_iter().flatten().collect();
         let paths: Vec<_> = paths.iter().filter_map(|found| found["path"].as_str()).collect();
         let wanted = [
             "services.desk.version",
@@ -200,7 +200,7 @@
             "services.ledger.version",
             "services.ledger.max_in_flight",
         ];
-        assert_eq!(paths, wanted, "{told}");
+        assert_eq!(paths, wanted, "{error}");
         Ok(())
     });
 }
--- a/crates/testkit/tests/product_cli.rs
+++ b/crates/testkit/tests/product_cli.rs
@@ -61,13 +61,13 @@
         let folder = tempfile::tempdir()?;
         for (name, limit) in [("ordinary", 32), ("peak", 64)] {
             let file = write_preset(folder.path(), name, limit)?;
-            let told = operate(&deployment, &["preset", "put", name, &file]).await?;
-            assert!(told.contains("not in force yet"), "{told}");
+            let output = operate(&deployment, &["preset", "put", name, &file]).await?;
+            assert!(output.contains("not in force yet"), "{output}");
         }
         let listed = operate(&deployment, &["preset", "list"]).await?;
         assert_eq!(listed.lines().collect::<Vec<_>>(), ["PRESET", "ordinary", "peak"]);
-        let told = operate(&deployment, &["preset", "force", "ordinary"]).await?;
-        assert_eq!(told.trim(), "in force: ordinary as of revision 1");
+        let output = operate(&deployment, &["preset", "force", "ordinary"]).await?;
+        assert_eq!(output.trim(), "in force: ordinary as of revision 1");
         deployment.wait_status(0, TEST_TIMEOUT, |status| status["revision"] == 1).await?;
 
         let changed = operate(&deployment, &["preset", "diff", "peak"]).await?;
@@ -75,10 +75,10 @@
         let same = operate(&deployment, &["preset", "diff", "ordinary"]).await?;
         assert_eq!(same.trim(), "no difference");
 
-        let told = operate(&deployment, &["preset", "--json", "force", "peak"]).await?;
-        let told: Value = serde_json::from_str(&told)?;
-        assert_eq!(told["result"], "accepted");
-        assert_eq!(told["preset"]["revision"], 2);
+        let output = operate(&deployment, &["preset", "--json", "force", "peak"]).await?;
+        let output: Value = serde_json::from_str(&output)?;
+        assert_eq!(output["result"], "accepted");
+        assert_eq!(output["preset"]["revision"], 2);
         let history = operate(&deployment, &["preset", "history"]).await?;
         assert_eq!(history.lines().count(), 3, "{history}");
         let got = operate(&deployment, &["preset", "get", "peak"]).await?;
@@ -101,8 +101,8 @@
 fn a_drained_endpoint_leaves() {
     run(async {
         let deployment = start_pair().await?;
-        let told = operate(&deployment, &["drain", "endpoint-0"]).await?;
-        assert!(told.contains("was asked to leave"), "{told}");
+        let output = operate(&deployment, &["drain", "endpoint-0"]).await?;
+        assert!(output.contains("was asked to leave"), "{output}");
         let leaves = |status: &Value| status["endpoints"][0]["leaving"] != false;
         deployment.wait_status(0, TEST_TIMEOUT, leaves).await?;
         Ok(())
@@ -124,14 +124,14 @@
     #[case] token: &str,
     #[case] args: &[&str],
     #[case] code: i32,
-    #[case] told: &str,
+    #[case] expected: &str,
 ) {
     run(async {
         let deployment = start_pair().await?;
         let output = command(&deployment, token, args).await?;
         let error = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(code), "{error}");
-        assert!(error.contains(told), "{error}");
+        assert!(error.contains(expected), "{error}");
         Ok(())
     });
 }
@@ -199,8 +199,8 @@
         let [(won, winner), (lost, _)] = ends;
         let error = String::from_utf8_lossy(&lost.stderr);
         assert_eq!((won.status.code(), lost.status.code()), (Some(0), Some(3)), "{error}");
-        let told = String::from_utf8_lossy(&lost.stdout);
-        assert!(told.contains(winner), "{told}");
+        let stdout = String::from_utf8_lossy(&lost.stdout);
+        assert!(stdout.contains(winner), "{stdout}");
         let history = operate(&deployment, &["preset", "history"]).await?;
         assert_eq!(history.lines().count(), 2, "one change: {history}");
         Ok(())
--- a/crates/testkit/tests/product_process.rs
+++ b/crates/testkit/tests/product_process.rs
@@ -59,11 +59,11 @@
     for file in files {
         for args in [&["check-config"][..], &["serve", "--config"][..]] {
             let output = call(&file, args);
-            let told = String::from_utf8_lossy(&output.stderr);
-            assert_eq!(output.status.code(), Some(2), "{}: {told}", file.display());
-            assert!(!told.is_empty());
+            let stderr = String::from_utf8_lossy(&output.stderr);
+            assert_eq!(output.status.code(), Some(2), "{}: {stderr}", file.display());
+            assert!(!stderr.is_empty());
             let name = file.file_name().expect("a name").to_string_lossy();
-            assert!(told.lines().all(|line| line.contains(&*name)), "{told}");
+            assert!(stderr.lines().all(|line| line.contains(&*name)), "{stderr}");
         }
     }
 }
@@ -87,9 +87,9 @@
     let file = folder.path().join("entry.json");
     std::fs::write(&file, settings.to_string()).expect("written");
     let output = call(&file, &["serve", "--config"]);
-    let told = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(1), "{told}");
-    assert!(told.contains("listen.metrics"), "{told}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(1), "{stderr}");
+    assert!(stderr.contains("listen.metrics"), "{stderr}");
     peer.set_nonblocking(true).expect("set");
     let accepted = peer.accept().map(drop);
     assert_eq!(accepted.expect_err("no connection is pending").kind(), ErrorKind::WouldBlock);
--- a/crates/testkit/tests/requests.rs
+++ b/crates/testkit/tests/requests.rs
@@ -412,7 +412,7 @@
         deployment.endpoints[index].agent.as_mut().expect("it runs").kill()?;
         let verdict = answer.await;
         assert!(matches!(verdict, CallVerdict::Unknown(_)), "{verdict:?}");
-        assert!(deployment.endpoints.iter().all(has_run), "the other engine was asked");
+        assert!(deployment.endpoints.iter().all(has_run), "the other engine got the request");
         Ok(())
     });
 }
