--- a/crates/testkit/examples/control.rs
+++ b/crates/testkit/examples/control.rs
@@ -55,7 +55,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Timeout of every wait.
-const WAIT: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Clock ticks per second of the processor times in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
@@ -144,12 +144,12 @@
     let deployment = Deployment::start(&plan).await?;
     let version = ModelVersion::new("v1")?;
     deployment.origin.add(Arc::new(WeightImage::generate(version, 7, 1 << 20, 256 << 10)));
-    deployment.wait_status(0, WAIT, |_| true).await?;
+    deployment.wait_status(0, TEST_TIMEOUT, |_| true).await?;
     deployment.force("ordinary", &content(1), "change-1").await?;
     let body = serde_json::to_vec(&content(2))?;
     let stored = deployment.admin(0, OPERATOR_TOKEN, Method::PUT, "/v1/presets/peak", body).await?;
     anyhow::ensure!(stored.status().is_success(), "{:?}", stored.body());
-    deployment.wait_engines("v1", size.model_agents, WAIT).await?;
+    deployment.wait_engines("v1", size.model_agents, TEST_TIMEOUT).await?;
     for entry in 0..size.entries {
         wait_everywhere(&deployment, entry, 1).await?;
     }
@@ -175,7 +175,7 @@
             && rows.len() == agents
             && rows.iter().all(|row| row["report"]["revision"] == revision)
     };
-    deployment.wait_status(entry, WAIT, holds).await.map(drop)
+    deployment.wait_status(entry, TEST_TIMEOUT, holds).await.map(drop)
 }
 
 /// Event right after a change is accepted.
@@ -255,7 +255,7 @@
     holds: impl Fn(&Value) -> bool,
 ) -> anyhow::Result<()> {
     let client = HttpClient::default();
-    let end = Instant::now() + WAIT;
+    let end = Instant::now() + TEST_TIMEOUT;
     while Instant::now() < end {
         if fetch(&client, addr, path).await.is_some_and(|found| holds(&found)) {
             return Ok(());
--- a/crates/testkit/examples/hop.rs
+++ b/crates/testkit/examples/hop.rs
@@ -31,8 +31,8 @@
 use serde_json::json;
 use smol::{Timer, channel::unbounded};
 
-const CALL_TIME: Duration = Duration::from_secs(10);
-const START_TIME: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Measures the latency and throughput of one entry and its agents.
 #[derive(FromArgs)]
@@ -69,14 +69,14 @@
         ..DeploymentPlan::default()
     };
     let deployment = Deployment::start(&plan).await?;
-    deployment.wait_status(0, START_TIME, |_| true).await?;
+    deployment.wait_status(0, START_TIMEOUT, |_| true).await?;
     let count = args.endpoints;
     let service = json!({ "kind": "plain", "replicas": count, "max_in_flight": 256 });
     let content = json!({ "services": { PLAIN_SERVICE: service } });
     deployment.force("hop", &content, "change-1").await?;
     let ready =
         |status: &serde_json::Value| status["services"][PLAIN_SERVICE]["replicas_ready"] == count;
-    deployment.wait_status(0, START_TIME, ready).await?;
+    deployment.wait_status(0, START_TIMEOUT, ready).await?;
 
     let direct: Vec<_> = deployment.endpoints.iter().map(service_url).collect::<Result<_, _>>()?;
     let entry = entry_url(deployment.entries[0].caller_addr);
@@ -164,7 +164,7 @@
     let request = Request::post(url)
         .header("cassiawheel-idempotent", "true")
         .body(Full::new(Bytes::from_static(b"when does the lift tour start")))?;
-    let reply = client.send_and_read(request, CALL_TIME).await?;
+    let reply = client.send_and_read(request, CALL_TIMEOUT).await?;
     anyhow::ensure!(reply.status().is_success(), "{}", reply.status());
     Ok(())
 }
--- a/crates/testkit/tests/burst_smoke.rs
+++ b/crates/testkit/tests/burst_smoke.rs
@@ -104,7 +104,7 @@
         anyhow::ensure!(early.is_none(), "a severed link carried a byte");
         link.links.end(1);
         link.endpoint.read_exact(&mut byte).await?;
-        anyhow::ensure!(&byte == b"b", "another byte came");
+        anyhow::ensure!(&byte == b"b", "a wrong byte arrived");
         Ok(())
     });
 }
@@ -146,8 +146,8 @@
         link.begin(LinkTrouble::Reset);
         link.caller.write_all(b"b").await?;
         let mut byte = [0];
-        let came = link.endpoint.read(&mut byte).await.unwrap_or(0);
-        anyhow::ensure!(came == 0, "a byte came");
+        let received = link.endpoint.read(&mut byte).await.unwrap_or(0);
+        anyhow::ensure!(received == 0, "a byte arrived");
         let back = link.caller.read(&mut byte).await.unwrap_or(0);
         anyhow::ensure!(back == 0, "the caller's end is still open");
         Ok(())
--- a/crates/testkit/tests/chunk_service.rs
+++ b/crates/testkit/tests/chunk_service.rs
@@ -40,7 +40,7 @@
         let deployment = serving_deployment(&plan, &image).await?;
         let mut client = ChunkClient::connect(&deployment).await?;
         client.request(1, &image, 0).await?;
-        anyhow::ensure!(client.receives_part(1).await, "the first chunk begins");
+        anyhow::ensure!(client.receives_part(1).await, "no part of the first chunk arrived");
         client.sender.send(ChunkMessage::Abandoned { call: 1 }).await?;
         anyhow::ensure!(client.gets_slot_soon(&image, 1).await?, "the slot is still taken");
         anyhow::Ok(())
@@ -71,7 +71,7 @@
         let mut client = ChunkClient::connect(&deployment).await?;
         anyhow::ensure!(client.receives_offer(&image).await, "the chunks are not offered");
         client.request(1, &image, 0).await?;
-        anyhow::ensure!(client.receives_part(1).await, "the first chunk comes");
+        anyhow::ensure!(client.receives_part(1).await, "no part of the first chunk arrived");
         anyhow::Ok(())
     };
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes");
--- a/crates/testkit/tests/control_drains.rs
+++ b/crates/testkit/tests/control_drains.rs
@@ -25,7 +25,7 @@
 use smol::Timer;
 
 /// Timeout of every wait.
-const WAIT: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Number of callers that follow the advice while processes are restarted.
 const CALLERS: usize = 8;
@@ -43,7 +43,7 @@
         ..DeploymentPlan::default()
     };
     let deployment = Deployment::start(&plan).await?;
-    deployment.wait_status(0, WAIT, |_| true).await?;
+    deployment.wait_status(0, TEST_TIMEOUT, |_| true).await?;
     let content = json!({ "services": { PLAIN_SERVICE: { "kind": "plain", "replicas": 3 } } });
     deployment.force("ordinary", &content, "first").await?;
     wait_settled(&deployment).await?;
@@ -61,7 +61,7 @@
                 && rows.iter().all(|row| row["leaving"] == false)
                 && status["services"][PLAIN_SERVICE]["replicas_ready"] == 3
         };
-        deployment.wait_status(index, WAIT, whole).await?;
+        deployment.wait_status(index, TEST_TIMEOUT, whole).await?;
     }
     Ok(())
 }
@@ -120,7 +120,7 @@
             headers: vec![("cassiawheel-idempotent", "true".to_owned())],
             body: b"seat".to_vec(),
         };
-        self.caller.call(call, WAIT, |_| Some("done seat ".to_owned())).await
+        self.caller.call(call, TEST_TIMEOUT, |_| Some("done seat ".to_owned())).await
     }
 }
 
@@ -150,12 +150,12 @@
         for index in 0..3 {
             let entry = deployment.entries[index].process.as_mut().expect("it runs");
             entry.terminate()?;
-            assert!(entry.wait(WAIT).await?.is_some_and(|status| status.success()));
+            assert!(entry.wait(TEST_TIMEOUT).await?.is_some_and(|status| status.success()));
             deployment.restart_entry(index)?;
             wait_settled(&deployment).await?;
             let agent = deployment.endpoints[index].agent.as_mut().expect("it runs");
             agent.terminate()?;
-            assert!(agent.wait(WAIT).await?.is_some_and(|status| status.success()));
+            assert!(agent.wait(TEST_TIMEOUT).await?.is_some_and(|status| status.success()));
             deployment.restart_agent(index)?;
             wait_settled(&deployment).await?;
         }
@@ -189,11 +189,13 @@
             assert!(reply.status().is_success(), "{:?}", reply.body());
         }
         for index in 0..2 {
-            deployment.wait_status(index, WAIT, |status| leaves(status, "endpoint-1")).await?;
+            deployment
+                .wait_status(index, TEST_TIMEOUT, |status| leaves(status, "endpoint-1"))
+                .await?;
         }
         let drained = deployment.entries[2].caller_addr;
         let caller = AdvisedCaller::new(Vec::new());
-        let end = std::time::Instant::now() + WAIT;
+        let end = std::time::Instant::now() + TEST_TIMEOUT;
         loop {
             let advice = caller.request_advice(deployment.entries[0].caller_addr).await;
             let advice = advice.unwrap_or_default().to_string();
@@ -227,7 +229,7 @@
                 rows.iter()
                     .any(|row| row["report"]["instance"] == "endpoint-0" && row["leaving"] == true)
             };
-            deployment.wait_status(index, WAIT, listed).await?;
+            deployment.wait_status(index, TEST_TIMEOUT, listed).await?;
         }
         let before = deployment.endpoints[0].ledger.as_ref().expect("plain").calls().len();
         let known = deployment.entries.iter().map(|entry| entry.caller_addr).collect();
@@ -251,7 +253,7 @@
         let frozen = deployment.endpoints[0].agent.as_ref().expect("it runs");
         frozen.pause()?;
         let dropped = |status: &Value| status["services"][PLAIN_SERVICE]["replicas_ready"] == 2;
-        deployment.wait_status(0, WAIT, dropped).await?;
+        deployment.wait_status(0, TEST_TIMEOUT, dropped).await?;
         frozen.resume()?;
         wait_settled(&deployment).await
     });
--- a/crates/testkit/tests/control_plan.rs
+++ b/crates/testkit/tests/control_plan.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 
 /// Timeout of every wait.
-const WAIT: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 const ENDPOINTS: usize = 4;
 
@@ -39,9 +39,9 @@
     for image in &images {
         deployment.origin.add(image.clone());
     }
-    deployment.wait_status(0, WAIT, |_| true).await?;
+    deployment.wait_status(0, TEST_TIMEOUT, |_| true).await?;
     deployment.force("ordinary", &content("v1", ENDPOINTS), "first").await?;
-    deployment.wait_engines("v1", ENDPOINTS, WAIT).await?;
+    deployment.wait_engines("v1", ENDPOINTS, TEST_TIMEOUT).await?;
     Ok((deployment, images))
 }
 
@@ -125,7 +125,7 @@
             });
             whole.count() == ENDPOINTS
         };
-        deployment.wait_status(1, WAIT, staged).await?;
+        deployment.wait_status(1, TEST_TIMEOUT, staged).await?;
         assert_eq!(deployment.engines_with("v1"), ENDPOINTS, "staging must not switch");
         deployment.origin_switches.set_down(true);
         post(&deployment, "/v1/force", &json!({ "preset": "peak", "change": "second" })).await?;
@@ -143,11 +143,11 @@
         deployment.force("peak", &content("v2", ENDPOINTS), "second").await?;
         deployment.endpoints[2].agent.as_mut().expect("it runs").kill()?;
         deployment.restart_agent(2)?;
-        deployment.wait_engines("v2", ENDPOINTS, WAIT).await?;
+        deployment.wait_engines("v2", ENDPOINTS, TEST_TIMEOUT).await?;
         let ready = |status: &Value| {
             status["services"][MODEL_SERVICE]["replicas_ready"] == ENDPOINTS as u64
         };
-        deployment.wait_status(0, WAIT, ready).await?;
+        deployment.wait_status(0, TEST_TIMEOUT, ready).await?;
         Ok(())
     });
 }
@@ -161,7 +161,7 @@
         let ready = |status: &Value| {
             status["services"][MODEL_SERVICE]["replicas_ready"] == ENDPOINTS as u64
         };
-        deployment.wait_status(0, WAIT, ready).await?;
+        deployment.wait_status(0, TEST_TIMEOUT, ready).await?;
         let tokens = |deployment: &Deployment| -> Vec<_> {
             let engines = deployment.endpoints.iter().filter_map(|e| e.engine.as_ref());
             engines.map(|engine| engine.fencing()).collect()
@@ -182,7 +182,7 @@
                     .filter(|row| row["report"]["incarnation"].as_u64() > Some(restarted_at));
                 newer.count() == ENDPOINTS && ready(status)
             };
-            deployment.wait_status(entry, WAIT, rejoined).await?;
+            deployment.wait_status(entry, TEST_TIMEOUT, rejoined).await?;
         }
         // By now every order that results from the reports after the restart has been sent.
         smol::Timer::after(Duration::from_millis(500)).await;
--- a/crates/testkit/tests/control_presets.rs
+++ b/crates/testkit/tests/control_presets.rs
@@ -15,7 +15,7 @@
 use serde_json::{Value, json};
 
 /// Timeout of every wait; the actual times are measured elsewhere.
-const WAIT: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn run<T>(test: impl Future<Output = anyhow::Result<T>>) -> T {
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
@@ -40,7 +40,7 @@
 }
 
 async fn wait_admin(deployment: &Deployment, entry: usize) -> anyhow::Result<()> {
-    deployment.wait_status(entry, WAIT, |_| true).await.map(drop)
+    deployment.wait_status(entry, TEST_TIMEOUT, |_| true).await.map(drop)
 }
 
 async fn put(deployment: &Deployment, name: &str, content: &Value) -> anyhow::Result<()> {
@@ -100,7 +100,7 @@
     let endpoints = deployment.endpoints.iter().filter(|e| e.agent.is_some()).count();
     for index in &running {
         let holds = |status: &Value| shows_revision(status, revision, running.len(), endpoints);
-        deployment.wait_status(*index, WAIT, holds).await?;
+        deployment.wait_status(*index, TEST_TIMEOUT, holds).await?;
     }
     Ok(())
 }
@@ -166,7 +166,7 @@
         let entry = &mut deployment.entries[2];
         entry.process.as_mut().expect("it runs").kill()?;
         deployment.restart_entry(2)?;
-        deployment.wait_status(2, WAIT, |status| shows_revision(status, 2, 3, 3)).await?;
+        deployment.wait_status(2, TEST_TIMEOUT, |status| shows_revision(status, 2, 3, 3)).await?;
         Ok(())
     });
 }
@@ -261,13 +261,13 @@
             let rows = status["endpoints"].as_array().cloned().unwrap_or_default();
             rows.len() == 3 && rows.iter().all(|row| row["report"]["revision"] == 2)
         };
-        deployment.wait_status(0, WAIT, endpoints_know).await?;
-        deployment.wait_status(1, WAIT, endpoints_know).await?;
+        deployment.wait_status(0, TEST_TIMEOUT, endpoints_know).await?;
+        deployment.wait_status(1, TEST_TIMEOUT, endpoints_know).await?;
         frozen.resume()?;
         let caller = TestCaller::default();
         let mut complete = 0;
         for _ in 0..50 {
-            let verdict = caller.call(plain_call(&deployment, 2), WAIT, plain_answer).await;
+            let verdict = caller.call(plain_call(&deployment, 2), TEST_TIMEOUT, plain_answer).await;
             if let CallVerdict::Complete { revision, .. } = verdict {
                 assert_eq!(revision, Some(2), "answered under a preset that was replaced");
                 complete += 1;
@@ -275,7 +275,7 @@
             let status = deployment.status(0).await?;
             assert_eq!(status["revision"], 2);
         }
-        assert!(complete > 0, "the resumed entry answered nobody");
+        assert!(complete > 0, "the resumed entry answered no request");
         wait_revision(&deployment, 2).await
     });
 }
--- a/crates/testkit/tests/crashing_requests.rs
+++ b/crates/testkit/tests/crashing_requests.rs
@@ -124,10 +124,10 @@
 fn requests_beside_one_that_ends_endpoints_are_served() {
     run(async {
         let mut site = PlatformSite::start(6, 2).await?;
-        let innocent = SiteCall { patience_ms: 5_000, ..SiteCall::new("r", "/stream/innocent") };
+        let unrelated = SiteCall { patience_ms: 5_000, ..SiteCall::new("r", "/stream/innocent") };
         for number in 0..12 {
             let (fatal, id) = (format!("fatal-{number}"), format!("r-{number}"));
-            let other = SiteCall { id: &id, ..innocent };
+            let other = SiteCall { id: &id, ..unrelated };
             let entry = number % 2;
             let (_, status) = smol::future::zip(
                 send(&site, entry, SiteCall::new(&fatal, "/safe/fatal")),
@@ -135,14 +135,14 @@
             )
             .await;
             let cut = status?.is_none_or(|status| status != StatusCode::OK);
-            assert!(!cut || site.ended() > 0, "an innocent request failed without cause");
+            assert!(!cut || site.ended() > 0, "an unrelated request failed without cause");
             site.replace_ended().await?;
             Timer::after(ARRIVAL_INTERVAL).await;
         }
         for number in 0..8 {
             let id = format!("after-{number}");
-            let status = send(&site, number % 2, SiteCall { id: &id, ..innocent }).await?;
-            assert_eq!(status, Some(StatusCode::OK), "an innocent request is refused");
+            let status = send(&site, number % 2, SiteCall { id: &id, ..unrelated }).await?;
+            assert_eq!(status, Some(StatusCode::OK), "an unrelated request is refused");
         }
         Ok(())
     });
--- a/crates/testkit/tests/foreign_order.rs
+++ b/crates/testkit/tests/foreign_order.rs
@@ -14,7 +14,7 @@
 use serde_json::json;
 use smol::Timer;
 
-const WAIT: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn run<T>(test: impl Future<Output = anyhow::Result<T>>) -> T {
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
@@ -54,7 +54,7 @@
         deployment.force("ordinary", &content, "change-1").await?;
         let ready =
             |status: &serde_json::Value| status["services"][MODEL_SERVICE]["replicas_ready"] == 1;
-        deployment.wait_status(0, WAIT, ready).await?;
+        deployment.wait_status(0, TEST_TIMEOUT, ready).await?;
 
         let entry = deployment.entries[0].caller_addr;
         let digest = new.answer_digest();
@@ -68,7 +68,7 @@
         let verdict = call.await;
         assert!(matches!(verdict, CallVerdict::Unknown(_)), "{verdict:?}");
         // The agent detects the foreign version and restores the ordered one.
-        deployment.wait_status(0, WAIT, ready).await?;
-        deployment.wait_engines("v2", 1, WAIT).await
+        deployment.wait_status(0, TEST_TIMEOUT, ready).await?;
+        deployment.wait_engines("v2", 1, TEST_TIMEOUT).await
     });
 }
--- a/crates/testkit/tests/foreign_rows.rs
+++ b/crates/testkit/tests/foreign_rows.rs
@@ -20,14 +20,14 @@
 const CASES: u32 = 96;
 
 /// Timeout of a request to the store.
-const WAIT: Duration = Duration::from_secs(5);
+const STORE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Starts an empty store and a client for it.
 async fn store() -> anyhow::Result<(Arc<StoreRows>, RunningStandIn, RowClient)> {
     let rows = Arc::new(StoreRows::default());
     let addr = SocketAddr::from(([127, 0, 0, 1], 0));
     let running = rows.serve(addr, Arc::new(FaultSwitches::default())).await?;
-    let client = RowClient::new(HttpClient::default(), running.addr, WAIT);
+    let client = RowClient::new(HttpClient::default(), running.addr, STORE_TIMEOUT);
     Ok((rows, running, client))
 }
 
--- a/crates/testkit/tests/headers.rs
+++ b/crates/testkit/tests/headers.rs
@@ -12,7 +12,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-const WAIT: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn run<T>(test: impl Future<Output = anyhow::Result<T>>) -> T {
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
@@ -36,13 +36,13 @@
             status["services"][PLAIN_SERVICE]["replicas_ready"] == 1
                 && status["behind"].as_array().is_some_and(Vec::is_empty)
         };
-        deployment.wait_status(0, WAIT, ready).await?;
+        deployment.wait_status(0, TEST_TIMEOUT, ready).await?;
         let entry = deployment.entries[0].caller_addr;
         let request = Request::post(format!("http://{entry}/v1/services/{PLAIN_SERVICE}/seat"))
             .header("cassiawheel-idempotent", idempotent)
             .header(ECHO_HEADER, "booth 7")
             .body(Full::new(Bytes::from_static(b"one seat")))?;
-        let answer = HttpClient::default().send_and_read(request, WAIT).await?;
+        let answer = HttpClient::default().send_and_read(request, TEST_TIMEOUT).await?;
         assert_eq!(answer.headers()[ECHO_HEADER], "booth 7");
         assert_eq!(answer.headers()["cassiawheel-attempts"], "1");
         assert_eq!(answer.headers().get_all("cassiawheel-attempts").iter().count(), 1);
--- a/crates/testkit/tests/named_limits.rs
+++ b/crates/testkit/tests/named_limits.rs
@@ -148,7 +148,7 @@
         let used: usize = site.replicas.iter().map(|replica| since(replica, from)).sum();
         let allowed = LIMIT * site.replicas.len() as f64 * span.as_secs_f64();
         assert!(used as f64 >= 0.85 * allowed, "{used} of {allowed} requests");
-        assert!(refused > 0, "more came than all take");
+        assert!(refused > 0, "the load exceeds all limits, so some requests must be refused");
         Ok(())
     });
 }
--- a/crates/testkit/tests/origin_connections.rs
+++ b/crates/testkit/tests/origin_connections.rs
@@ -37,7 +37,7 @@
 
 /// Allowed manifest reads: two by each of the two entries that may start at the same time, and
 /// one by the test itself.
-const MOST_READS: usize = 5;
+const MAX_READS: usize = 5;
 
 /// Time for which the origin is down.
 const OUTAGE_TIME: Duration = Duration::from_millis(2_500);
@@ -174,7 +174,7 @@
             })
             .await?;
         }
-        assert!(origin.state.served() <= MOST_READS, "{} reads", origin.state.served());
+        assert!(origin.state.served() <= MAX_READS, "{} reads", origin.state.served());
         assert_eq!(origin.state.taken(), 0);
         Ok(())
     });
--- a/crates/testkit/tests/product_admin.rs
+++ b/crates/testkit/tests/product_admin.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-const START_TIME: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Every method and path of the API.
 const CALLS: [(Method, &str); 8] = [
@@ -36,10 +36,10 @@
 async fn one_entry() -> anyhow::Result<Deployment> {
     let plan = DeploymentPlan { entries: 1, model_agents: 0, ..DeploymentPlan::default() };
     let deployment = Deployment::start(&plan).await?;
-    deployment.wait_status(0, START_TIME, |_| true).await?;
+    deployment.wait_status(0, START_TIMEOUT, |_| true).await?;
     deployment.force("ordinary", &content(1), "change-1").await?;
     // A newly started entry adopts a preset only after messages from its peers.
-    deployment.wait_status(0, START_TIME, |status| status["revision"] == 1).await?;
+    deployment.wait_status(0, START_TIMEOUT, |status| status["revision"] == 1).await?;
     Ok(deployment)
 }
 
--- a/crates/testkit/tests/requests.rs
+++ b/crates/testkit/tests/requests.rs
@@ -19,8 +19,8 @@
 use serde_json::json;
 use smol::Timer;
 
-const CALL_TIME: Duration = Duration::from_secs(20);
-const START_TIME: Duration = Duration::from_secs(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn run<T>(test: impl Future<Output = anyhow::Result<T>>) -> T {
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
@@ -43,7 +43,7 @@
     };
     let deployment = Deployment::start(&plan).await?;
     for index in 0..entries {
-        deployment.wait_status(index, START_TIME, |_| true).await?;
+        deployment.wait_status(index, START_TIMEOUT, |_| true).await?;
     }
     let content = json!({ "services": { PLAIN_SERVICE: { "kind": "plain", "replicas": count } } });
     deployment.force("ordinary", &content, "change-1").await?;
@@ -51,7 +51,7 @@
         let ready = |status: &serde_json::Value| {
             status["services"][PLAIN_SERVICE]["replicas_ready"] == count
         };
-        deployment.wait_status(index, START_TIME, ready).await?;
+        deployment.wait_status(index, START_TIMEOUT, ready).await?;
     }
     Ok(deployment)
 }
@@ -82,7 +82,7 @@
 
 async fn send(call: TestCall) -> CallVerdict {
     let expected = format!("done {} ", String::from_utf8_lossy(&call.body));
-    TestCaller::default().call(call, CALL_TIME, |_| Some(expected.clone())).await
+    TestCaller::default().call(call, CALL_TIMEOUT, |_| Some(expected.clone())).await
 }
 
 fn is_complete(verdict: &CallVerdict) -> bool {
@@ -132,8 +132,9 @@
 
 /// The entry is killed while the table service is slow to write the claim. The agent cancels the
 /// request before it runs, and the claim is written a moment later. The claim used to stay held
-/// by an attempt that never ran, without a release of the row, so every retry with the key was
-/// answered "unknown" forever.
+/// by an attempt that never ran, so every retry with the key was answered "unknown" forever. The
+/// agent's log showed the claim written and the request refused as cancelled in the same
+/// millisecond, and no release of the row.
 #[test]
 fn a_sale_that_is_cancelled_while_it_is_claimed_can_be_made_again() {
     run(async {
@@ -278,7 +279,7 @@
             assert_eq!(runs_of(&deployment, key), 1, "{key}");
         }
         let process = deployment.entries[1].process.as_mut().expect("it was started");
-        assert!(process.wait(CALL_TIME).await?.is_some_and(|status| status.success()));
+        assert!(process.wait(CALL_TIMEOUT).await?.is_some_and(|status| status.success()));
         Ok(())
     });
 }
@@ -346,7 +347,7 @@
 async fn engines() -> anyhow::Result<(Deployment, Arc<WeightImage>)> {
     let plan = DeploymentPlan { entries: 1, model_agents: 2, ..DeploymentPlan::default() };
     let deployment = Deployment::start(&plan).await?;
-    deployment.wait_status(0, START_TIME, |_| true).await?;
+    deployment.wait_status(0, START_TIMEOUT, |_| true).await?;
     let image = Arc::new(WeightImage::generate(ModelVersion::new("v1")?, 7, 1 << 20, 256 << 10));
     deployment.origin.add(image.clone());
     let service = json!({ "kind": "model", "version": "v1", "replicas": 2 });
@@ -354,7 +355,7 @@
     deployment.force("ordinary", &content, "change-1").await?;
     let ready =
         |status: &serde_json::Value| status["services"][MODEL_SERVICE]["replicas_ready"] == 2;
-    deployment.wait_status(0, START_TIME, ready).await?;
+    deployment.wait_status(0, START_TIMEOUT, ready).await?;
     Ok((deployment, image))
 }
 
