--- a/crates/testkit/tests/burst_guards.rs
+++ b/crates/testkit/tests/burst_guards.rs
@@ -1,7 +1,7 @@
-//! With a guard switched off in a stand-in, the count that it protects rises.
+//! A guard is disabled in a stand-in, and the count that it protects must rise.
 //!
-//! The system under test is whole; a stand-in misbehaves as if the guard were
-//! not there, and the checker has to see it in a real run.
+//! The system under test is unchanged; a stand-in behaves as if the guard were missing, and
+//! the checker has to detect it in a real run.
 
 use std::{
     sync::Arc,
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// One caller's request through one entry.
+    /// Sends one request of a caller through one entry.
     async fn request(&self, entry: usize, kind: CallKind) -> anyhow::Result<RequestRecord> {
         let entries = Arc::new(vec![self.deployment.entries[entry].caller_addr]);
         let arrival = PlannedArrival {
@@ -108,8 +108,8 @@
     cassiawheel_runtime::run(4, test).expect("the executor runs").expect("the test passes")
 }
 
-/// Nobody checks chunks: one is corrupt when the engine loads it. A caller
-/// reads an answer that no version of the model would have given.
+/// The engine does not verify its chunks and loads a corrupt one. The answer is one that no
+/// version of the model would give.
 #[rstest]
 fn without_the_chunk_check_answers_are_mixed() {
     run(async {
@@ -117,14 +117,14 @@
         let engine = bench.deployment.endpoints[0].engine.clone();
         engine.expect("a model engine").skip_chunk_check(true);
         bench.force().await?;
-        let asked = bench.request(0, CallKind::Generate).await?;
-        assert_eq!(asked.asks.last().map(|ask| ask.told), Some(ToldOutcome::Complete));
-        assert_eq!(bench.judge(vec![asked], Vec::new()).broken(), vec![("mixed", 1)]);
+        let record = bench.request(0, CallKind::Generate).await?;
+        assert_eq!(record.asks.last().map(|ask| ask.told), Some(ToldOutcome::Complete));
+        assert_eq!(bench.judge(vec![record], Vec::new()).broken(), vec![("mixed", 1)]);
         Ok(())
     });
 }
 
-/// The claim of a key is never refused. A sale whose caller asks again at
+/// The table service never refuses the claim of a key. A request with a key that is retried at
 /// another entry runs twice.
 #[rstest]
 fn without_the_claim_a_sale_doubles() {
@@ -133,8 +133,8 @@
         bench.force().await?;
         let guarded =
             [bench.request(0, CallKind::Keyed).await?, bench.request(1, CallKind::Keyed).await?];
-        let told = guarded.iter().filter_map(|sale| sale.asks.last()?.revision);
-        assert_eq!(told.collect::<Vec<_>>(), [1, 1], "answers name the preset in force");
+        let revisions = guarded.iter().filter_map(|sale| sale.asks.last()?.revision);
+        assert_eq!(revisions.collect::<Vec<_>>(), [1, 1], "answers name the preset in force");
         assert_eq!(bench.judge(guarded.to_vec(), Vec::new()).doubles, 0);
         bench.deployment.table.ignore_guards(true);
         let sale = bench.request(0, CallKind::Keyed).await?;
@@ -143,8 +143,8 @@
     });
 }
 
-/// A request is refused since the preset in force has no such service, and a
-/// replica runs it all the same. The caller was told that nothing ran.
+/// A request is refused because the preset in force has no such service, and a replica runs it
+/// nevertheless, although it was reported as not run.
 #[rstest]
 fn a_run_after_a_refusal_is_seen() {
     run(async {
@@ -165,8 +165,8 @@
     });
 }
 
-/// The table service comes back from an old backup: the preset in force goes
-/// back, and operators find yesterday's limits.
+/// The table service is restored from an old backup, so the preset in force reverts to an earlier
+/// revision.
 #[rstest]
 fn a_row_that_is_rolled_back_is_a_revert() {
     run(async {
--- a/crates/testkit/tests/control_plan.rs
+++ b/crates/testkit/tests/control_plan.rs
@@ -1,4 +1,4 @@
-//! Versions rolled out over real TCP: orders, waves, staging ahead.
+//! Rollouts of versions over real TCP: load orders, waves and staging in advance.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,8 +12,8 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// Longest wait for anything that has to come about.
-const WAIT: Duration = Duration::from_secs(30);
+/// Timeout of every wait.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 const ENDPOINTS: usize = 4;
 
@@ -39,9 +39,9 @@
     for image in &images {
         deployment.origin.add(image.clone());
     }
-    deployment.wait_status(0, WAIT, |_| true).await?;
+    deployment.wait_status(0, TEST_TIMEOUT, |_| true).await?;
     deployment.force("ordinary", &content("v1", ENDPOINTS), "first").await?;
-    deployment.wait_engines("v1", ENDPOINTS, WAIT).await?;
+    deployment.wait_engines("v1", ENDPOINTS, TEST_TIMEOUT).await?;
     Ok((deployment, images))
 }
 
@@ -60,7 +60,7 @@
     Ok(serde_json::from_slice(reply.body())?)
 }
 
-/// Calls until every engine answers from `v2`; every call must be answered whole.
+/// Sends requests until every engine serves `v2`; every request must be answered completely.
 async fn call_until_switched(
     deployment: &Deployment,
     images: &[Arc<WeightImage>; 2],
@@ -76,13 +76,13 @@
         let verdict = caller.generate(entry, MODEL_SERVICE, "when", 4, 1, digest).await;
         assert!(matches!(verdict, CallVerdict::Complete { .. }), "{verdict:?}");
         calls += 1;
-        anyhow::ensure!(calls < 100_000, "the switch did not come about");
+        anyhow::ensure!(calls < 100_000, "the engines did not switch");
     }
     Ok(calls)
 }
 
-/// A version is rolled out while callers are answered. Each endpoint switches
-/// in its turn; a caller would be refused if all were without service at once.
+/// A version is rolled out under load. The endpoints switch one after another; if all switched at
+/// once, requests would be refused.
 #[rstest]
 fn callers_are_answered_during_a_rollout() {
     run(async {
@@ -94,9 +94,9 @@
     });
 }
 
-/// The table service goes down right after it accepted the new version. The
-/// rollout needs nothing more of it; otherwise the preset would be in force and
-/// the old version answer for as long as the outage lasts.
+/// The table service goes down right after it accepted the new version. The rollout must not
+/// depend on it any further; otherwise the old version would serve under the new preset for the
+/// whole outage.
 #[rstest]
 fn a_rollout_goes_on_though_the_store_is_down() {
     run(async {
@@ -108,9 +108,9 @@
     });
 }
 
-/// A preset is staged ahead and the origin is down when it is put in force. The
-/// endpoints have the weights already and only switch; a burst would otherwise
-/// begin with nobody ready.
+/// A preset is staged in advance and the origin is down when it is put in force. The endpoints
+/// already hold the weights and only switch; otherwise no replica would be ready at the start of
+/// a burst.
 #[rstest]
 fn a_staged_preset_needs_no_origin_when_it_comes_in_force() {
     run(async {
@@ -125,7 +125,7 @@
             });
             whole.count() == ENDPOINTS
         };
-        deployment.wait_status(1, WAIT, staged).await?;
+        deployment.wait_status(1, TEST_TIMEOUT, staged).await?;
         assert_eq!(deployment.engines_with("v1"), ENDPOINTS, "staging must not switch");
         deployment.origin_switches.set_down(true);
         post(&deployment, "/v1/force", &json!({ "preset": "peak", "change": "second" })).await?;
@@ -134,8 +134,8 @@
     });
 }
 
-/// An endpoint is killed in the middle of a rollout and its agent comes back
-/// without memory. It is ordered anew and serves the version in the end.
+/// An agent is killed during a rollout and restarts without state. It gets a new order and serves
+/// the version in the end.
 #[rstest]
 fn a_killed_agent_joins_the_rollout_again() {
     run(async {
@@ -143,17 +143,17 @@
         deployment.force("peak", &content("v2", ENDPOINTS), "second").await?;
         deployment.endpoints[2].agent.as_mut().expect("it runs").kill()?;
         deployment.restart_agent(2)?;
-        deployment.wait_engines("v2", ENDPOINTS, WAIT).await?;
+        deployment.wait_engines("v2", ENDPOINTS, TEST_TIMEOUT).await?;
         let ready = |status: &Value| {
             status["services"][MODEL_SERVICE]["replicas_ready"] == ENDPOINTS as u64
         };
-        deployment.wait_status(0, WAIT, ready).await?;
+        deployment.wait_status(0, TEST_TIMEOUT, ready).await?;
         Ok(())
     });
 }
 
-/// All agents are replaced at the same moment. They take up what their engines
-/// serve; reloading any of them would take the service away for nothing.
+/// All agents are restarted at once. They must adopt what their engines serve; a reload would
+/// interrupt the service needlessly.
 #[rstest]
 fn agents_that_restart_together_move_no_weights() {
     run(async {
@@ -161,7 +161,7 @@
         let ready = |status: &Value| {
             status["services"][MODEL_SERVICE]["replicas_ready"] == ENDPOINTS as u64
         };
-        deployment.wait_status(0, WAIT, ready).await?;
+        deployment.wait_status(0, TEST_TIMEOUT, ready).await?;
         let tokens = |deployment: &Deployment| -> Vec<_> {
             let engines = deployment.endpoints.iter().filter_map(|e| e.engine.as_ref());
             engines.map(|engine| engine.fencing()).collect()
@@ -182,18 +182,17 @@
                     .filter(|row| row["report"]["incarnation"].as_u64() > Some(restarted_at));
                 newer.count() == ENDPOINTS && ready(status)
             };
-            deployment.wait_status(entry, WAIT, rejoined).await?;
+            deployment.wait_status(entry, TEST_TIMEOUT, rejoined).await?;
         }
-        // Orders that the reports after the restart led to have been sent by now.
+        // By now every order that results from the reports after the restart has been sent.
         smol::Timer::after(Duration::from_millis(500)).await;
         assert_eq!(before, tokens(&deployment), "an engine was loaded again");
         Ok(())
     });
 }
 
-/// Somebody publishes other bytes under the name of a version that is in use.
-/// Endpoints with the old bytes would count as ready for the new ones, and no
-/// answer would tell which of them it came from.
+/// Other bytes are published under the name of a version in use. Endpoints with the old bytes
+/// would count as ready for the new ones, and no answer would show which bytes it came from.
 #[rstest]
 fn a_version_name_never_stands_for_other_bytes() {
     run(async {
