--- a/crates/agent/src/endpoint.rs
+++ b/crates/agent/src/endpoint.rs
@@ -61,7 +61,7 @@
     last_report: Mutex<Option<SentReport>>,
     load: Mutex<LoadReport>,
     entries: Mutex<Vec<EntryLink>>,
-    entry_choice: Mutex<EntrySelector>,
+    entry_selector: Mutex<EntrySelector>,
     entries_changed: (Sender<()>, Receiver<()>),
     report_sequence: AtomicU64,
     attempt_ids: AtomicU64,
@@ -89,7 +89,7 @@
             last_report: Mutex::default(),
             load: Mutex::new(LoadReport { in_flight: 0, queued: 0, measured_at: now }),
             entries: Mutex::default(),
-            entry_choice: Mutex::default(),
+            entry_selector: Mutex::default(),
             entries_changed: bounded(1),
             report_sequence: AtomicU64::new(0),
             engine_fencing: AtomicU64::new(0),
@@ -162,8 +162,8 @@
     }
 
     /// Locks the candidates from which this agent chooses the entries to connect to.
-    pub(crate) fn entry_choice(&self) -> MutexGuard<'_, EntrySelector> {
-        self.entry_choice.lock().unwrap_or_else(|poison| poison.into_inner())
+    pub(crate) fn entry_selector(&self) -> MutexGuard<'_, EntrySelector> {
+        self.entry_selector.lock().unwrap_or_else(|poison| poison.into_inner())
     }
 
     /// Signals that connections or candidates have changed.
--- a/crates/agent/src/entry_link.rs
+++ b/crates/agent/src/entry_link.rs
@@ -41,7 +41,7 @@
                 shared.notify_entries_changed();
             }
             Err(error) => {
-                shared.entry_choice().avoid(addr, Timestamp::now());
+                shared.entry_selector().avoid(addr, Timestamp::now());
                 shared.notify_entries_changed();
                 shared.start_hold().mark_answered(addr);
                 log::debug!(target: "link", entry:% = addr, cause:% = error; "Cannot connect to an entry.");
@@ -130,7 +130,7 @@
         ControlMessage::ReportWanted => report::send_report_to(shared, sender),
         ControlMessage::LoadWanted { every_ms } => set_load_schedule(shared, sender, every_ms),
         ControlMessage::Entries(addrs) => {
-            shared.entry_choice().set_candidates(addrs);
+            shared.entry_selector().set_candidates(addrs);
             shared.notify_entries_changed();
         }
         ControlMessage::Report(_)
--- a/crates/agent/src/entry_choice.rs
+++ b/crates/agent/src/entry_selection.rs
@@ -29,14 +29,14 @@
     let subject = subject_of(shared.settings.place.instance.as_str());
     let mut kept: BTreeMap<SocketAddr, Task<()>> = BTreeMap::new();
     loop {
-        if shared.entry_choice().is_empty() {
+        if shared.entry_selector().is_empty() {
             find_entries(&shared).await;
         }
         let count = shared.settings.entry_links;
-        let chosen = shared.entry_choice().select(subject, count, Timestamp::now());
+        let chosen = shared.entry_selector().select(subject, count, Timestamp::now());
         if chosen.is_empty() {
             // No candidate can be reached; look for new ones.
-            shared.entry_choice().clear();
+            shared.entry_selector().clear();
             continue;
         }
         for addr in &chosen {
@@ -84,7 +84,7 @@
         for seed in seeds {
             let addrs = timeout(QUERY_TIMEOUT, query_entry(shared, seed)).await.flatten();
             if let Some(addrs) = addrs.filter(|addrs| !addrs.is_empty()) {
-                shared.entry_choice().set_candidates(addrs);
+                shared.entry_selector().set_candidates(addrs);
                 return;
             }
         }
@@ -94,7 +94,7 @@
     match read_entry_rows(shared).await {
         Ok(addrs) => {
             log::info!(target: "link", entries = addrs.len(); "Looked entries up.");
-            shared.entry_choice().set_candidates(addrs);
+            shared.entry_selector().set_candidates(addrs);
         }
         Err(error) => {
             log::warn!(target: "link", cause:% = error; "Entries cannot be looked up.");
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -5,7 +5,7 @@
 //! which limits concurrency and drains the engine for a switch of weights.
 
 mod endpoint;
-mod entry_choice;
+mod entry_selection;
 mod entry_link;
 mod keyed;
 mod metrics;
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -15,7 +15,7 @@
 use smol::net::TcpListener;
 
 use crate::{
-    endpoint::EndpointShared, entry_choice, entry_link, metrics::AgentMetrics, orders, report,
+    endpoint::EndpointShared, entry_link, entry_selection, metrics::AgentMetrics, orders, report,
     transfer,
 };
 
@@ -74,25 +74,25 @@
     connect_to_entries(&shared);
     spawn(orders::follow_orders(shared.clone())).detach();
     spawn(report::send_heartbeats(shared.clone())).detach();
-    log::info!(target: "process", instance:% = shared.settings.place.instance, inner:% = shared.settings.listen_inner; "The agent started.");
+    log::info!(target: "process", instance:% = shared.settings.place.instance, inner:% = shared.settings.listen_inner; "The agent has started.");
 
     signals
         .wait_or_reload(|| {
-            log::info!(target: "process", "The settings file has changed; the change takes effect at the next start.");
+            log::info!(target: "process", "The settings file has changed; restart to apply it.");
         })
         .await;
     let deadline = Timestamp::now().deadline_after(Duration::from_millis(shared.settings.drain_ms));
     let end = signals.drain_until(deadline, drain(&shared)).await;
     trigger.fire();
     let unfinished = shared.open_attempts();
-    log::info!(target: "drain", in_progress = unfinished; "The agent exits.");
+    log::info!(target: "drain", in_progress = unfinished; "The agent is exiting.");
     end.into_result(unfinished)
 }
 
 /// Connects to the entries in the settings, or uses them as seeds where requests bypass the agent.
 fn connect_to_entries(shared: &Arc<EndpointShared>) {
     if shared.settings.engine.is_direct() {
-        spawn(entry_choice::maintain_connections(shared.clone())).detach();
+        spawn(entry_selection::maintain_connections(shared.clone())).detach();
         return;
     }
     for addr in chosen_entries(&shared.settings) {
--- a/crates/entry/src/caller/crash_detection.rs
+++ b/crates/entry/src/caller/crash_detection.rs
@@ -1,6 +1,6 @@
 //! Detection of endpoints that crash while they run a request.
 //!
-//! `lost run → has the endpoint crashed → crash book`
+//! `lost run → has the endpoint crashed → crash tracker`
 //!
 //! A connection also ends for other reasons: a reset link, a corrupt response or a planned stop. An
 //! endpoint counts as crashed only if it was not leaving and its address refuses connections.
--- a/crates/entry/src/control/orders.rs
+++ b/crates/entry/src/control/orders.rs
@@ -37,8 +37,8 @@
         // Requests do not pass through the agent, so it needs only orders.
         return;
     }
-    let force = shared.active_preset.load_full();
-    if let Some(preset) = force.filter(|preset| preset.revision > revision) {
+    let active = shared.active_preset.load_full();
+    if let Some(preset) = active.filter(|preset| preset.revision > revision) {
         let _ = link.sender.try_send(ControlMessage::Force(preset));
     }
 }
@@ -46,7 +46,7 @@
 /// Plans again after each change of a report or the preset, and at a regular interval.
 pub(crate) async fn run_planner(shared: Arc<EntryShared>) {
     let mut resend_at = Timestamp::now().deadline_after(RESEND_INTERVAL);
-    let mut turns = SwitchStagger::default();
+    let mut stagger = SwitchStagger::default();
     let mut sent = SentOrders::default();
     loop {
         Timer::after(PLAN_INTERVAL).await;
@@ -58,7 +58,7 @@
                 planned.into_iter().for_each(|order| send_order(&shared, order));
                 continue;
             }
-            let mut released = turns.release(planned, shared.own_rank(), now);
+            let mut released = stagger.release(planned, shared.own_rank(), now);
             released.retain(|order| sent.record(order, now));
             send_orders(&shared, released);
         }
@@ -79,9 +79,9 @@
     let ahead = ahead.as_ref().map(|ahead| &ahead.staged.content);
     match &shared.routed {
         Some(routed) => {
-            let rollout = routed.pace(&preset, Timestamp::now());
+            let schedule = routed.rollout_schedule(&preset, Timestamp::now());
             let preset = routed.with_versions(&preset);
-            let rollout = rollout.as_ref();
+            let rollout = schedule.as_ref();
             plan_orders(PlanInput { preset: &preset, ahead, reports: &reports, rollout })
         }
         None => plan_orders(PlanInput { preset: &preset, ahead, reports: &reports, rollout: None }),
@@ -108,20 +108,20 @@
     }
 }
 
-/// Sends orders to connected agents, and turns to switch also through the other entries.
+/// Sends orders to connected agents, and switch orders also through the other entries.
 ///
 /// All other orders are derived by each entry for its own agents.
 fn send_orders(shared: &EntryShared, released: Vec<PlannedOrder>) {
-    let mut turns = Vec::new();
+    let mut switches = Vec::new();
     for planned in released {
         let instance = planned.instance.clone();
         if planned.is_switch() {
-            turns.push(EndpointOrder { instance, order: weight_order(shared, &planned) });
+            switches.push(EndpointOrder { instance, order: weight_order(shared, &planned) });
         }
         send_order(shared, planned);
     }
-    if !turns.is_empty() {
-        peers::send_to_peers(shared, &ControlMessage::Orders(turns));
+    if !switches.is_empty() {
+        peers::send_to_peers(shared, &ControlMessage::Orders(switches));
     }
 }
 
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -212,8 +212,8 @@
         self.versions.load().allowed(&engine.model, now)
     }
 
-    /// Returns the pace at which the platform requires the preset's model to change versions.
-    pub(crate) fn pace(&self, preset: &ForcedPreset, now: Timestamp) -> Option<RolloutSchedule> {
+    /// Returns the schedule on which the platform requires the preset's model to change versions.
+    pub(crate) fn rollout_schedule(&self, preset: &ForcedPreset, now: Timestamp) -> Option<RolloutSchedule> {
         let mut targets = preset.content.services.values();
         let engine = targets.find_map(|target| target.engine.as_ref())?;
         self.versions.load().schedule(&engine.model, now)
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -90,7 +90,7 @@
     }
     let callers = spawn(serve_callers(shared.clone(), listeners.caller, caller_shutdown));
     let caller_addr = shared.settings.listen.caller;
-    log::info!(target: "process", instance:% = shared.settings.place.instance, caller:% = caller_addr; "The entry is running.");
+    log::info!(target: "process", instance:% = shared.settings.place.instance, caller:% = caller_addr; "The entry has started.");
 
     signals
         .wait_or_reload(|| {
