--- a/crates/agent/src/entry_selection.rs
+++ b/crates/agent/src/entry_selection.rs
@@ -15,7 +15,7 @@
 /// Interval at which the choice is checked even without a signal of a change.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Timeout of a query for the candidates that one entry knows.
+/// Timeout of a query for the candidates known to one entry.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Range of the random delay before the seeds are queried again, in milliseconds.
--- a/crates/agent/src/keyed.rs
+++ b/crates/agent/src/keyed.rs
@@ -22,7 +22,7 @@
     endpoint::EndpointShared,
     run::{
         AttemptLink, GatePermit, RunFailure, call_engine, ensure_same_version, run_limit,
-        send_buffered, within,
+        run_within, send_buffered,
     },
 };
 
@@ -173,7 +173,7 @@
             return Err(RunFailure::NotRun(reason));
         }
         let run = run_and_collect(self.shared, self.head, body);
-        let ran = within(run_limit(self.head), run).await;
+        let ran = run_within(run_limit(self.head), run).await;
         self.permit = None;
         match ran {
             Ok((answer, body)) => {
@@ -197,7 +197,7 @@
     /// Checks deadline and cancellation once more, immediately before the run.
     ///
     /// This process may have been paused while the claim was being written. The caller
-    /// got "unknown" at the deadline, and a sale must not appear minutes later.
+    /// got "unknown" at the deadline, so the request must not take effect minutes later.
     fn begin_run(&self) -> Result<(), NotRunReason> {
         if self.head.deadline.is_past(Timestamp::now()) {
             return Err(NotRunReason::DeadlineTooClose);
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -5,8 +5,8 @@
 //! which limits concurrency and drains the engine for a switch of weights.
 
 mod endpoint;
-mod entry_selection;
 mod entry_link;
+mod entry_selection;
 mod keyed;
 mod metrics;
 mod orders;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -80,9 +80,9 @@
 
 /// Parses the command line; on `--help` or wrong usage prints and returns the exit code.
 fn parse_args() -> Result<AgentArgs, ExitCode> {
-    let given: Vec<String> = std::env::args().collect();
-    let given: Vec<&str> = given.iter().skip(1).map(String::as_str).collect();
-    AgentArgs::from_args(&["cassiawheel-agent"], &given).map_err(|exit| match exit.status {
+    let args: Vec<String> = std::env::args().collect();
+    let args: Vec<&str> = args.iter().skip(1).map(String::as_str).collect();
+    AgentArgs::from_args(&["cassiawheel-agent"], &args).map_err(|exit| match exit.status {
         Ok(()) => {
             println!("{}\n\n{EXIT_CODES}", exit.output.trim_end());
             ExitCode::SUCCESS
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -90,7 +90,7 @@
         let newest = shared.order().clone();
         let Some(order) = newest.filter(|order| !is_carried_out(shared, order, done.as_ref()))
         else {
-            shared.transfer.woken().await;
+            shared.transfer.await_wake().await;
             continue;
         };
         match carry_out(shared, &order).await {
@@ -104,7 +104,7 @@
             }
             Err(error) => {
                 log::warn!(target: "switch", version:% = order.version, cause:% = format!("{error:#}"); "Weights are not in place yet.");
-                timeout(backoff, shared.transfer.woken()).await;
+                timeout(backoff, shared.transfer.await_wake()).await;
                 backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
@@ -113,7 +113,7 @@
 
 /// Outcome of an order that did not fail.
 enum OrderOutcome {
-    /// The ordered weights are staged, and loaded if the order says so.
+    /// The ordered weights are staged, and loaded if `serve` is set.
     Done,
     /// A newer order arrived meanwhile; it is carried out next.
     Superseded,
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -48,8 +48,8 @@
         shared: &Arc<EndpointShared>,
         head: &RequestHead,
     ) -> Result<Self, RunFailure> {
-        let entered = shared.gate().acquire(head.revision, head.version.as_ref());
-        entered.map_err(RunFailure::NotRun)?;
+        let admitted = shared.gate().acquire(head.revision, head.version.as_ref());
+        admitted.map_err(RunFailure::NotRun)?;
         Ok(Self { shared: shared.clone() })
     }
 }
@@ -135,9 +135,9 @@
                 let mut answer = call_engine(shared, head, body).await?;
                 relay(shared, link, head, &mut answer).await
             };
-            within(head.deadline.remaining(Timestamp::now()), run).await
+            run_within(head.deadline.remaining(Timestamp::now()), run).await
         }
-        RepeatGuard::None => within(run_limit(head), run_once(shared, link, head, body)).await,
+        RepeatGuard::None => run_within(run_limit(head), run_once(shared, link, head, body)).await,
     }
 }
 
@@ -153,12 +153,12 @@
 ///
 /// A run on an engine that never answers would hold its permit for ever. The endpoint
 /// could then neither switch weights nor shut down, without any visible cause.
-pub(crate) async fn within<T>(
+pub(crate) async fn run_within<T>(
     limit: Duration,
     run: impl Future<Output = Result<T, RunFailure>>,
 ) -> Result<T, RunFailure> {
-    let late = || Err(RunFailure::Unknown("the endpoint did not answer in time".to_owned()));
-    timeout(limit, run).await.unwrap_or_else(late)
+    let timed_out = || Err(RunFailure::Unknown("the endpoint did not answer in time".to_owned()));
+    timeout(limit, run).await.unwrap_or_else(timed_out)
 }
 
 /// Runs a request that must not run twice and has no idempotency key to prevent it.
--- a/crates/agent/src/transfer/manifest.rs
+++ b/crates/agent/src/transfer/manifest.rs
@@ -93,16 +93,16 @@
     }
 }
 
-/// Queries the agents named in `asked` concurrently and returns the first manifest received.
+/// Queries the agents named in `instances` concurrently and returns the first manifest received.
 async fn from_agents(
     shared: &Arc<EndpointShared>,
     order: &WeightOrder,
     peers: &[EndpointAddress],
-    asked: &[InstanceId],
+    instances: &[InstanceId],
 ) -> Option<WeightManifest> {
-    let asked = peers.iter().filter(|peer| asked.contains(&peer.instance));
+    let queried = peers.iter().filter(|peer| instances.contains(&peer.instance));
     let (sender, answers) = bounded(peers.len().max(1));
-    for peer in asked {
+    for peer in queried {
         let (shared, sender) = (shared.clone(), sender.clone());
         let (peer, digest) = (peer.clone(), order.manifest);
         spawn(async move {
--- a/crates/agent/src/transfer/peer.rs
+++ b/crates/agent/src/transfer/peer.rs
@@ -95,8 +95,8 @@
             }
             return Some(ChunkMessage::More { call });
         }
-        if let Some(whole) = pending.remove(&call) {
-            let _ = whole.reply.try_send(Ok(whole.bytes));
+        if let Some(completed) = pending.remove(&call) {
+            let _ = completed.reply.try_send(Ok(completed.bytes));
         }
         None
     }
@@ -120,8 +120,8 @@
                 calls: AtomicU64::new(0),
                 pending: Mutex::default(),
             });
-            let up = TransferEvent::PeerUp(peer.instance.clone(), client.clone());
-            if events.send(up).await.is_err() {
+            let connected = TransferEvent::PeerUp(peer.instance.clone(), client.clone());
+            if events.send(connected).await.is_err() {
                 return;
             }
             if client.sender.send(shared.hello()).await.is_ok() {
--- a/crates/agent/src/transfer/stage.rs
+++ b/crates/agent/src/transfer/stage.rs
@@ -235,9 +235,9 @@
             self.shared.transfer.peers_changed().await;
             None
         };
-        let happened = timeout(POLL_INTERVAL, event.or(peers)).await;
+        let received = timeout(POLL_INTERVAL, event.or(peers)).await;
         self.follow_peers();
-        if let Some(Some(event)) = happened {
+        if let Some(Some(event)) = received {
             self.handle(event);
         }
         while let Ok(event) = self.events.try_recv() {
@@ -252,8 +252,8 @@
             self.clients.contains_key(instance)
                 || peers.iter().any(|peer| peer.instance == *instance)
         };
-        let gone: Vec<_> = self.followers.keys().filter(|name| !kept(name)).cloned().collect();
-        for instance in gone {
+        let removed: Vec<_> = self.followers.keys().filter(|name| !kept(name)).cloned().collect();
+        for instance in removed {
             self.followers.remove(&instance);
             self.picker.remove_peer(&instance);
         }
--- a/crates/agent/src/transfer/state.rs
+++ b/crates/agent/src/transfer/state.rs
@@ -110,7 +110,7 @@
     }
 
     /// Completes after the next [`Self::wake`].
-    pub(crate) async fn woken(&self) {
+    pub(crate) async fn await_wake(&self) {
         let _ = self.wake.1.recv().await;
     }
 
--- a/crates/entry/src/admin/auth.rs
+++ b/crates/entry/src/admin/auth.rs
@@ -16,19 +16,19 @@
     operators: &'a [OperatorToken],
     headers: &HeaderMap,
 ) -> Result<&'a OperatorToken, Response<ReplyBody>> {
-    let given = headers
+    let presented = headers
         .get(AUTHORIZATION)
         .and_then(|value| value.as_bytes().strip_prefix(b"Bearer "))
         .unwrap_or_default();
-    let given = blake3::hash(given);
-    let mut found = None;
+    let presented = blake3::hash(presented);
+    let mut authenticated = None;
     for operator in operators {
-        let wanted = blake3::hash(operator.token.as_bytes());
-        if bool::from(given.as_bytes().ct_eq(wanted.as_bytes())) {
-            found = Some(operator);
+        let expected = blake3::hash(operator.token.as_bytes());
+        if bool::from(presented.as_bytes().ct_eq(expected.as_bytes())) {
+            authenticated = Some(operator);
         }
     }
-    found.ok_or_else(refusal)
+    authenticated.ok_or_else(refusal)
 }
 
 fn refusal() -> Response<ReplyBody> {
--- a/crates/entry/src/admin/status.rs
+++ b/crates/entry/src/admin/status.rs
@@ -72,11 +72,11 @@
 
 /// Builds the status from the state of this entry.
 pub(crate) fn build_status(shared: &EntryShared) -> StatusReply {
-    let force = shared.active_preset.load_full();
-    let revision = force.as_ref().map(|preset| preset.revision).unwrap_or_default();
+    let active = shared.active_preset.load_full();
+    let revision = active.as_ref().map(|preset| preset.revision).unwrap_or_default();
     let endpoints = endpoint_statuses(shared);
     let mut services = BTreeMap::new();
-    for (name, target) in force.iter().flat_map(|preset| &preset.content.services) {
+    for (name, target) in active.iter().flat_map(|preset| &preset.content.services) {
         let ready = endpoints.iter().filter(|endpoint| {
             endpoint.report.service == *name
                 && !endpoint.leaving
@@ -97,9 +97,9 @@
     let store = shared.store.health().clone();
     let answered_at = store.answered_at;
     StatusReply {
-        preset: force.map(|preset| preset.preset.clone()),
+        preset: active.map(|preset| preset.preset.clone()),
         revision,
-        behind: behind(revision, &entries, &endpoints),
+        behind: outdated_instances(revision, &entries, &endpoints),
         ahead: staging_status(shared, &endpoints),
         entries,
         services,
@@ -109,7 +109,7 @@
     }
 }
 
-fn behind(
+fn outdated_instances(
     revision: PresetRevision,
     entries: &BTreeMap<InstanceId, PresetRevision>,
     endpoints: &[EndpointStatus],
@@ -122,11 +122,11 @@
 }
 
 fn staging_status(shared: &EntryShared, endpoints: &[EndpointStatus]) -> Option<StagingStatus> {
-    let ahead = &current_staging(shared)?.staged;
-    let services = ahead.content.services.iter().filter_map(|(name, target)| {
+    let staged = &current_staging(shared)?.staged;
+    let services = staged.content.services.iter().filter_map(|(name, target)| {
         Some((name.clone(), service_progress(shared, name, target, endpoints)?))
     });
-    let (preset, staged_at) = (ahead.preset.clone(), ahead.staged_at);
+    let (preset, staged_at) = (staged.preset.clone(), staged.staged_at);
     Some(StagingStatus { preset, staged_at, services: services.collect() })
 }
 
--- a/crates/entry/src/caller/attempts.rs
+++ b/crates/entry/src/caller/attempts.rs
@@ -29,7 +29,7 @@
 /// Requests above its limit that an endpoint accepts as retries of failed attempts.
 ///
 /// A response that broke off has cost the caller time and an engine work, and refusing the retry
-/// would waste both. When an engine dies, the others are often full; its requests amount to one or
+/// would waste both. When an engine fails, the others are often full; its requests amount to one or
 /// two for each of them.
 const RETRY_EXTRA_SLOTS: u32 = 4;
 
@@ -186,8 +186,8 @@
             preset_in_force(&self.shared, &self.request.head).map_err(AttemptFailure::NotRun)?;
         self.revision = preset.revision;
         self.suspect_run = None;
-        let turn = await_turn(&self.shared, &self.request).await;
-        self.suspect_run = turn.map_err(AttemptFailure::NotRun)?;
+        let admitted = await_turn(&self.shared, &self.request).await;
+        self.suspect_run = admitted.map_err(AttemptFailure::NotRun)?;
         self.route_and_dispatch(&preset).await
     }
 
@@ -327,8 +327,8 @@
 ) {
     let now = Timestamp::now();
     match end {
-        // Another attempt with the same idempotency key may be the cause, so the endpoint is not
-        // blamed.
+        // Another attempt with the same idempotency key may be the cause, so it is not counted as a
+        // failure of the endpoint.
         AttemptFailure::Unanswered(_) => {}
         AttemptFailure::NotRun(NotRunReason::Overloaded) => tracker.record_refusal(now),
         // The request named no version, so another process answers at this address. It refuses at
--- a/crates/entry/src/caller/dispatch.rs
+++ b/crates/entry/src/caller/dispatch.rs
@@ -251,7 +251,7 @@
 /// Waits for the first part of a streamed response.
 ///
 /// Once a part was sent to the caller, no other endpoint's response may follow it. Waiting here
-/// detects an endpoint that dies between the head and the first part, for example during a long
+/// detects an endpoint that fails between the head and the first part, for example during a long
 /// prompt, while another endpoint can still respond.
 async fn await_first_part(
     stream: &mut AttemptStream,
--- a/crates/entry/src/caller/events.rs
+++ b/crates/entry/src/caller/events.rs
@@ -23,7 +23,7 @@
     passthrough::reply_with,
 };
 
-/// Longest gap between events before another endpoint is asked to continue the stream.
+/// Longest gap between events before another endpoint is used to continue the stream.
 ///
 /// A busy engine produces an event every 40 to 120 ms. Callers count a gap of 300 ms as late and
 /// disconnect after about two seconds.
--- a/crates/entry/src/caller/identify.rs
+++ b/crates/entry/src/caller/identify.rs
@@ -16,7 +16,7 @@
 use crate::shared::EntryShared;
 
 /// Minimum time to read a body, so that a request whose deadline has nearly passed still gets a
-/// reply that says so.
+/// reply that reports it.
 const MIN_BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Header that names the caller's workspace.
@@ -25,7 +25,7 @@
 pub(crate) const PRIORITY_HEADER: &str = "cassiawheel-priority";
 /// Header with the absolute deadline, in milliseconds since the Unix epoch.
 pub(crate) const DEADLINE_HEADER: &str = "cassiawheel-deadline";
-/// Header that says whether the request may be repeated: `true` or `false`.
+/// Header that states whether the request may be repeated: `true` or `false`.
 pub(crate) const IDEMPOTENT_HEADER: &str = "cassiawheel-idempotent";
 /// Header with the caller's idempotency key.
 pub(crate) const KEY_HEADER: &str = "idempotency-key";
--- a/crates/entry/src/cli.rs
+++ b/crates/entry/src/cli.rs
@@ -101,9 +101,9 @@
 
 /// Parses the arguments; returns the exit code if help or a usage error was printed.
 fn parse_args() -> Result<EntryArgs, ExitCode> {
-    let given: Vec<String> = std::env::args().collect();
-    let given: Vec<&str> = given.iter().skip(1).map(String::as_str).collect();
-    EntryArgs::from_args(&["cassiawheel"], &given).map_err(|exit| match exit.status {
+    let args: Vec<String> = std::env::args().collect();
+    let args: Vec<&str> = args.iter().skip(1).map(String::as_str).collect();
+    EntryArgs::from_args(&["cassiawheel"], &args).map_err(|exit| match exit.status {
         Ok(()) => {
             println!("{}\n\n{FIRST_SESSION}\n\n{EXIT_CODES}", exit.output.trim_end());
             ExitCode::SUCCESS
--- a/crates/entry/src/cli/deployment.rs
+++ b/crates/entry/src/cli/deployment.rs
@@ -31,7 +31,7 @@
     json: bool,
 }
 
-/// Shows what an entry knows: preset in force, entries, services, endpoints.
+/// Shows the state at an entry: preset in force, entries, services, endpoints.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub(super) struct StatusArgs {
--- a/crates/entry/src/cli/diff.rs
+++ b/crates/entry/src/cli/diff.rs
@@ -19,8 +19,8 @@
 
 /// Returns every value that differs between the two presets.
 pub(super) fn differences(from: &PresetContent, to: &PresetContent) -> Vec<PresetDifference> {
-    let gone = from.services.keys().filter(|name| !to.services.contains_key(*name));
-    let names = to.services.keys().chain(gone);
+    let removed = from.services.keys().filter(|name| !to.services.contains_key(*name));
+    let names = to.services.keys().chain(removed);
     names
         .flat_map(|name| {
             let (from, to) = (from.services.get(name), to.services.get(name));
--- a/crates/entry/src/cli/preset.rs
+++ b/crates/entry/src/cli/preset.rs
@@ -152,7 +152,7 @@
             in_force.map(|preset| preset.content).unwrap_or_default()
         }
     };
-    client.print(&differences(&from, &to), |found| difference_table(found))
+    client.print(&differences(&from, &to), |differences| difference_table(differences))
 }
 
 fn force(client: &AdminClient, args: ForceArgs) -> Result<(), CommandError> {
@@ -187,7 +187,7 @@
     match change {
         ChangeReply::Accepted { .. } => Ok(()),
         ChangeReply::Conflict { .. } => Err(CommandError::Conflict(
-            "another change won; look at `preset history`, then force again if you still want to"
+            "another change was applied first; see `preset history`, then force again if needed"
                 .to_owned(),
         )),
         ChangeReply::NotAccepted { detail } => {
@@ -197,7 +197,7 @@
     }
 }
 
-/// Error that tells the operator how to retry.
+/// Error that states how to retry.
 ///
 /// The lost reply may have been a success. A retry with a new change id could apply the change a
 /// second time, possibly over a change of another operator in between.
@@ -216,7 +216,7 @@
         }
         ChangeReply::Conflict { winner } => match winner {
             Some(winner) => change_table(&[ForcedPreset::clone(winner)]),
-            None => "another change won".to_owned(),
+            None => "another change was applied first".to_owned(),
         },
         ChangeReply::NotAccepted { .. } => "not accepted".to_owned(),
         ChangeReply::Unknown { change, .. } => format!("unknown: change {change}"),
@@ -259,13 +259,13 @@
     table.to_string()
 }
 
-fn difference_table(found: &[PresetDifference]) -> String {
-    if found.is_empty() {
+fn difference_table(differences: &[PresetDifference]) -> String {
+    if differences.is_empty() {
         return "no difference".to_owned();
     }
     let text = |value: &Option<String>| value.clone().unwrap_or("-".to_owned());
     let mut table = TextTable::new(&["SERVICE", "KEY", "FROM", "TO"]);
-    for difference in found {
+    for difference in differences {
         let PresetDifference { service, key, from, to } = difference;
         table.push([service.to_string(), key.clone(), text(from), text(to)]);
     }
--- a/crates/entry/src/control/chunk_peers.rs
+++ b/crates/entry/src/control/chunk_peers.rs
@@ -44,8 +44,8 @@
 
 /// Sends agents their chunk peers whenever these have changed.
 ///
-/// An agent keeps the same peers for as long as they live. A new random choice at each check would
-/// cost control traffic and make agents reconnect in the middle of a transfer.
+/// An agent keeps the same peers while the roster lists them. A new random choice at each check
+/// would cost control traffic and make agents reconnect in the middle of a transfer.
 pub(crate) async fn send_chunk_peers(shared: Arc<EntryShared>) {
     let mut peer_sender = ChunkPeerSender::default();
     loop {
@@ -66,9 +66,10 @@
         if checked_at == self.checked_at && all_sent {
             return;
         }
-        let fleet = agents_by_service(shared);
-        let all_are_due = fleet != self.known && self.resend_at.is_none_or(|at| at.is_past(now));
-        for agents in fleet.values() {
+        let by_service = agents_by_service(shared);
+        let all_are_due =
+            by_service != self.known && self.resend_at.is_none_or(|at| at.is_past(now));
+        for agents in by_service.values() {
             for agent in agents {
                 let is_due = all_are_due || !self.sent.contains_key(&agent.instance);
                 if let Some(link) = links.get(&agent.instance).filter(|_| is_due) {
@@ -78,7 +79,7 @@
         }
         if all_are_due {
             self.resend_at = Some(now.deadline_after(RESEND_INTERVAL));
-            self.known = fleet;
+            self.known = by_service;
         }
         if !all_are_due && self.resend_at.is_none_or(|at| at.is_past(now)) {
             self.checked_at = checked_at;
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -181,11 +181,12 @@
 
 /// Minimum age of `known` before `record` replaces it.
 fn min_record_interval(known: &EntryRecord, record: &EntryRecord) -> Duration {
-    let keeps = |old: &[InstanceId], new: &[InstanceId]| old.iter().all(|name| new.contains(name));
+    let retains_all =
+        |old: &[InstanceId], new: &[InstanceId]| old.iter().all(|name| new.contains(name));
     let only_adds = known.leaving == record.leaving
         && known.follows_rows == record.follows_rows
-        && keeps(&known.neighbours, &record.neighbours)
-        && keeps(&known.agents, &record.agents);
+        && retains_all(&known.neighbours, &record.neighbours)
+        && retains_all(&known.agents, &record.agents);
     if only_adds { ADDITION_INTERVAL } else { RECORD_INTERVAL }
 }
 
@@ -294,13 +295,13 @@
         let progress_step = staged.chunks_ready * PROGRESS_STEPS / staged.chunks_total.max(1);
         Some((staged.manifest, progress_step))
     };
-    let same = EndpointReport {
+    let expected = EndpointReport {
         load: report.load,
         sequence: report.sequence,
         staged: report.staged.clone(),
         ..known.clone()
     };
-    same != *report || progress_step(known) != progress_step(report)
+    expected != *report || progress_step(known) != progress_step(report)
 }
 
 /// Derives the present entries and agents from the records.
--- a/crates/entry/src/control/listing.rs
+++ b/crates/entry/src/control/listing.rs
@@ -31,7 +31,7 @@
     let mut history_lost = false;
     loop {
         let now = Timestamp::now();
-        settle(&shared, &routed, now);
+        expire_missing(&shared, &routed, now);
         let next_read_at = routed.listing().next_read_at(read_rank(&shared, now)).max(retry_at);
         if !next_read_at.is_past(now) {
             Timer::after(next_read_at.remaining(now).min(TURN_CHECK_INTERVAL)).await;
@@ -112,7 +112,7 @@
     peers::send_to_peers(shared, &message);
 }
 
-fn settle(shared: &EntryShared, routed: &RoutedState, now: Timestamp) {
+fn expire_missing(shared: &EntryShared, routed: &RoutedState, now: Timestamp) {
     let mut listing = routed.listing();
     let rows = listing.expire_missing(now);
     let (position, asked_at) = (listing.position(), listing.asked_at());
--- a/crates/entry/src/control/manifest_cache.rs
+++ b/crates/entry/src/control/manifest_cache.rs
@@ -52,8 +52,8 @@
 
     /// Whether to request a manifest now: it is missing and no reply is expected.
     ///
-    /// All entries announce a version within milliseconds. If each of them were asked, the manifest
-    /// would arrive as many times.
+    /// All entries announce a version within milliseconds. With one request to each of them, the
+    /// manifest would arrive as many times.
     pub(crate) fn begin_request(&self, digest: ManifestDigest, now: Timestamp) -> bool {
         let mut inner = self.lock();
         let is_expected = inner
--- a/crates/entry/src/control/orders.rs
+++ b/crates/entry/src/control/orders.rs
@@ -69,14 +69,14 @@
     let Some(preset) = shared.active_preset.load_full() else {
         return Vec::new();
     };
-    let ahead = current_staging(shared);
+    let staging = current_staging(shared);
     let roster = shared.roster();
     let reports: Vec<_> = roster
         .members()
         .filter(|member| !roster.is_leaving(member))
         .map(|member| &member.report)
         .collect();
-    let ahead = ahead.as_ref().map(|ahead| &ahead.staged.content);
+    let ahead = staging.as_ref().map(|row| &row.staged.content);
     match &shared.routed {
         Some(routed) => {
             let schedule = routed.rollout_schedule(&preset, Timestamp::now());
--- a/crates/entry/src/control/poll.rs
+++ b/crates/entry/src/control/poll.rs
@@ -51,10 +51,10 @@
     let mut failures = 0;
     loop {
         match read_rows(shared.table.as_ref()).await {
-            Ok(found) => {
+            Ok(rows) => {
                 failures = 0;
-                staging::apply_row(&shared, found.ahead);
-                if let Some(row) = found.force {
+                staging::apply_row(&shared, rows.ahead);
+                if let Some(row) = rows.force {
                     warn_if_older(&shared, row.preset.revision);
                     peers::adopt(&shared, &row.preset);
                 }
--- a/crates/entry/src/control/pull.rs
+++ b/crates/entry/src/control/pull.rs
@@ -31,8 +31,8 @@
         is_near: routed.settings.near_domains.contains(failure_domain),
         handle: sender.clone(),
     };
-    let begins = routed.pull().observe(announced, shared.known_revision(), Timestamp::now());
-    if begins {
+    let is_start = routed.pull().observe(announced, shared.known_revision(), Timestamp::now());
+    if is_start {
         spawn(pull_preset(shared.clone(), routed.clone())).detach();
     }
 }
--- a/crates/entry/src/control/store.rs
+++ b/crates/entry/src/control/store.rs
@@ -63,9 +63,9 @@
         count: &IntCounter,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        let taken =
+        let permit =
             budget.lock().unwrap_or_else(|poison| poison.into_inner()).take(Timestamp::now());
-        taken.map_err(|retry_after| StoreError::RateLimited { retry_after })?;
+        permit.map_err(|retry_after| StoreError::RateLimited { retry_after })?;
         count.inc();
         let answer = call.await;
         let mut health = self.health();
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -84,8 +84,8 @@
 
     /// Starts a run of a suspect request; none while this entry has another run of it.
     pub(crate) fn begin_suspect_run(self: &Arc<Self>, digest: RequestDigest) -> Option<SuspectRun> {
-        let begins = self.running().insert(digest);
-        begins.then(|| SuspectRun { cache: self.clone(), digest })
+        let is_first = self.running().insert(digest);
+        is_first.then(|| SuspectRun { cache: self.clone(), digest })
     }
 
     fn running(&self) -> MutexGuard<'_, HashSet<RequestDigest>> {
--- a/crates/entry/src/inner.rs
+++ b/crates/entry/src/inner.rs
@@ -62,8 +62,8 @@
 
 /// Interval at which an agent in another region reports its load, in milliseconds.
 ///
-/// An entry sends an endpoint in another region only requests that its own region has no room for.
-/// Two messages may be lost before the agent counts as silent after 1.5 s.
+/// An entry sends an endpoint in another region only requests that its own region has no
+/// capacity for. Two messages may be lost before the agent counts as silent after 1.5 s.
 const REMOTE_LOAD_INTERVAL_MS: u64 = 600;
 
 async fn serve_agent(
--- a/crates/entry/src/overlay.rs
+++ b/crates/entry/src/overlay.rs
@@ -206,22 +206,22 @@
     /// Returns the entries that links may be opened to.
     pub(crate) fn candidates(&self, own: &InstanceId, now: Timestamp) -> Vec<EntryLocation> {
         let present = self.present(own);
-        let reached: HashMap<_, _> =
+        let reachable: HashMap<_, _> =
             present.iter().map(|record| (record.inner_addr, record)).collect();
         let is_avoided =
             |addr: &SocketAddr| self.avoided.get(addr).is_some_and(|until| !until.is_past(now));
         let placed = self.known.iter().filter_map(|(addr, region)| Some((*addr, region.clone()?)));
-        let placed = placed.filter(|(addr, _)| !reached.contains_key(addr) && !is_avoided(addr));
-        let reached = present.iter().filter(|record| !record.leaving);
-        let reached = reached.map(|record| (record.inner_addr, record.region.clone()));
-        let places = reached.chain(placed);
+        let placed = placed.filter(|(addr, _)| !reachable.contains_key(addr) && !is_avoided(addr));
+        let reachable = present.iter().filter(|record| !record.leaving);
+        let reachable = reachable.map(|record| (record.inner_addr, record.region.clone()));
+        let places = reachable.chain(placed);
         places.map(|(inner_addr, region)| EntryLocation { inner_addr, region }).collect()
     }
 
     /// Returns the records of the entries that are reachable through the overlay.
     pub(crate) fn present(&self, own: &InstanceId) -> Vec<&EntryRecord> {
-        let reached = reachable_entries(own, self.store.records());
-        self.store.records().filter(|record| reached.contains(&record.instance)).collect()
+        let reachable = reachable_entries(own, self.store.records());
+        self.store.records().filter(|record| reachable.contains(&record.instance)).collect()
     }
 
     /// Drops the state of processes that are no longer reachable.
@@ -252,6 +252,6 @@
 ///
 /// These are the entries in its region, or all entries if the region has none.
 pub(crate) fn entry_addrs_for(present: &[&EntryRecord], region: &RegionName) -> Vec<SocketAddr> {
-    let staying = present.iter().filter(|record| !record.leaving);
-    same_region_or_all(region, staying.map(|record| (record.inner_addr, Some(&record.region))))
+    let remaining = present.iter().filter(|record| !record.leaving);
+    same_region_or_all(region, remaining.map(|record| (record.inner_addr, Some(&record.region))))
 }
--- a/crates/entry/src/routed.rs
+++ b/crates/entry/src/routed.rs
@@ -33,7 +33,8 @@
 
 /// Minimum number of entries among which the retries of a service are divided.
 ///
-/// An entry that has just started knows no other entry and would otherwise use the whole budget.
+/// An entry that has just started has discovered no other entry and would otherwise use the whole
+/// budget.
 const MIN_BUDGET_SHARES: usize = 9;
 
 /// Adapters to the platform for an entry with a route table.
@@ -213,7 +214,11 @@
     }
 
     /// Returns the schedule on which the platform requires the preset's model to change versions.
-    pub(crate) fn rollout_schedule(&self, preset: &ForcedPreset, now: Timestamp) -> Option<RolloutSchedule> {
+    pub(crate) fn rollout_schedule(
+        &self,
+        preset: &ForcedPreset,
+        now: Timestamp,
+    ) -> Option<RolloutSchedule> {
         let mut targets = preset.content.services.values();
         let engine = targets.find_map(|target| target.engine.as_ref())?;
         self.versions.load().schedule(&engine.model, now)
@@ -236,18 +241,18 @@
 
     /// Returns the retry budget of `service`: this entry's share of the retries of all entries.
     pub(crate) fn retry_budget(&self, service: &ServiceName, entries: usize) -> Arc<RetryBudget> {
-        let savings = self.settings.retry_slack / entries.max(MIN_BUDGET_SHARES) as f64;
+        let burst = self.settings.retry_slack / entries.max(MIN_BUDGET_SHARES) as f64;
         if let Some(budget) = self.budgets.load().get(service) {
-            budget.set_burst(savings);
+            budget.set_burst(burst);
             return budget.clone();
         }
-        let fresh = Arc::new(RetryBudget::new(self.settings.retry_ratio, savings));
+        let new_budget = Arc::new(RetryBudget::new(self.settings.retry_ratio, burst));
         self.budgets.rcu(|known| {
             let mut known = HashMap::clone(known);
-            known.entry(service.clone()).or_insert_with(|| fresh.clone());
+            known.entry(service.clone()).or_insert_with(|| new_budget.clone());
             known
         });
-        self.budgets.load().get(service).cloned().unwrap_or(fresh)
+        self.budgets.load().get(service).cloned().unwrap_or(new_budget)
     }
 }
 
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -353,13 +353,13 @@
         if let Some(admission) = self.admissions.load().get(service) {
             return admission.clone();
         }
-        let fresh = Arc::new(EntryAdmission::new(self.settings.caller.queue_length));
+        let new_admission = Arc::new(EntryAdmission::new(self.settings.caller.queue_length));
         self.admissions.rcu(|known| {
             let mut known = HashMap::clone(known);
-            known.entry(service.clone()).or_insert_with(|| fresh.clone());
+            known.entry(service.clone()).or_insert_with(|| new_admission.clone());
             known
         });
-        self.admissions.load().get(service).cloned().unwrap_or(fresh)
+        self.admissions.load().get(service).cloned().unwrap_or(new_admission)
     }
 
     /// Updates the load of an endpoint from a message of its agent.
@@ -375,7 +375,7 @@
             return;
         };
         let listing = routed.listing();
-        let listed = report.endpoint_addr.and_then(|a| listing.latest_at(&report.service, a));
+        let listed = report.endpoint_addr.and_then(|addr| listing.latest_at(&report.service, addr));
         let Some(instance) = listed.map(|listed| listed.instance.clone()) else {
             return;
         };
