--- a/crates/agent/src/transfer/manifest.rs
+++ b/crates/agent/src/transfer/manifest.rs
@@ -57,8 +57,8 @@
                     }
                 }
             }
-            SearchStep::Peers(asked) => {
-                if let Some(manifest) = from_agents(shared, order, &peers, &asked).await {
+            SearchStep::Peers(instances) => {
+                if let Some(manifest) = from_agents(shared, order, &peers, &instances).await {
                     return Some(manifest);
                 }
             }
