--- a/crates/decide/tests/change.rs
+++ b/crates/decide/tests/change.rs
@@ -51,7 +51,7 @@
 /// Guards against reusing a revision that processes have already seen, after the table was
 /// restored to an earlier state. They would ignore it, and the change would never take effect.
 #[test]
-fn a_change_after_a_table_was_set_back_lies_above_all_that_is_known() {
+fn a_change_after_a_table_rollback_exceeds_every_known_revision() {
     let (_, preset) = to_write(request(true, 9), 4);
     assert_eq!(preset.revision, PresetRevision(10));
 }
@@ -98,7 +98,7 @@
 #[rstest]
 #[case(true)]
 #[case(false)]
-fn an_ask_in_an_outage_is_not_accepted_only_if_it_is_the_first(#[case] fresh: bool) {
+fn in_an_outage_only_a_first_request_is_reported_not_accepted(#[case] fresh: bool) {
     let (mut writer, _) = ChangeWriter::start(request(fresh, 4));
     let step = writer.next(ChangeAnswer::NoEffect("refused".to_owned()), NOW);
     match step {
--- a/crates/decide/tests/chunk_regions.rs
+++ b/crates/decide/tests/chunk_regions.rs
@@ -40,9 +40,9 @@
 const NEAR: PeerLocation = PeerLocation { is_remote: false, in_origin_region: false };
 const FAR: PeerLocation = PeerLocation { is_remote: true, in_origin_region: true };
 
-fn connect(picker: &mut ChunkPicker, name: &str, place: PeerLocation, held: &[usize]) {
+fn connect(picker: &mut ChunkPicker, name: &str, location: PeerLocation, held: &[usize]) {
     let peer = instance(name);
-    picker.set_peer_location(&peer, place, START);
+    picker.set_peer_location(&peer, location, START);
     picker.peer_connected(&peer, START);
     picker.peer_holds(&peer, held.iter().copied(), START);
     picker.peer_inventory_complete(&peer);
@@ -81,7 +81,7 @@
 
 /// If the importer of a chunk does not deliver it, the others import it after a timeout.
 #[test]
-fn an_import_that_does_not_come_is_made_up_for() {
+fn a_missing_import_is_replaced() {
     let all: Vec<_> = (0..CHUNKS).collect();
     let mut picker = picker(settings("own-a"));
     connect(&mut picker, "own-b", NEAR, &[]);
@@ -94,7 +94,7 @@
 /// Concurrent fetches share the origin's bandwidth. Owners fetch one after another, so that
 /// the first chunks can be exchanged early.
 #[test]
-fn the_origin_is_asked_in_turns() {
+fn origin_fetches_are_staggered() {
     let settings = PickerSettings { origin_chunk_ms: 30.0, ..settings("own-a") };
     let mut picker = picker(settings);
     assert_eq!(from(&orders(&mut picker, START), &ChunkSource::Origin), [0]);
@@ -104,7 +104,7 @@
 /// Agents in the origin's region own its chunks, since a chunk fetched from elsewhere would
 /// cross between regions twice.
 #[test]
-fn agents_near_the_origin_draw_from_it() {
+fn agents_near_the_origin_fetch_from_it() {
     let mut picker = picker(settings("own-a"));
     connect(&mut picker, "near-origin", FAR, &[]);
     assert!(from(&orders(&mut picker, at(10)), &ChunkSource::Origin).is_empty());
@@ -113,7 +113,7 @@
 /// Guards against all agents waiting for the last chunk when its only holder has a congested
 /// link. Another agent fetches it from the origin again.
 #[test]
-fn a_chunk_that_is_stuck_is_drawn_again() {
+fn a_stalled_chunk_is_fetched_again() {
     let settings = PickerSettings { rescue_ms: 900, max_peer_fetches: 0, ..settings("own-a") };
     let all: Vec<_> = (0..CHUNKS).collect();
     let mut picker = picker(settings);
@@ -124,7 +124,7 @@
 
 /// A chunk that spreads among peers is not fetched again, however long it takes to arrive.
 #[test]
-fn a_chunk_that_spreads_is_not_drawn_again() {
+fn a_chunk_that_spreads_is_not_fetched_again() {
     let settings = PickerSettings { rescue_ms: 900, max_peer_fetches: 0, ..settings("own-a") };
     let all: Vec<_> = (0..CHUNKS).collect();
     let mut picker = picker(settings);
@@ -137,7 +137,7 @@
 /// Guards against further fetches on a link that becomes congested with four chunks in
 /// transit. They would lengthen the queue in which the engine's requests wait.
 #[test]
-fn fewer_chunks_are_asked_for_when_they_are_late() {
+fn fewer_chunks_are_requested_when_they_are_late() {
     let settings = PickerSettings { queue_ms: 350, max_peer_fetches: 4, ..settings("own-a") };
     let all: Vec<_> = (0..CHUNKS).collect();
     let mut picker = picker(settings);
@@ -154,7 +154,7 @@
 /// each chunk in one piece; with two, the notice that a caller has disconnected arrived half
 /// a second late and the engine kept working on its request.
 #[test]
-fn one_chunk_at_a_time_is_drawn_over_links_that_may_narrow() {
+fn one_chunk_at_a_time_is_fetched_over_links_that_may_narrow() {
     let mut narrow = picker(PickerSettings { queue_ms: 350, ..settings("own-a") });
     assert_eq!(orders(&mut narrow, at(10)).len(), 1);
     let mut wide = picker(settings("own-a"));
@@ -164,69 +164,69 @@
 /// Guards against retries every few milliseconds at the single, busy holder of a chunk. It
 /// would answer thousands of requests on the link over which it sends the chunk.
 #[test]
-fn a_busy_holder_is_asked_less_and_less_often() {
+fn requests_to_a_busy_holder_back_off() {
     let mut picker = picker(settings("own"));
     connect(&mut picker, "holder", NEAR, &[3]);
-    let mut asked = 0;
+    let mut requested = 0;
     for ms in 0..400 {
         for order in orders(&mut picker, at(ms)) {
             if order.source == ChunkSource::Peer(instance("holder")) {
                 picker.fetch_deferred(&order, at(ms));
-                asked += 1;
+                requested += 1;
             }
         }
     }
-    assert!((4..=8).contains(&asked), "asked {asked} times");
+    assert!((4..=8).contains(&requested), "asked {requested} times");
 }
 
 /// Guards against all agents waiting for the chunks of an owner that was paused before they
 /// were due. The agent with the next rank fetches them before the owner counts as silent.
 #[test]
-fn chunks_of_a_paused_owner_are_drawn_by_the_next() {
+fn chunks_of_a_paused_owner_are_fetched_by_the_next() {
     let settings = PickerSettings { origin_chunk_ms: 10.0, ..settings("own-a") };
     let mut picker = picker(settings);
     connect(&mut picker, "paused", NEAR, &[]);
-    let owned = drawn_by_turn(&mut picker, 240);
+    let owned = fetched_from_origin(&mut picker, 240);
     let others: Vec<_> = (0..CHUNKS).filter(|index| !owned.contains(index)).collect();
-    let (brought, missing) = others.split_at(others.len() - 3);
-    picker.peer_holds(&instance("paused"), brought.iter().copied(), at(240));
+    let (imported_chunks, missing) = others.split_at(others.len() - 3);
+    picker.peer_holds(&instance("paused"), imported_chunks.iter().copied(), at(240));
     picker.set_peer_origin_fetches(&instance("paused"), missing.to_vec(), at(240));
-    assert!(drawn_by_turn(&mut picker, 400).is_empty());
-    assert_eq!(drawn_by_turn(&mut picker, 1_000), missing);
+    assert!(fetched_from_origin(&mut picker, 400).is_empty());
+    assert_eq!(fetched_from_origin(&mut picker, 1_000), missing);
 }
 
 /// Guards against agents that fetch each other's chunks because the origin itself is slow or
 /// down. It would have to send each chunk several times.
 #[test]
-fn nothing_is_drawn_twice_from_a_slow_origin() {
+fn nothing_is_fetched_twice_from_a_slow_origin() {
     let settings = PickerSettings { origin_chunk_ms: 10.0, ..settings("own-a") };
     let mut picker = picker(settings);
     connect(&mut picker, "other", NEAR, &[]);
-    let mut asked: Vec<_> = Vec::new();
+    let mut requested: Vec<_> = Vec::new();
     for ms in 0..1_500 {
         for order in orders(&mut picker, at(ms)) {
             picker.fetch_deferred(&order, at(ms));
-            asked.push(order.index);
+            requested.push(order.index);
         }
     }
-    asked.sort_unstable();
-    asked.dedup();
-    assert!(asked.len() < CHUNKS, "it asked for all chunks");
+    requested.sort_unstable();
+    requested.dedup();
+    assert!(requested.len() < CHUNKS, "it asked for all chunks");
 }
 
 /// Runs fetches until `until_ms`, each completing at once; returns the chunks fetched.
-fn drawn_by_turn(picker: &mut ChunkPicker, until_ms: u64) -> Vec<usize> {
-    let mut drawn = Vec::new();
+fn fetched_from_origin(picker: &mut ChunkPicker, until_ms: u64) -> Vec<usize> {
+    let mut fetched = Vec::new();
     for ms in 0..until_ms {
         for order in orders(picker, at(ms)) {
             if order.source == ChunkSource::Origin {
                 picker.fetch_succeeded(&order, at(ms));
-                drawn.push(order.index);
+                fetched.push(order.index);
             }
         }
     }
-    drawn.sort_unstable();
-    drawn
+    fetched.sort_unstable();
+    fetched
 }
 
 /// Guards against several imports of an overdue chunk. Once one agent of the region has it,
@@ -239,18 +239,18 @@
     connect(&mut picker, "far", FAR, &all);
     let first = orders(&mut picker, at(10));
     assert!(first.iter().all(|order| order.is_import));
-    let lacking: Vec<_> =
+    let missing_chunks: Vec<_> =
         all.iter().copied().filter(|i| first.iter().all(|order| order.index != *i)).collect();
-    picker.peer_holds(&instance("own-b"), lacking.iter().copied(), at(800));
+    picker.peer_holds(&instance("own-b"), missing_chunks.iter().copied(), at(800));
     let second = orders(&mut picker, at(900));
-    assert_eq!(from(&second, &ChunkSource::Peer(instance("own-b"))), lacking);
+    assert_eq!(from(&second, &ChunkSource::Peer(instance("own-b"))), missing_chunks);
 }
 
 /// Guards against a congested link that is kept full by retries while no chunk arrives in
 /// time. A request for the engine, or the notice that its caller disconnected, waited two
 /// seconds.
 #[test]
-fn fewer_chunks_are_asked_for_after_none_came_in_time() {
+fn fewer_chunks_are_requested_after_all_timed_out() {
     let settings = PickerSettings { queue_ms: 350, max_peer_fetches: 4, ..settings("own-a") };
     let all: Vec<_> = (0..CHUNKS).collect();
     let mut picker = picker(settings);
@@ -287,7 +287,7 @@
 /// Guards against a backoff of seconds at all agents when the origin recovers from an outage,
 /// while engines serve nothing until the last chunks arrive.
 #[test]
-fn an_origin_that_returns_is_asked_within_a_third_of_a_second() {
+fn a_recovered_origin_is_retried_within_a_third_of_a_second() {
     let mut picker = picker(settings("own-a"));
     for number in 0..26 {
         connect(&mut picker, &format!("own-{number}"), NEAR, &[]);
@@ -307,10 +307,10 @@
 /// one agent is announced, the others continue at once, each with its own chunks on a new
 /// schedule, instead of all fetching what is overdue by the old one.
 #[test]
-fn the_first_chunk_of_an_origin_that_returns_starts_new_turns() {
+fn the_first_chunk_of_a_recovered_origin_resets_the_stagger() {
     let names: Vec<_> = (0..8).map(|number| format!("own-{number}")).collect();
     let held: Vec<_> = (0..CHUNKS / 2).collect();
-    let mut drawn = Vec::new();
+    let mut fetched = Vec::new();
     for name in &names {
         let mut picker = picker(PickerSettings { origin_chunk_ms: 30.0, ..settings(name) });
         held.iter().for_each(|index| picker.mark_held(*index));
@@ -329,15 +329,15 @@
             for order in origin.filter(|order| order.source == ChunkSource::Origin) {
                 let turn_ms = 6_000 + (order.index - held.len()) as u64 * 30;
                 assert!(ms >= turn_ms, "chunk {} at {ms} ms", order.index);
-                drawn.push(order.index);
+                fetched.push(order.index);
                 picker.fetch_succeeded(&order, at(ms));
             }
         }
     }
-    let all = drawn.len();
-    drawn.sort_unstable();
-    drawn.dedup();
-    assert_eq!(drawn.len(), all, "chunks are drawn twice");
+    let all = fetched.len();
+    fetched.sort_unstable();
+    fetched.dedup();
+    assert_eq!(fetched.len(), all, "chunks are drawn twice");
     assert!(all >= CHUNKS / 3, "{all} chunks are drawn within 0.4 s");
 }
 
@@ -345,7 +345,7 @@
 /// Chunks become due all the same, and after a power loss the connections would stay open. An
 /// agent waits until the fetch of another one has ended.
 #[test]
-fn agents_leave_the_origin_most_of_its_connections() {
+fn agents_use_a_fraction_of_the_origin_connections() {
     let settings =
         PickerSettings { origin_chunk_ms: 10.0, max_origin_fetches: 3, ..settings("own-a") };
     let mut picker = picker(settings);
@@ -355,6 +355,6 @@
     }
     assert!(orders(&mut picker, at(400)).is_empty());
     picker.set_peer_origin_fetches(&instance("two"), Vec::new(), at(401));
-    let drawn = from(&orders(&mut picker, at(402)), &ChunkSource::Origin);
-    assert_eq!(drawn.len(), 1, "{drawn:?}");
+    let fetched = from(&orders(&mut picker, at(402)), &ChunkSource::Origin);
+    assert_eq!(fetched.len(), 1, "{fetched:?}");
 }
--- a/crates/decide/tests/claim_interleavings.rs
+++ b/crates/decide/tests/claim_interleavings.rs
@@ -27,7 +27,7 @@
 const PREEMPTIONS: usize = 4;
 
 /// Number of steps after which an attempt reaches its deadline.
-const PATIENCE_STEPS: usize = 6;
+const DEADLINE_STEPS: usize = 6;
 
 /// Limit of calls in one run to which the table does not respond.
 const LOST_CALLS: usize = 5;
@@ -51,7 +51,7 @@
     revisions: u64,
 }
 
-struct World {
+struct Simulation {
     row: Mutex<ClaimRow>,
     lost: AtomicUsize,
     runs: AtomicUsize,
@@ -62,7 +62,7 @@
     fault: Option<AgentFault>,
 }
 
-impl World {
+impl Simulation {
     /// Whether this call to the table fails.
     fn fails(&self) -> bool {
         let fails = thread_rng().gen_ratio(1, 4);
@@ -97,9 +97,9 @@
                 ClaimReply::Lost
             }
             _ => {
-                let (world, record) = (self.clone(), record.clone());
+                let (simulation, record) = (self.clone(), record.clone());
                 let late = thread::spawn(move || {
-                    world.apply(&record, guard);
+                    simulation.apply(&record, guard);
                 });
                 self.late.lock().expect("no thread panics").push(late);
                 ClaimReply::Lost
@@ -107,7 +107,7 @@
         }
     }
 
-    fn look(&self) -> ClaimReply {
+    fn read(&self) -> ClaimReply {
         if self.fails() {
             return ClaimReply::Lost;
         }
@@ -127,14 +127,14 @@
     /// Ensures that a write that may still take effect does not block other attempts.
     fn release(self: &Arc<Self>, tracker: &ClaimTracker) {
         let released = tracker.record_as(ClaimState::Released);
-        let mut view = self.look();
+        let mut view = self.read();
         loop {
             view = match release_step(&released.nonce, &view) {
                 ReleaseStep::Done => return,
                 ReleaseStep::Write(guard) => self.write(&released, guard),
                 ReleaseStep::Poll => {
                     thread::yield_now();
-                    self.look()
+                    self.read()
                 }
             };
         }
@@ -145,9 +145,9 @@
         let mut tracker = ClaimTracker::new(nonce, "same".to_owned(), Deadline(1));
         let mut step = ClaimStep::Write(ClaimGuard::Absent);
         for count in 0.. {
-            let goes_on = matches!(step, ClaimStep::Write(_) | ClaimStep::Poll);
+            let may_continue = matches!(step, ClaimStep::Write(_) | ClaimStep::Poll);
             let gives_up = self.fault == Some(AgentFault::KeepsCertainClaim);
-            if (goes_on || gives_up) && cancelled.load(Ordering::SeqCst) {
+            if (may_continue || gives_up) && cancelled.load(Ordering::SeqCst) {
                 break;
             }
             let view = match step {
@@ -157,11 +157,11 @@
                 }
                 ClaimStep::Poll => {
                     thread::yield_now();
-                    self.look()
+                    self.read()
                 }
                 _ => break,
             };
-            let now = Timestamp(u64::from(count >= PATIENCE_STEPS));
+            let now = Timestamp(u64::from(count >= DEADLINE_STEPS));
             step = tracker.next(view, now);
         }
         let releases = self.fault != Some(AgentFault::NeverReleases);
@@ -209,8 +209,8 @@
 }
 
 /// Runs the attempts once and checks the resulting state.
-fn play(fault: Option<AgentFault>) {
-    let world = Arc::new(World {
+fn run_schedule(fault: Option<AgentFault>) {
+    let simulation = Arc::new(Simulation {
         row: Mutex::new(ClaimRow::default()),
         lost: AtomicUsize::new(0),
         runs: AtomicUsize::new(0),
@@ -221,8 +221,8 @@
     let attempts: Vec<_> = (0..ATTEMPTS)
         .map(|number| {
             let cancelled = Arc::new(AtomicBool::new(false));
-            let (world, latch) = (world.clone(), cancelled.clone());
-            let attempt = thread::spawn(move || world.attempt(number, &latch));
+            let (simulation, latch) = (simulation.clone(), cancelled.clone());
+            let attempt = thread::spawn(move || simulation.attempt(number, &latch));
             // The first caller always disconnects, and the last one never does.
             let hangs_up = number == 0 || number + 1 < ATTEMPTS && thread_rng().gen_bool(0.5);
             let cancel = hangs_up.then(|| {
@@ -240,12 +240,12 @@
             cancel.join().expect("the caller has hung up");
         }
     }
-    let late = std::mem::take(&mut *world.late.lock().expect("no thread panics"));
+    let late = std::mem::take(&mut *simulation.late.lock().expect("no thread panics"));
     late.into_iter().for_each(|write| write.join().expect("the write ends"));
-    assert!(world.runs.load(Ordering::SeqCst) <= 1, "the request ran twice");
-    let told_apart = world.cancelled_runs.load(Ordering::SeqCst);
-    assert_eq!(told_apart, 0, "a request ran whose caller was told that it does not");
-    let row = world.row.lock().expect("no thread panics");
+    assert!(simulation.runs.load(Ordering::SeqCst) <= 1, "the request ran twice");
+    let cancelled_runs = simulation.cancelled_runs.load(Ordering::SeqCst);
+    assert_eq!(cancelled_runs, 0, "a request ran whose caller was told that it does not");
+    let row = simulation.row.lock().expect("no thread panics");
     let held = row.record.as_ref().is_some_and(|(record, _)| record.state == ClaimState::Held);
     assert!(!held, "the key is bound for ever to an attempt that has ended");
 }
@@ -253,9 +253,9 @@
 /// In every interleaving the request runs at most once, a "not run" report is true, and in
 /// the end the key is free or has a recorded outcome.
 #[test]
-fn a_key_runs_once_and_is_never_bound_for_ever() {
-    shuttle::check_random(|| play(None), SCHEDULES);
-    shuttle::check_pct(|| play(None), SCHEDULES, PREEMPTIONS);
+fn a_key_runs_once_and_is_never_claimed_forever() {
+    shuttle::check_random(|| run_schedule(None), SCHEDULES);
+    shuttle::check_pct(|| run_schedule(None), SCHEDULES, PREEMPTIONS);
 }
 
 #[rstest]
@@ -263,9 +263,9 @@
 #[case::keeps_a_certain_claim(AgentFault::KeepsCertainClaim)]
 #[case::never_releases(AgentFault::NeverReleases)]
 #[case::ignores_the_guard(AgentFault::IgnoresGuard)]
-fn an_agent_that_errs_is_found_out(#[case] fault: AgentFault) {
+fn a_faulty_agent_is_detected(#[case] fault: AgentFault) {
     let found = std::panic::catch_unwind(|| {
-        shuttle::check_random(move || play(Some(fault)), SCHEDULES);
+        shuttle::check_random(move || run_schedule(Some(fault)), SCHEDULES);
     });
     assert!(found.is_err(), "{fault:?} went unnoticed");
 }
--- a/crates/decide/tests/distribution.rs
+++ b/crates/decide/tests/distribution.rs
@@ -28,7 +28,7 @@
 #[case(230, 512, 1.25)]
 // With so few chunks the startup weighs more; the example runs 2,048.
 #[case(1_000, 64, 2.0)]
-fn one_copy_reaches_everyone_near_the_bound(
+fn one_copy_reaches_all_agents_near_the_bound(
     #[case] agents: usize,
     #[case] chunks: usize,
     #[case] most_ratio: f64,
@@ -107,7 +107,7 @@
 /// Guards against duplicate fetches by all agents after an outage of the origin during a
 /// transfer.
 #[rstest]
-fn an_origin_that_returns_is_not_drawn_twice() {
+fn a_recovered_origin_sends_no_chunk_twice() {
     let plan = RoundPlan { origin_down: 50..400, ..RoundPlan::new(16, 512, 5) };
     let result = completed(&plan);
     assert!(result.origin_copies() <= 1.25, "{result:?}");
@@ -163,7 +163,7 @@
 /// Guards against fetching a chunk twice from the origin when an agent with a higher rank
 /// joins while another one is fetching it.
 #[rstest]
-fn a_chunk_that_another_draws_is_left_to_it() {
+fn a_chunk_that_a_peer_fetches_from_the_origin_is_skipped() {
     let mut rng = SmallRng::seed_from_u64(8);
     let mut picker = picker(0, 1);
     picker.peer_connected(&instance(1), Timestamp(0));
@@ -174,11 +174,11 @@
 }
 
 fn any_fault(agents: usize, rounds: usize) -> impl Strategy<Value = RoundFault> {
-    let place = (1..agents, 0..rounds);
+    let agent_and_round = (1..agents, 0..rounds);
     prop_oneof![
-        place.clone().prop_map(|(agent, round)| RoundFault::Dies { agent, round }),
-        place.clone().prop_map(|(agent, round)| RoundFault::Stalls { agent, round }),
-        place.prop_map(|(agent, round)| RoundFault::Joins { agent, round: round + 1 }),
+        agent_and_round.clone().prop_map(|(agent, round)| RoundFault::Dies { agent, round }),
+        agent_and_round.clone().prop_map(|(agent, round)| RoundFault::Stalls { agent, round }),
+        agent_and_round.prop_map(|(agent, round)| RoundFault::Joins { agent, round: round + 1 }),
         (1..agents).prop_map(|agent| RoundFault::Lies { agent }),
     ]
 }
@@ -195,7 +195,7 @@
 
     /// Without faults no chunk is fetched from the origin twice, for any size.
     #[test]
-    fn no_chunk_is_drawn_twice_without_faults(
+    fn no_chunk_is_fetched_twice_without_faults(
         agents in 2_usize..24,
         chunks in 1_usize..200,
         seed: u64,
@@ -207,7 +207,7 @@
 
     /// The additional copies of all agents together stay within the limit.
     #[test]
-    fn extra_draws_stay_within_the_budget(
+    fn extra_origin_fetches_stay_within_the_budget(
         agents in 2_usize..24,
         chunks in 16_usize..200,
         extra in 0_u32..4,
@@ -224,7 +224,7 @@
 
     /// All live agents get the version while the origin is up, whatever else fails.
     #[test]
-    fn a_living_origin_suffices(
+    fn a_running_origin_suffices(
         agents in 4_usize..16,
         faults in prop::collection::vec(any_fault(4, 60), 0..4),
         corrupt in 0.0_f64..0.3,
@@ -237,7 +237,7 @@
 
     /// All live agents get the version while one live peer holds all of it.
     #[test]
-    fn a_living_full_holder_suffices(
+    fn a_running_full_holder_suffices(
         agents in 4_usize..16,
         faults in prop::collection::vec(any_fault(4, 60), 0..4),
         corrupt in 0.0_f64..0.3,
@@ -268,7 +268,7 @@
 #[case(25)]
 #[case(98)]
 #[case(300)]
-fn half_of_the_engines_are_whole_soon_after_a_loss_of_power(#[case] agents: usize) {
+fn half_of_the_engines_are_complete_soon_after_a_power_loss(#[case] agents: usize) {
     for seed in 1..=2 {
         let plan =
             RoundPlan { origin_rate: 1, profile: NARROW, ..RoundPlan::new(agents, 48, seed) };
--- a/crates/decide/tests/history.rs
+++ b/crates/decide/tests/history.rs
@@ -87,7 +87,7 @@
 #[case(Guard::GateRevision, [FaultKind::PausedEntry, FaultKind::SlowMessages])]
 #[case(Guard::StartHold, [FaultKind::RestartedEntry, FaultKind::SlowMessages])]
 #[case(Guard::Heartbeats, [FaultKind::CutLinks, FaultKind::RestartedEntry])]
-fn a_missing_guard_is_noticed(#[case] guard: Guard, #[case] faults: [FaultKind; 2]) {
+fn a_missing_guard_is_detected(#[case] guard: Guard, #[case] faults: [FaultKind; 2]) {
     let count = |off| {
         let mut total = Violations::default();
         let mut not_linearizable = 0;
--- a/crates/decide/tests/history/world.rs
+++ b/crates/decide/tests/history/world.rs
@@ -27,11 +27,11 @@
 
 /// Times in milliseconds, equal to those of the processes where these have them.
 const POLL: u64 = 1_000;
-const BEAT: u64 = 250;
+const HEARTBEAT: u64 = 250;
 const DISPATCH: u64 = 100;
 const STORE_TIMEOUT: u64 = 2_000;
 /// Timeouts of operators; with the short ones they retry while a write is in flight.
-const ASK_TIMEOUTS: std::ops::Range<u64> = 1_000..8_000;
+const REQUEST_TIMEOUTS: std::ops::Range<u64> = 1_000..8_000;
 const ENTRY_HOLD: u64 = 1_000;
 const AGENT_HOLD: u64 = 2_000;
 
@@ -114,8 +114,8 @@
     Dispatch(NodeIndex),
     Settle(NodeIndex),
     Restart(NodeIndex),
-    Ask { operation: usize, ask: u64 },
-    AskTimeout { operation: usize, ask: u64 },
+    SendRequest { operation: usize, attempt: u64 },
+    RequestTimeout { operation: usize, attempt: u64 },
 }
 
 /// The caller of a call to the table service.
@@ -126,7 +126,7 @@
     /// Number of the call, which distinguishes a timeout from a late response.
     call: u64,
     /// The attempt whose writer made the call; none for a poll.
-    ask: Option<(usize, u64)>,
+    attempt: Option<(usize, u64)>,
 }
 
 /// An operation on the preset in force and its effect.
@@ -143,7 +143,7 @@
     pub began_at: u64,
     change: Option<ChangeId>,
     ended: Option<(u64, OperationKind)>,
-    asks: u64,
+    attempts: u64,
 }
 
 impl Operation {
@@ -259,8 +259,8 @@
                 let change = ChangeId::new(&format!("change-{round}-{operator}")).expect("valid");
                 let began_at = 300 + round as u64 * 2_000 + self.rng.random_range(0..20);
                 let change = Some(change);
-                self.operations.push(Operation { began_at, change, ended: None, asks: 1 });
-                self.at(began_at, Event::Ask { operation, ask: 1 });
+                self.operations.push(Operation { began_at, change, ended: None, attempts: 1 });
+                self.at(began_at, Event::SendRequest { operation, attempt: 1 });
             }
         }
     }
@@ -281,7 +281,7 @@
             self.at(now + 1, Event::Poll(node));
             self.at(now + 1, Event::Dispatch(node));
         }
-        self.at(now + BEAT, Event::Beat(node));
+        self.at(now + HEARTBEAT, Event::Beat(node));
         ModelNode {
             incarnation,
             holder: PresetHolder::default(),
@@ -313,11 +313,11 @@
         self.queue.insert((at, self.sequence), event);
     }
 
-    fn is_struck(&self, kind: FaultKind) -> bool {
-        self.strikes(kind).next().is_some()
+    fn is_active(&self, kind: FaultKind) -> bool {
+        self.active_windows(kind).next().is_some()
     }
 
-    fn strikes(&self, kind: FaultKind) -> impl Iterator<Item = &FaultWindow> {
+    fn active_windows(&self, kind: FaultKind) -> impl Iterator<Item = &FaultWindow> {
         let now = self.now;
         self.windows
             .iter()
@@ -326,17 +326,18 @@
 
     fn is_cut(&self, a: NodeIndex, b: NodeIndex) -> bool {
         let (low, high) = (a.min(b) as u64, a.max(b) as u64);
-        self.strikes(FaultKind::CutLinks).any(|window| (low * 7 + high * 5 + window.from) % 3 == 0)
+        self.active_windows(FaultKind::CutLinks)
+            .any(|window| (low * 7 + high * 5 + window.from) % 3 == 0)
     }
 
     /// When a paused process goes on.
     fn resumes_at(&self, node: NodeIndex) -> Option<u64> {
-        let strikes = self.strikes(FaultKind::PausedEntry);
-        strikes.filter(|window| window.victim == node).map(|window| window.until).max()
+        let active_windows = self.active_windows(FaultKind::PausedEntry);
+        active_windows.filter(|window| window.victim == node).map(|window| window.until).max()
     }
 
     fn delay(&mut self) -> u64 {
-        if self.is_struck(FaultKind::SlowMessages) {
+        if self.is_active(FaultKind::SlowMessages) {
             return self.rng.random_range(1..1_500);
         }
         self.rng.random_range(1..8)
@@ -344,7 +345,7 @@
 
     /// Delay of a call, which may exceed the timeout of its caller.
     fn call_delay(&mut self) -> u64 {
-        if self.is_struck(FaultKind::SlowMessages) && self.rng.random_bool(0.5) {
+        if self.is_active(FaultKind::SlowMessages) && self.rng.random_bool(0.5) {
             return self.rng.random_range(1..3 * STORE_TIMEOUT);
         }
         self.rng.random_range(1..8)
@@ -376,8 +377,8 @@
             }
             Event::CallArrives { .. }
             | Event::Restart(_)
-            | Event::Ask { .. }
-            | Event::AskTimeout { .. } => None,
+            | Event::SendRequest { .. }
+            | Event::RequestTimeout { .. } => None,
         };
         if let Some(resumes_at) = actor.and_then(|actor| self.resumes_at(actor)) {
             return self.at(resumes_at, event);
@@ -397,14 +398,14 @@
                 let at = self.now + self.rng.random_range(POLL * 3 / 4..POLL * 5 / 4);
                 self.at(at, Event::Poll(node));
             }
-            Event::Beat(node) => self.beat(node),
+            Event::Beat(node) => self.send_heartbeat(node),
             Event::Dispatch(node) => self.dispatch(node),
             Event::Settle(node) => self.settle(node),
             Event::Restart(node) => self.restart(node),
-            Event::Ask { operation, ask } => self.ask(operation, ask),
-            Event::AskTimeout { operation, ask } => {
+            Event::SendRequest { operation, attempt } => self.send_request(operation, attempt),
+            Event::RequestTimeout { operation, attempt } => {
                 let detail = "the entry did not answer".to_owned();
-                self.conclude(operation, ask, ChangeOutcome::Unknown(detail));
+                self.conclude(operation, attempt, ChangeOutcome::Unknown(detail));
             }
         }
     }
@@ -497,12 +498,12 @@
         node.worked = node.worked.max(revision);
     }
 
-    fn beat(&mut self, node: NodeIndex) {
+    fn send_heartbeat(&mut self, node: NodeIndex) {
         let revision = self.in_use(node).map(|preset| preset.revision).unwrap_or_default();
         for other in (0..ENTRIES).filter(|other| *other != node) {
             self.send(node, other, Message::Beat(revision));
         }
-        let at = self.now + BEAT;
+        let at = self.now + HEARTBEAT;
         self.at(at, Event::Beat(node));
     }
 
@@ -518,11 +519,11 @@
         self.at(at, Event::Dispatch(node));
     }
 
-    fn call_store(&mut self, node: NodeIndex, ask: Option<(usize, u64)>, call: StoreCall) {
+    fn call_store(&mut self, node: NodeIndex, attempt: Option<(usize, u64)>, call: StoreCall) {
         self.sequence += 1;
         let number = self.sequence;
         let incarnation = self.nodes[node].incarnation;
-        let caller = StoreCaller { node, incarnation, call: number, ask };
+        let caller = StoreCaller { node, incarnation, call: number, attempt };
         self.open_calls.insert(number);
         let began_at = self.now;
         let arrives_at = began_at + self.call_delay();
@@ -535,7 +536,7 @@
     fn arrive(&mut self, caller: StoreCaller, call: StoreCall, began_at: u64) {
         let is_read = matches!(call, StoreCall::Force);
         let answers_at = self.now + self.call_delay();
-        if self.is_struck(FaultKind::Outage) {
+        if self.is_active(FaultKind::Outage) {
             // Refused without effect, or unanswered until the timeout.
             if self.rng.random_bool(0.5) {
                 let answer = ChangeAnswer::NoEffect("refused".to_owned());
@@ -548,8 +549,8 @@
             let answer = ChangeAnswer::NoEffect("rate limited".to_owned());
             return self.at(answers_at, Event::CallAnswered { caller, answer, read_from: None });
         }
-        let stale = self.is_struck(FaultKind::StaleReads) && self.rng.random_bool(0.5);
-        let lost = self.is_struck(FaultKind::LostAnswers) && self.rng.random_bool(0.5);
+        let stale = self.is_active(FaultKind::StaleReads) && self.rng.random_bool(0.5);
+        let lost = self.is_active(FaultKind::LostAnswers) && self.rng.random_bool(0.5);
         let stale_rng = stale.then_some(&mut self.rng);
         let answer = self.store.carry_out(call, stale_rng, self.off);
         if !lost {
@@ -564,7 +565,7 @@
         {
             return;
         }
-        let Some((operation, ask)) = caller.ask else {
+        let Some((operation, attempt)) = caller.attempt else {
             return self.polled(caller.node, answer, read_from);
         };
         let answer = match answer {
@@ -574,11 +575,13 @@
             answer => answer,
         };
         let now = Timestamp(self.now);
-        let Some(writer) = self.nodes[caller.node].writers.get_mut(&ask_key(operation, ask)) else {
+        let Some(writer) =
+            self.nodes[caller.node].writers.get_mut(&attempt_key(operation, attempt))
+        else {
             return;
         };
         let step = writer.next(answer, now);
-        self.take_step(caller.node, operation, ask, step);
+        self.take_step(caller.node, operation, attempt, step);
     }
 
     fn polled(&mut self, node: NodeIndex, answer: ChangeAnswer, read_from: Option<u64>) {
@@ -586,7 +589,7 @@
             let revision = row.as_ref().map_or(0, |row| row.preset.revision.0);
             if let Some(began_at) = read_from.filter(|_| self.rng.random_bool(0.2)) {
                 let ended = Some((self.now, OperationKind::Read(revision)));
-                self.operations.push(Operation { began_at, change: None, ended, asks: 0 });
+                self.operations.push(Operation { began_at, change: None, ended, attempts: 0 });
             }
             if let Some(row) = row {
                 self.offer(node, &row.preset);
@@ -595,23 +598,23 @@
         self.nodes[node].hold.mark_answered(store_addr());
     }
 
-    fn ask(&mut self, operation: usize, ask: u64) {
+    fn send_request(&mut self, operation: usize, attempt: u64) {
         let node = self.rng.random_range(0..ENTRIES);
-        let timeout_at = self.now + self.rng.random_range(ASK_TIMEOUTS);
-        self.at(timeout_at, Event::AskTimeout { operation, ask });
+        let timeout_at = self.now + self.rng.random_range(REQUEST_TIMEOUTS);
+        self.at(timeout_at, Event::RequestTimeout { operation, attempt });
         let request = ChangeRequest {
             preset: PresetName::new(&format!("preset-{operation}")).expect("valid"),
             change: self.operations[operation].change.clone().expect("operators change"),
             operator: OperatorName::new("operator").expect("valid"),
-            fresh: ask == 1,
+            fresh: attempt == 1,
             known: self.nodes[node].holder.revision(),
         };
         let (writer, step) = ChangeWriter::start(request);
-        self.nodes[node].writers.insert(ask_key(operation, ask), writer);
-        self.take_step(node, operation, ask, step);
+        self.nodes[node].writers.insert(attempt_key(operation, attempt), writer);
+        self.take_step(node, operation, attempt, step);
     }
 
-    fn take_step(&mut self, node: NodeIndex, operation: usize, ask: u64, step: ChangeStep) {
+    fn take_step(&mut self, node: NodeIndex, operation: usize, attempt: u64, step: ChangeStep) {
         let change = self.operations[operation].change.clone().expect("operators change");
         let call = match step {
             ChangeStep::FindRecord => StoreCall::Record(change),
@@ -623,16 +626,16 @@
                 if let ChangeOutcome::Accepted(preset) = &reported {
                     self.offer(node, preset);
                 }
-                return self.conclude(operation, ask, reported);
+                return self.conclude(operation, attempt, reported);
             }
         };
-        self.call_store(node, Some((operation, ask)), call);
+        self.call_store(node, Some((operation, attempt)), call);
     }
 
     /// Reports the outcome to an operator, which retries with the same id if it is unknown.
-    fn conclude(&mut self, operation: usize, ask: u64, reported: ChangeOutcome) {
+    fn conclude(&mut self, operation: usize, attempt: u64, reported: ChangeOutcome) {
         let asked = &self.operations[operation];
-        if asked.ended.is_some() || asked.asks != ask {
+        if asked.ended.is_some() || asked.attempts != attempt {
             return;
         }
         let now = self.now;
@@ -643,9 +646,9 @@
                 OperationKind::Change(None)
             }
             ChangeOutcome::Unknown(_) => {
-                self.operations[operation].asks = ask + 1;
+                self.operations[operation].attempts = attempt + 1;
                 let at = now + self.rng.random_range(50..800);
-                return self.at(at, Event::Ask { operation, ask: ask + 1 });
+                return self.at(at, Event::SendRequest { operation, attempt: attempt + 1 });
             }
         };
         self.operations[operation].ended = Some((now, outcome));
@@ -653,6 +656,6 @@
     }
 }
 
-fn ask_key(operation: usize, ask: u64) -> u64 {
-    operation as u64 * 1_000 + ask
+fn attempt_key(operation: usize, attempt: u64) -> u64 {
+    operation as u64 * 1_000 + attempt
 }
--- a/crates/decide/tests/keyed_history.rs
+++ b/crates/decide/tests/keyed_history.rs
@@ -11,7 +11,7 @@
         history::{Action, History},
     },
 };
-use world::{AGENTS, Fault, KEYS, MissingGuard, Told, World, expected_answer};
+use world::{AGENTS, CallerResponse, Fault, KEYS, MissingGuard, World, expected_answer};
 
 const SEEDS: u64 = 8_000;
 
@@ -19,7 +19,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Violations {
     second_runs: u32,
-    ran_though_told_not: u32,
+    ran_though_reported_not_run: u32,
     wrong_answers: u32,
     late_runs: u32,
     ran_though_cancelled: u32,
@@ -68,12 +68,13 @@
         seen.second_runs += runs.saturating_sub(1);
     }
     for request in &world.requests {
-        let (told, _) = request.told.as_ref().expect("every caller is told something");
+        let (response, _) = request.response.as_ref().expect("every caller is told something");
         let mut attempts = request.attempts.iter().map(|index| &world.attempts[*index]);
-        if let Told::NotRun(_) = told {
-            seen.ran_though_told_not += u32::from(attempts.any(|attempt| attempt.effects > 0));
+        if let CallerResponse::NotRun(_) = response {
+            seen.ran_though_reported_not_run +=
+                u32::from(attempts.any(|attempt| attempt.effects > 0));
         }
-        if let Told::Complete(answer) = told {
+        if let CallerResponse::Complete(answer) = response {
             let is_own = |(index, attempt): (usize, &world::Attempt)| {
                 attempt.effects == 1
                     && world.requests[attempt.request].key == request.key
@@ -105,9 +106,9 @@
         }
         let last = world.arrive(key, world.now + 10_000);
         seen.unsettled += u32::from(!world.run());
-        let (told, _) = world.requests[last].told.clone().expect("an answer");
+        let (response, _) = world.requests[last].response.clone().expect("an answer");
         let began = world.attempts.iter().any(|a| a.request == last && a.began_at.is_some());
-        let refused = told == Told::NotRun(NotRunReason::ConnectFailed);
+        let refused = response == CallerResponse::NotRun(NotRunReason::ConnectFailed);
         seen.stuck_keys += u32::from(!began && !refused);
     }
 }
@@ -120,7 +121,7 @@
 #[derive(Debug, Clone)]
 struct Sale {
     ran: Option<String>,
-    told: Option<String>,
+    response: Option<String>,
 }
 
 impl Specification for SaleSpec {
@@ -137,8 +138,8 @@
             (None, Some(answer)) => Some(answer.clone()),
             (state, None) => state.clone(),
         };
-        let honest = sale.told.is_none() || sale.told == next;
-        (honest, if honest { next } else { state.clone() })
+        let is_consistent = sale.response.is_none() || sale.response == next;
+        (is_consistent, if is_consistent { next } else { state.clone() })
     }
 }
 
@@ -147,16 +148,16 @@
         let mut actions = Vec::new();
         let requests = world.requests.iter().enumerate().filter(|(_, r)| r.key == key);
         for (process, (index, request)) in requests.enumerate() {
-            let (told, told_at) = request.told.clone().expect("an answer");
+            let (response, responded_at) = request.response.clone().expect("an answer");
             let ran = world.attempts.iter().position(|a| a.request == index && a.effects > 0);
             let ran = ran.map(|attempt| expected_answer(key, attempt));
             // A run reported as "unknown" may take effect at any later time.
-            let (answer, end) = match told {
-                Told::Complete(answer) => (Some(answer), told_at),
-                Told::NotRun(_) => (None, told_at),
-                Told::Unknown | Told::Gone => (None, u64::MAX),
+            let (answer, end) = match response {
+                CallerResponse::Complete(answer) => (Some(answer), responded_at),
+                CallerResponse::NotRun(_) => (None, responded_at),
+                CallerResponse::Unknown | CallerResponse::Gone => (None, u64::MAX),
             };
-            let sale = Sale { ran, told: answer };
+            let sale = Sale { ran, response: answer };
             actions.push((request.called_at, 0, (process, Action::Call(sale.clone()))));
             actions.push((end, 1, (process, Action::Response(sale))));
         }
@@ -174,14 +175,14 @@
 /// agents that fail before, during or after a run, pauses, drains, a table service that is
 /// down, slow or loses responses, and callers that disconnect.
 #[test]
-fn keyed_requests_run_at_most_once_and_answers_are_honest() {
+fn keyed_requests_run_at_most_once_and_answers_are_accurate() {
     assert_eq!(observe(MissingGuard::None), Violations::default());
 }
 
 /// Verifies the checks themselves: with each guard disabled, the violation that it prevents
 /// must be counted.
 #[test]
-fn a_missing_guard_is_noticed() {
+fn a_missing_guard_is_detected() {
     let claim = observe(MissingGuard::Claim);
     assert!(claim.second_runs > 100 && claim.not_linearizable > 100, "{claim:?}");
     let held = observe(MissingGuard::HeldClaimStays);
@@ -191,7 +192,7 @@
     let latch = observe(MissingGuard::LatchBeforeRun);
     assert!(latch.ran_though_cancelled > 5, "{latch:?}");
     let unknown = observe(MissingGuard::UnknownStays);
-    assert!(unknown.ran_though_told_not > 5, "{unknown:?}");
+    assert!(unknown.ran_though_reported_not_run > 5, "{unknown:?}");
     let release = observe(MissingGuard::LateRelease);
     assert!(release.stuck_keys > 5, "{release:?}");
     println!("{claim:?}\n{held:?}\n{late:?}\n{latch:?}\n{unknown:?}\n{release:?}");
--- a/crates/decide/tests/keyed_history/world.rs
+++ b/crates/decide/tests/keyed_history/world.rs
@@ -42,7 +42,7 @@
 
 /// The response that a caller received.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Told {
+pub enum CallerResponse {
     Complete(String),
     NotRun(NotRunReason),
     Unknown,
@@ -52,10 +52,10 @@
 #[derive(Debug, Clone)]
 enum StoreCall {
     Claim(ClaimGuard),
-    Look,
+    Read,
     Settle(ClaimState, u64),
     Release(ClaimGuard),
-    ReleaseLook,
+    ReleaseRead,
 }
 
 #[derive(Debug, Clone)]
@@ -67,9 +67,9 @@
     RunEnds(usize),
     Send(usize, StoreCall),
     Apply(usize, StoreCall),
-    ApplyUnheard(usize, StoreCall),
+    ApplyWithoutReply(usize, StoreCall),
     Answer(usize, StoreCall, ClaimReply),
-    Word(usize, Result<String, AttemptFailure>),
+    AgentResponse(usize, Result<String, AttemptFailure>),
     Deadline(usize),
     Cancel(usize),
     Begin(Fault),
@@ -79,7 +79,7 @@
 pub struct Request {
     pub key: usize,
     pub called_at: u64,
-    pub told: Option<(Told, u64)>,
+    pub response: Option<(CallerResponse, u64)>,
     pub attempts: Vec<usize>,
     tracker: RetryTracker,
     deadline: Deadline,
@@ -170,7 +170,7 @@
         let request = Request {
             key,
             called_at: at,
-            told: None,
+            response: None,
             attempts: Vec::new(),
             tracker,
             deadline,
@@ -190,7 +190,7 @@
             };
             self.now = self.now.max(at);
             let event = self.details[index].take().expect("an event happens once");
-            self.happen(event);
+            self.handle_event(event);
         }
         false
     }
@@ -204,7 +204,7 @@
         self.events.push(Reverse((at, self.details.len() - 1)));
     }
 
-    fn soon(&mut self, event: Event) {
+    fn schedule_soon(&mut self, event: Event) {
         let at = self.now + self.rng.random_range(1..20);
         self.at(at, event);
     }
@@ -213,21 +213,21 @@
         Timestamp(self.now)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrive(request) => {
                 self.at(self.requests[request].deadline.0, Event::Deadline(request));
                 self.try_agent(request);
             }
             Event::Try(request) => self.try_agent(request),
-            Event::Word(attempt, word) => self.receive_response(attempt, word),
+            Event::AgentResponse(attempt, result) => self.receive_response(attempt, result),
             Event::Deadline(request) => self.reach_deadline(request),
             Event::Effect(attempt) => self.attempts[attempt].effects += 1,
             Event::Apply(attempt, call) => {
                 let reply = self.apply(attempt, &call);
-                self.soon(Event::Answer(attempt, call, reply));
+                self.schedule_soon(Event::Answer(attempt, call, reply));
             }
-            Event::ApplyUnheard(attempt, call) => drop(self.apply(attempt, &call)),
+            Event::ApplyWithoutReply(attempt, call) => drop(self.apply(attempt, &call)),
             Event::Begin(fault) => self.begin(fault),
             Event::End(fault) => self.end(fault),
             Event::Dispatch(attempt)
@@ -262,7 +262,7 @@
 
     fn try_agent(&mut self, index: usize) {
         let request = &mut self.requests[index];
-        if request.told.is_some() {
+        if request.response.is_some() {
             return;
         }
         let free: Vec<_> = (0..AGENTS).filter(|a| !request.excluded.contains(a)).collect();
@@ -287,18 +287,18 @@
             revision: 0,
             ended: false,
         });
-        self.soon(Event::Dispatch(number));
+        self.schedule_soon(Event::Dispatch(number));
     }
 
-    fn receive_response(&mut self, attempt: usize, word: Result<String, AttemptFailure>) {
+    fn receive_response(&mut self, attempt: usize, result: Result<String, AttemptFailure>) {
         let index = self.attempts[attempt].request;
         let request = &self.requests[index];
         // Late response of an abandoned attempt.
-        if request.told.is_some() || request.attempts.last() != Some(&attempt) {
+        if request.response.is_some() || request.attempts.last() != Some(&attempt) {
             return;
         }
-        match word {
-            Ok(answer) => self.tell(index, Told::Complete(answer)),
+        match result {
+            Ok(answer) => self.respond(index, CallerResponse::Complete(answer)),
             Err(end) => self.after(index, end),
         }
     }
@@ -310,32 +310,32 @@
             RetryStep::Retry(at) | RetryStep::Reroute(at) => self.at(at.0, Event::Try(index)),
             RetryStep::Stop(end) => {
                 let end = if self.missing == MissingGuard::UnknownStays { last } else { end };
-                let told = match end {
-                    AttemptFailure::NotRun(reason) => Told::NotRun(reason),
+                let response = match end {
+                    AttemptFailure::NotRun(reason) => CallerResponse::NotRun(reason),
                     AttemptFailure::Unknown(_)
                     | AttemptFailure::Lost(_)
-                    | AttemptFailure::Unanswered(_) => Told::Unknown,
+                    | AttemptFailure::Unanswered(_) => CallerResponse::Unknown,
                 };
-                self.tell(index, told);
+                self.respond(index, response);
             }
         }
     }
 
     fn reach_deadline(&mut self, index: usize) {
-        if self.requests[index].told.is_some() {
+        if self.requests[index].response.is_some() {
             return;
         }
         self.after(index, AttemptFailure::Unknown("deadline".to_owned()));
         self.cancel_last(index);
     }
 
-    fn tell(&mut self, index: usize, told: Told) {
-        self.requests[index].told = Some((told, self.now));
+    fn respond(&mut self, index: usize, response: CallerResponse) {
+        self.requests[index].response = Some((response, self.now));
     }
 
     fn cancel_last(&mut self, index: usize) {
         if let Some(attempt) = self.requests[index].attempts.last().copied() {
-            self.soon(Event::Cancel(attempt));
+            self.schedule_soon(Event::Cancel(attempt));
         }
     }
 
@@ -387,10 +387,10 @@
     fn give_up(&mut self, attempt: usize, end: AttemptFailure) {
         self.leave_gate(attempt);
         self.attempts[attempt].ended = true;
-        self.soon(Event::Word(attempt, Err(end)));
+        self.schedule_soon(Event::AgentResponse(attempt, Err(end)));
         let uncertain = self.attempts[attempt].tracker.is_uncertain();
         if uncertain && self.missing != MissingGuard::LateRelease {
-            self.soon(Event::Send(attempt, StoreCall::ReleaseLook));
+            self.schedule_soon(Event::Send(attempt, StoreCall::ReleaseRead));
         }
     }
 
@@ -405,46 +405,48 @@
                 }
                 self.attempts[attempt].tracker.begin_write();
             }
-            StoreCall::Look if self.attempts[attempt].tracker.waits_for_other() => {
+            StoreCall::Read if self.attempts[attempt].tracker.waits_for_other() => {
                 self.leave_gate(attempt);
             }
-            StoreCall::Look
+            StoreCall::Read
             | StoreCall::Settle(..)
             | StoreCall::Release(_)
-            | StoreCall::ReleaseLook => {}
+            | StoreCall::ReleaseRead => {}
         }
         if self.store_down > 0 {
             let reply =
                 if self.rng.random_bool(0.5) { ClaimReply::NoEffect } else { ClaimReply::Lost };
-            return self.soon(Event::Answer(attempt, call, reply));
+            return self.schedule_soon(Event::Answer(attempt, call, reply));
         }
         if self.store_slow > 0 && self.rng.random_bool(0.5) {
             // The client times out on a write that takes effect long after.
             let late = self.now + self.rng.random_range(50..1_500);
-            self.at(late, Event::ApplyUnheard(attempt, call.clone()));
+            self.at(late, Event::ApplyWithoutReply(attempt, call.clone()));
             return self.at(self.now + 50, Event::Answer(attempt, call, ClaimReply::Lost));
         }
-        self.soon(Event::Apply(attempt, call));
+        self.schedule_soon(Event::Apply(attempt, call));
     }
 
     fn answered(&mut self, attempt: usize, call: StoreCall, reply: ClaimReply) {
         let again = |call| Event::Send(attempt, call);
         match call {
             // Late response to a call that has timed out.
-            StoreCall::Claim(_) | StoreCall::Look if self.attempts[attempt].ended => {}
-            StoreCall::Claim(_) | StoreCall::Look => self.claim_step(attempt, reply),
+            StoreCall::Claim(_) | StoreCall::Read if self.attempts[attempt].ended => {}
+            StoreCall::Claim(_) | StoreCall::Read => self.claim_step(attempt, reply),
             StoreCall::Settle(state, revision) => match reply {
                 ClaimReply::NoEffect | ClaimReply::Lost => {
                     self.at(self.now + 60, again(StoreCall::Settle(state, revision)));
                 }
                 _ => {}
             },
-            StoreCall::Release(_) | StoreCall::ReleaseLook => {
+            StoreCall::Release(_) | StoreCall::ReleaseRead => {
                 let nonce = self.attempts[attempt].tracker.record().nonce.clone();
                 match release_step(&nonce, &reply) {
                     ReleaseStep::Done => {}
-                    ReleaseStep::Write(guard) => self.soon(again(StoreCall::Release(guard))),
-                    ReleaseStep::Poll => self.at(self.now + 60, again(StoreCall::ReleaseLook)),
+                    ReleaseStep::Write(guard) => {
+                        self.schedule_soon(again(StoreCall::Release(guard)))
+                    }
+                    ReleaseStep::Poll => self.at(self.now + 60, again(StoreCall::ReleaseRead)),
                 }
             }
         }
@@ -468,13 +470,15 @@
             return self.begin_run(attempt, 1);
         }
         match step {
-            ClaimStep::Write(guard) => self.soon(Event::Send(attempt, StoreCall::Claim(guard))),
-            ClaimStep::Poll => self.soon(Event::Send(attempt, StoreCall::Look)),
+            ClaimStep::Write(guard) => {
+                self.schedule_soon(Event::Send(attempt, StoreCall::Claim(guard)))
+            }
+            ClaimStep::Poll => self.schedule_soon(Event::Send(attempt, StoreCall::Read)),
             ClaimStep::Run(revision) => self.begin_run(attempt, revision),
             ClaimStep::Replay(answer) => {
                 self.leave_gate(attempt);
                 self.attempts[attempt].ended = true;
-                self.soon(Event::Word(attempt, Ok(answer.body)));
+                self.schedule_soon(Event::AgentResponse(attempt, Ok(answer.body)));
             }
             ClaimStep::Unknown(detail) => self.give_up(attempt, AttemptFailure::Unanswered(detail)),
             ClaimStep::Conflict => self.refuse(attempt, NotRunReason::KeyConflict),
@@ -512,7 +516,10 @@
         if self.rng.random_bool(0.1) {
             let detail = "answer cut".to_owned();
             self.settle(attempt, ClaimState::Unanswered { detail: detail.clone() }, revision);
-            return self.soon(Event::Word(attempt, Err(AttemptFailure::Unanswered(detail))));
+            return self.schedule_soon(Event::AgentResponse(
+                attempt,
+                Err(AttemptFailure::Unanswered(detail)),
+            ));
         }
         let key = self.requests[self.attempts[attempt].request].key;
         let body = expected_answer(key, attempt);
@@ -525,11 +532,11 @@
             body: body.clone(),
         };
         self.settle(attempt, ClaimState::Answered(answer), revision);
-        self.soon(Event::Word(attempt, Ok(body)));
+        self.schedule_soon(Event::AgentResponse(attempt, Ok(body)));
     }
 
     fn settle(&mut self, attempt: usize, state: ClaimState, revision: u64) {
-        self.soon(Event::Send(attempt, StoreCall::Settle(state, revision)));
+        self.schedule_soon(Event::Send(attempt, StoreCall::Settle(state, revision)));
     }
 
     // Table service.
@@ -543,7 +550,7 @@
                 Some((ClaimGuard::Revision(*revision), tracker.record_as(state.clone())))
             }
             StoreCall::Release(guard) => Some((*guard, tracker.record_as(ClaimState::Released))),
-            StoreCall::Look | StoreCall::ReleaseLook => None,
+            StoreCall::Read | StoreCall::ReleaseRead => None,
         };
         let row = &mut self.rows[key];
         let revision = row.as_ref().map(|(_, revision)| *revision);
@@ -582,10 +589,10 @@
             Fault::AnswersLost => self.answers_lost += 1,
             Fault::EntryGone(request) => {
                 let request = request % self.requests.len();
-                if self.requests[request].told.is_none()
+                if self.requests[request].response.is_none()
                     && self.requests[request].called_at <= self.now
                 {
-                    self.tell(request, Told::Gone);
+                    self.respond(request, CallerResponse::Gone);
                     self.cancel_last(request);
                 }
             }
@@ -621,8 +628,9 @@
     /// Processes the events deferred until the end of a pause.
     fn wake_deferred(&mut self, now: u64) {
         let events = std::mem::take(&mut self.events);
-        let woken = |Reverse((at, index))| Reverse((if at == u64::MAX { now } else { at }, index));
-        self.events = events.into_iter().map(woken).collect();
+        let rescheduled =
+            |Reverse((at, index))| Reverse((if at == u64::MAX { now } else { at }, index));
+        self.events = events.into_iter().map(rescheduled).collect();
     }
 
     fn replace_agent(&mut self, agent: usize) {
@@ -632,7 +640,7 @@
             if self.attempts[index].agent == agent {
                 self.attempts[index].permit = false;
                 let lost = AttemptFailure::Unknown("connection lost".to_owned());
-                self.soon(Event::Word(index, Err(lost)));
+                self.schedule_soon(Event::AgentResponse(index, Err(lost)));
             }
         }
     }
--- a/crates/decide/tests/listing.rs
+++ b/crates/decide/tests/listing.rs
@@ -40,7 +40,7 @@
     ListedRow { instance: instance(name), position, endpoint: None, is_unusable: false }
 }
 
-fn news(rows: Vec<ListedRow>, base: u64, position: u64, asked_at: Timestamp) -> ListingUpdate {
+fn update(rows: Vec<ListedRow>, base: u64, position: u64, asked_at: Timestamp) -> ListingUpdate {
     ListingUpdate { rows, base, position, asked_at }
 }
 
@@ -50,29 +50,30 @@
 
 fn read(rows: Vec<ListedRow>, position: u64) -> EndpointListing {
     let mut listing = EndpointListing::new(HEARTBEAT_MS);
-    listing.apply_read(news(rows, 0, position, START), START);
+    listing.apply_read(update(rows, 0, position, START), START);
     listing
 }
 
 /// An endpoint whose row vanishes while the list is available is removed with that read.
 #[test]
-fn a_row_that_vanishes_while_the_list_answers_is_gone_at_once() {
+fn a_row_removed_while_the_list_is_readable_is_dropped_at_once() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
-    let told = listing.apply_read(news(vec![gone("a", 3)], 2, 3, at(500)), at(505));
+    let published = listing.apply_read(update(vec![gone("a", 3)], 2, 3, at(500)), at(505));
     assert_eq!(names(&listing), ["b"]);
-    assert_eq!(told.rows, [gone("a", 3)]);
+    assert_eq!(published.rows, [gone("a", 3)]);
 }
 
 /// Guards against refusing all callers after an outage of the platform's store, in which live
 /// endpoints could not renew their rows. Those not back within the grace period are removed.
 #[test]
-fn rows_that_lapsed_in_an_outage_may_come_back() {
+fn rows_that_expired_in_an_outage_may_return() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
     let back_at = at(6_000);
-    let told = listing.apply_read(news(vec![gone("a", 3), gone("b", 4)], 2, 4, back_at), back_at);
+    let published =
+        listing.apply_read(update(vec![gone("a", 3), gone("b", 4)], 2, 4, back_at), back_at);
     assert_eq!(names(&listing), ["a", "b"]);
-    assert!(told.rows.is_empty(), "the others must not drop them either: {told:?}");
-    listing.apply_read(news(vec![row("a", 5)], 4, 5, at(6_500)), at(6_500));
+    assert!(published.rows.is_empty(), "the others must not drop them either: {published:?}");
+    listing.apply_read(update(vec![row("a", 5)], 4, 5, at(6_500)), at(6_500));
     assert!(listing.expire_missing(at(7_500)).is_empty());
     let removed = listing.expire_missing(at(8_400));
     assert_eq!(names(&listing), ["a"]);
@@ -83,9 +84,9 @@
 #[test]
 fn a_whole_read_shows_what_was_removed() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
-    let told = listing.apply_read(news(vec![row("b", 2)], 0, 7, at(500)), at(500));
+    let published = listing.apply_read(update(vec![row("b", 2)], 0, 7, at(500)), at(500));
     assert_eq!(names(&listing), ["b"]);
-    assert!(told.rows.contains(&gone("a", 7)));
+    assert!(published.rows.contains(&gone("a", 7)));
 }
 
 /// Guards against an older row, received late from another entry, that restores an endpoint
@@ -93,8 +94,8 @@
 #[test]
 fn an_older_row_changes_nothing() {
     let mut listing = read(vec![row("a", 1)], 1);
-    assert!(listing.apply_update(&news(vec![gone("a", 5)], 1, 5, at(600))));
-    assert!(listing.apply_update(&news(vec![row("a", 3)], 1, 3, at(300))));
+    assert!(listing.apply_update(&update(vec![gone("a", 5)], 1, 5, at(600))));
+    assert!(listing.apply_update(&update(vec![row("a", 3)], 1, 3, at(300))));
     assert!(names(&listing).is_empty());
     assert_eq!(listing.position(), 5);
 }
@@ -102,18 +103,18 @@
 /// An update whose base is unknown, because an earlier one was dropped, is not applied; the
 /// entry has to request the whole list.
 #[test]
-fn news_with_a_gap_are_not_taken() {
+fn an_update_with_a_gap_is_rejected() {
     let mut listing = read(vec![row("a", 1)], 1);
-    assert!(!listing.apply_update(&news(vec![row("c", 9)], 8, 9, at(900))));
+    assert!(!listing.apply_update(&update(vec![row("c", 9)], 8, 9, at(900))));
     assert_eq!(names(&listing), ["a"]);
-    assert!(listing.apply_update(&news(vec![row("b", 4), row("c", 9)], 0, 9, at(900))));
+    assert!(listing.apply_update(&update(vec![row("b", 4), row("c", 9)], 0, 9, at(900))));
     assert_eq!(names(&listing), ["b", "c"]);
 }
 
 /// If the reading entry fails, the next rank reads a step later, early enough to learn of a
 /// leaving endpoint in time.
 #[test]
-fn the_next_rank_reads_when_the_first_falls_silent() {
+fn the_next_rank_reads_when_the_first_stops_publishing() {
     let listing = read(vec![row("a", 1)], 1);
     assert_eq!(listing.next_read_at(0), Deadline(at(500).0));
     assert_eq!(listing.next_read_at(1), Deadline(at(750).0));
@@ -124,12 +125,12 @@
 /// the same addresses with new ids while the old rows remain for seconds; half of the callers
 /// would be refused meanwhile.
 #[test]
-fn the_newest_process_at_an_address_is_the_present_one() {
+fn the_newest_process_at_an_address_is_current() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
     let mut restarted = endpoint("z", false);
     restarted.addr = endpoint("a", false).addr;
     let restarted = ListedRow { endpoint: Some(restarted), ..row("z", 5) };
-    listing.apply_read(news(vec![restarted], 2, 5, at(500)), at(500));
+    listing.apply_read(update(vec![restarted], 2, 5, at(500)), at(500));
     let present = |listing: &EndpointListing| -> Vec<String> {
         let present = listing.latest_per_addr(|_| true);
         present.iter().map(|endpoint| endpoint.instance.to_string()).collect()
@@ -145,13 +146,13 @@
 /// Guards against a delayed update with the same row that restores an endpoint whose address
 /// is now used by another process.
 #[test]
-fn a_forgotten_endpoint_does_not_come_back_with_an_old_row() {
+fn a_removed_endpoint_does_not_return_with_an_old_row() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
     assert!(listing.forget(&instance("a")));
     assert!(!listing.forget(&instance("a")));
-    assert!(listing.apply_update(&news(vec![row("a", 1)], 2, 2, at(300))));
+    assert!(listing.apply_update(&update(vec![row("a", 1)], 2, 2, at(300))));
     assert_eq!(names(&listing), ["b"]);
-    assert!(listing.apply_update(&news(vec![row("a", 3)], 2, 3, at(400))));
+    assert!(listing.apply_update(&update(vec![row("a", 3)], 2, 3, at(400))));
     assert_eq!(names(&listing), ["a", "b"]);
 }
 
@@ -161,9 +162,9 @@
 fn an_unusable_row_ends_its_endpoint_also_after_an_outage() {
     let mut listing = read(vec![row("a", 1), row("b", 2)], 2);
     let unusable = ListedRow { is_unusable: true, ..gone("a", 3) };
-    listing.apply_read(news(vec![unusable, gone("b", 4)], 2, 4, at(6_000)), at(6_000));
+    listing.apply_read(update(vec![unusable, gone("b", 4)], 2, 4, at(6_000)), at(6_000));
     assert_eq!(names(&listing), ["b"]);
-    assert!(listing.apply_update(&news(vec![row("a", 5)], 4, 5, at(6_500))));
+    assert!(listing.apply_update(&update(vec![row("a", 5)], 4, 5, at(6_500))));
     assert_eq!(names(&listing), ["a", "b"]);
 }
 
@@ -171,7 +172,7 @@
 /// congests links that carry the callers' responses. The next entry is asked only once the
 /// previous one should have answered.
 #[test]
-fn one_entry_at_a_time_is_asked_for_the_whole_list() {
+fn the_whole_list_is_requested_from_one_entry_at_a_time() {
     let mut listing = EndpointListing::new(1_200);
     assert!(listing.begin_snapshot_request(Timestamp(1_000)));
     assert!(!listing.begin_snapshot_request(Timestamp(1_001)));
--- a/crates/decide/tests/manifest_search.rs
+++ b/crates/decide/tests/manifest_search.rs
@@ -10,7 +10,7 @@
 const START: u64 = 1_000_000;
 
 /// Connection limit of the origin.
-const PLACES: usize = 48;
+const MAX_CONNECTIONS: usize = 48;
 
 /// Duration of a read from an idle origin, in milliseconds.
 const READ_MS: u64 = 20;
@@ -22,10 +22,10 @@
 const READ_LIMIT_MS: u64 = 1_000;
 
 /// Duration of a request to another agent, with its connection, in milliseconds.
-const ASK_MS: u64 = 10;
+const PEER_REQUEST_MS: u64 = 10;
 
 /// Timeout of a request to an unresponsive agent, in milliseconds.
-const ASK_LIMIT_MS: u64 = 500;
+const PEER_REQUEST_LIMIT_MS: u64 = 500;
 
 /// Time until entries remove a silent agent from the list, in milliseconds.
 const EXPIRY_MS: u64 = 1_500;
@@ -41,23 +41,23 @@
 }
 
 /// Current activity of an agent.
-enum Doing {
+enum Activity {
     Idle(u64),
-    Reading { began: u64, ends: u64, succeeds: bool, holds_place: bool },
+    Reading { began: u64, ends: u64, succeeds: bool, holds_connection: bool },
     Asking { ends: u64, others: Vec<InstanceId> },
 }
 
-struct Play {
+struct Simulation {
     fault: OriginFault,
     /// When the fault ends.
     until: u64,
     /// Agents that never respond.
-    dead: Vec<usize>,
+    failed: Vec<usize>,
     /// When the agents discover each other.
-    met_at: u64,
+    discovered_at: u64,
     link_free_at: u64,
     reads: usize,
-    turned_away: usize,
+    rejected: usize,
     most_open: usize,
 }
 
@@ -66,7 +66,7 @@
     /// When each agent received the manifest, in milliseconds after the order.
     found_ms: Vec<u64>,
     reads: usize,
-    turned_away: usize,
+    rejected: usize,
     most_open: usize,
 }
 
@@ -79,53 +79,53 @@
     let names: Vec<_> = (0..agents).map(name).collect();
     let regions: Vec<_> =
         (0..regions).map(|r| RegionName::new(&format!("region-{r}")).expect("valid")).collect();
-    let place = |index: usize| AgentLocation {
+    let location = |index: usize| AgentLocation {
         instance: names[index].as_str(),
         region: &regions[index % regions.len()],
     };
-    let all: Vec<_> = (0..agents).map(place).collect();
+    let all: Vec<_> = (0..agents).map(location).collect();
     let of = |index: usize| {
-        let chosen = chunk_peers(place(index), &all).into_iter();
+        let chosen = chunk_peers(location(index), &all).into_iter();
         chosen.map(|name| InstanceId::new(name).expect("valid")).collect()
     };
     (0..agents).map(of).collect()
 }
 
-fn play(agents: usize, seed: u64, mut play: Play) -> Outcome {
+fn play(agents: usize, seed: u64, mut play: Simulation) -> Outcome {
     let known = known(agents, 3);
     let index_of: BTreeMap<_, _> = (0..agents).map(|index| (name(index), index)).collect();
     let mut rng = SmallRng::seed_from_u64(seed);
     let search = |index| ManifestSearch::new(name(index), "a-digest", Timestamp(START));
     let mut searches: Vec<_> = (0..agents).map(search).collect();
-    let mut doing: Vec<_> = (0..agents).map(|_| Doing::Idle(0)).collect();
+    let mut activities: Vec<_> = (0..agents).map(|_| Activity::Idle(0)).collect();
     let mut found: Vec<Option<u64>> = vec![None; agents];
-    let alive: Vec<_> = (0..agents).filter(|index| !play.dead.contains(index)).collect();
+    let alive: Vec<_> = (0..agents).filter(|index| !play.failed.contains(index)).collect();
     let mut listed = vec![Vec::new(); agents];
     for ms in 0..60_000 {
-        if ms == play.met_at {
+        if ms == play.discovered_at {
             listed.clone_from(&known);
         }
         if ms == EXPIRY_MS {
-            let is_alive = |other: &InstanceId| !play.dead.contains(&index_of[other]);
+            let is_alive = |other: &InstanceId| !play.failed.contains(&index_of[other]);
             listed.iter_mut().for_each(|known| known.retain(is_alive));
         }
         let now = Timestamp(START + ms);
         for index in alive.iter().copied() {
-            let ended = match &doing[index] {
-                Doing::Idle(until) | Doing::Reading { ends: until, .. } => ms >= *until,
-                Doing::Asking { ends, .. } => ms >= *ends,
+            let ended = match &activities[index] {
+                Activity::Idle(until) | Activity::Reading { ends: until, .. } => ms >= *until,
+                Activity::Asking { ends, .. } => ms >= *ends,
             };
             if found[index].is_some() || !ended {
                 continue;
             }
-            match std::mem::replace(&mut doing[index], Doing::Idle(0)) {
-                Doing::Idle(_) => {}
-                Doing::Reading { succeeds: true, .. } => found[index] = Some(ms),
-                Doing::Reading { began, .. } => {
+            match std::mem::replace(&mut activities[index], Activity::Idle(0)) {
+                Activity::Idle(_) => {}
+                Activity::Reading { succeeds: true, .. } => found[index] = Some(ms),
+                Activity::Reading { began, .. } => {
                     let asked_at = Timestamp(START + began);
                     searches[index].origin_failed(asked_at, None, listed[index].len(), now);
                 }
-                Doing::Asking { others, .. } => {
+                Activity::Asking { others, .. } => {
                     let holds = |other: &InstanceId| found[index_of[other]].is_some();
                     found[index] = others.iter().any(holds).then_some(ms);
                 }
@@ -133,16 +133,16 @@
             if found[index].is_some() {
                 continue;
             }
-            doing[index] = match searches[index].next(&listed[index], now, &mut rng) {
-                SearchStep::Origin => play.read(ms, &doing),
+            activities[index] = match searches[index].next(&listed[index], now, &mut rng) {
+                SearchStep::Origin => play.read(ms, &activities),
                 SearchStep::Peers(others) => {
-                    let is_dead = |other: &InstanceId| play.dead.contains(&index_of[other]);
+                    let has_failed = |other: &InstanceId| play.failed.contains(&index_of[other]);
                     let holds = |other: &InstanceId| found[index_of[other]].is_some();
-                    let is_slow = others.iter().any(is_dead) && !others.iter().any(holds);
-                    let ends = ms + if is_slow { ASK_LIMIT_MS } else { ASK_MS };
-                    Doing::Asking { ends, others }
+                    let is_slow = others.iter().any(has_failed) && !others.iter().any(holds);
+                    let ends = ms + if is_slow { PEER_REQUEST_LIMIT_MS } else { PEER_REQUEST_MS };
+                    Activity::Asking { ends, others }
                 }
-                SearchStep::Wait(until) => Doing::Idle((until.0 - START).max(ms + 1)),
+                SearchStep::Wait(until) => Activity::Idle((until.0 - START).max(ms + 1)),
             };
         }
         if alive.iter().all(|index| found[*index].is_some()) {
@@ -152,38 +152,43 @@
     Outcome {
         found_ms: alive.iter().map(|index| found[*index].expect("found in time")).collect(),
         reads: play.reads,
-        turned_away: play.turned_away,
+        rejected: play.rejected,
         most_open: play.most_open,
     }
 }
 
-impl Play {
-    fn new(fault: OriginFault, until: u64, dead: Vec<usize>) -> Self {
-        let (link_free_at, reads, turned_away, most_open) = (0, 0, 0, 0);
-        Self { fault, until, dead, met_at: 0, link_free_at, reads, turned_away, most_open }
+impl Simulation {
+    fn new(fault: OriginFault, until: u64, failed: Vec<usize>) -> Self {
+        let (link_free_at, reads, rejected, most_open) = (0, 0, 0, 0);
+        Self { fault, until, failed, discovered_at: 0, link_free_at, reads, rejected, most_open }
     }
 
-    fn read(&mut self, ms: u64, doing: &[Doing]) -> Doing {
+    fn read(&mut self, ms: u64, activities: &[Activity]) -> Activity {
         self.reads += 1;
-        let holds = |one: &&Doing| matches!(one, Doing::Reading { holds_place: true, ends, .. } if *ends > ms);
-        let open = doing.iter().filter(holds).count() + 1;
+        let holds = |one: &&Activity| matches!(one, Activity::Reading { holds_connection: true, ends, .. } if *ends > ms);
+        let open = activities.iter().filter(holds).count() + 1;
         let fault = if ms < self.until { self.fault } else { OriginFault::None };
-        if fault == OriginFault::Away || open > PLACES {
-            self.turned_away += usize::from(open > PLACES);
-            return Doing::Reading { began: ms, ends: ms + 2, succeeds: false, holds_place: false };
+        if fault == OriginFault::Away || open > MAX_CONNECTIONS {
+            self.rejected += usize::from(open > MAX_CONNECTIONS);
+            return Activity::Reading {
+                began: ms,
+                ends: ms + 2,
+                succeeds: false,
+                holds_connection: false,
+            };
         }
         self.most_open = self.most_open.max(open);
         if fault == OriginFault::Silent {
-            return Doing::Reading {
+            return Activity::Reading {
                 began: ms,
                 ends: ms + READ_LIMIT_MS,
                 succeeds: false,
-                holds_place: true,
+                holds_connection: true,
             };
         }
         self.link_free_at = self.link_free_at.max(ms) + SEND_MS;
         let ends = self.link_free_at + READ_MS;
-        Doing::Reading { began: ms, ends, succeeds: true, holds_place: true }
+        Activity::Reading { began: ms, ends, succeeds: true, holds_connection: true }
     }
 }
 
@@ -195,10 +200,10 @@
 #[case(99, 1)]
 #[case(99, 2)]
 #[case(300, 3)]
-fn a_few_agents_read_and_the_others_ask_them(#[case] agents: usize, #[case] seed: u64) {
-    let outcome = play(agents, seed, Play::new(OriginFault::None, 0, Vec::new()));
-    assert!(outcome.reads <= PLACES / 4, "{} reads", outcome.reads);
-    assert!(outcome.most_open <= PLACES / 4, "{} connections", outcome.most_open);
+fn a_few_agents_read_and_serve_the_others(#[case] agents: usize, #[case] seed: u64) {
+    let outcome = play(agents, seed, Simulation::new(OriginFault::None, 0, Vec::new()));
+    assert!(outcome.reads <= MAX_CONNECTIONS / 4, "{} reads", outcome.reads);
+    assert!(outcome.most_open <= MAX_CONNECTIONS / 4, "{} connections", outcome.most_open);
     let last = outcome.found_ms.iter().max().expect("agents");
     assert!(*last <= 600, "the last agent has the manifest after {last} ms");
 }
@@ -209,11 +214,11 @@
 #[case(OriginFault::Away, 4)]
 #[case(OriginFault::Silent, 5)]
 #[case(OriginFault::Silent, 6)]
-fn an_origin_that_is_away_is_not_crowded(#[case] fault: OriginFault, #[case] seed: u64) {
+fn an_unavailable_origin_is_not_overloaded(#[case] fault: OriginFault, #[case] seed: u64) {
     let until = 6_000;
-    let outcome = play(99, seed, Play::new(fault, until, Vec::new()));
-    assert!(outcome.most_open <= PLACES / 4, "{} connections", outcome.most_open);
-    assert_eq!(outcome.turned_away, 0);
+    let outcome = play(99, seed, Simulation::new(fault, until, Vec::new()));
+    assert!(outcome.most_open <= MAX_CONNECTIONS / 4, "{} connections", outcome.most_open);
+    assert_eq!(outcome.rejected, 0);
     let last = outcome.found_ms.iter().max().expect("agents");
     assert!(*last <= until + 2_000, "the last agent has the manifest after {last} ms");
 }
@@ -221,17 +226,17 @@
 /// If the agents with the first ranks are gone but still listed, the others read the origin
 /// one after another following a short wait.
 #[test]
-fn the_next_agents_read_when_the_first_are_gone() {
+fn the_next_agents_read_when_the_first_have_failed() {
     let mut ranked: Vec<_> = (0..99).collect();
     let subject = cassiawheel_decide::rank::subject_of("a-digest");
     let weight =
         |index: &usize| cassiawheel_decide::rank::rendezvous_weight(subject, name(*index).as_str());
     ranked.sort_by_key(|index| std::cmp::Reverse(weight(index)));
     ranked.truncate(20);
-    let outcome = play(99, 7, Play::new(OriginFault::None, 0, ranked));
+    let outcome = play(99, 7, Simulation::new(OriginFault::None, 0, ranked));
     let last = outcome.found_ms.iter().max().expect("agents");
     assert!(*last <= 2_500, "the last agent has the manifest after {last} ms");
-    assert!(outcome.most_open <= PLACES / 4, "{} connections", outcome.most_open);
+    assert!(outcome.most_open <= MAX_CONNECTIONS / 4, "{} connections", outcome.most_open);
 }
 
 /// Guards against simultaneous reads of all processes that restart after a power loss and do
@@ -239,11 +244,11 @@
 #[rstest]
 #[case(45, 8)]
 #[case(99, 9)]
-fn processes_that_know_nobody_yet_spread_their_reads(#[case] agents: usize, #[case] seed: u64) {
-    let mut start = Play::new(OriginFault::None, 0, Vec::new());
-    start.met_at = 300;
+fn processes_without_peers_spread_their_reads(#[case] agents: usize, #[case] seed: u64) {
+    let mut start = Simulation::new(OriginFault::None, 0, Vec::new());
+    start.discovered_at = 300;
     let outcome = play(agents, seed, start);
-    assert!(outcome.most_open <= PLACES / 4, "{} connections", outcome.most_open);
+    assert!(outcome.most_open <= MAX_CONNECTIONS / 4, "{} connections", outcome.most_open);
     let last = outcome.found_ms.iter().max().expect("agents");
     assert!(*last <= 1_000, "the last one has the manifest after {last} ms");
 }
--- a/crates/decide/tests/plan.rs
+++ b/crates/decide/tests/plan.rs
@@ -221,16 +221,18 @@
 #[case(16, 75)]
 #[case(5, 50)]
 #[case(3, 100)]
-fn a_rollout_keeps_the_promised_share(#[case] count: usize, #[case] serving_percent: u32) {
-    let promised = (count * serving_percent as usize).div_ceil(100).min(count - 1);
+fn a_rollout_keeps_the_guaranteed_share(#[case] count: usize, #[case] serving_percent: u32) {
+    let guaranteed = (count * serving_percent as usize).div_ceil(100).min(count - 1);
     let mut least = count;
     for seed in 0..250 {
         let result = roll_out(seed, count, serving_percent, false);
         assert!(result.finished, "seed {seed} did not finish");
-        assert!(result.least_serving >= promised, "seed {seed}: {}", result.least_serving);
+        assert!(result.least_serving >= guaranteed, "seed {seed}: {}", result.least_serving);
         least = least.min(result.least_serving);
     }
-    println!("{count} endpoints, {serving_percent} %: least serving {least}, promised {promised}");
+    println!(
+        "{count} endpoints, {serving_percent} %: least serving {least}, promised {guaranteed}"
+    );
 }
 
 /// Guards against endpoints that keep the old version, or stay empty, forever after their
@@ -288,7 +290,7 @@
 /// A failed endpoint is replaced by one other and the rest keep their orders. Replanning all
 /// of them would transfer weights during a burst.
 #[test]
-fn a_dead_endpoint_moves_no_other() {
+fn a_failed_endpoint_moves_no_other() {
     let preset = preset(2, content("v2", 50, Some(0)));
     let mut reports: Vec<_> = (0..9).map(|index| report(index, EndpointState::Empty)).collect();
     reports[0].state = serving("v2");
@@ -330,7 +332,7 @@
 /// Guards against a report with an impossible token that stops the plan of the whole
 /// service. Only that endpoint gets no order.
 #[test]
-fn a_false_token_stops_no_other_order() {
+fn an_invalid_token_stops_no_other_order() {
     let preset = preset(2, content("v2", 50, None));
     let mut reports: Vec<_> = (0..3).map(|index| report(index, EndpointState::Empty)).collect();
     reports[1].order = u64::MAX;
@@ -387,7 +389,7 @@
 /// alone counted, one more engine went out of service every tenth of a second until none
 /// was left.
 #[test]
-fn the_pace_holds_while_the_first_engines_switch() {
+fn the_batch_size_is_stable_while_the_first_engines_switch() {
     let mut reports: Vec<_> = (0..12).map(|index| ready_report(index, "v2")).collect();
     let first = paced(&reports, &schedule(&[], 4_000));
     assert_eq!(first.len(), 4);
@@ -404,7 +406,7 @@
 /// Two versions are named two seconds apart, and all engines still serve the oldest. If only
 /// the deadline of the newest counted, all engines would stop serving at the earlier one.
 #[test]
-fn the_nearest_deadline_sets_the_pace() {
+fn the_nearest_deadline_sets_the_batch_size() {
     let reports: Vec<_> = (0..12).map(|index| ready_report(index, "v1")).collect();
     assert_eq!(paced(&reports, &schedule_of(&[], [0, 2_000, 4_000])).len(), 6);
     let reports: Vec<_> = (0..12).map(|index| ready_report(index, "v2")).collect();
@@ -425,7 +427,7 @@
 /// Engines whose version must no longer answer switch at once, regardless of the number of
 /// switches in progress.
 #[test]
-fn engines_that_may_not_answer_switch_at_once() {
+fn engines_that_may_not_serve_switch_at_once() {
     let mut reports: Vec<_> = (0..8).map(|index| ready_report(index, "v2")).collect();
     reports.extend((8..12).map(|index| ready_report(index, "v1")));
     let first = paced(&reports, &schedule(&["v1"], 20_000));
@@ -435,7 +437,7 @@
 /// Guards against new, still empty engines that count as switching during a rollout and
 /// block the others until after their deadline.
 #[test]
-fn new_engines_hold_up_no_switch() {
+fn new_engines_delay_no_switch() {
     let mut reports: Vec<_> = (0..8).map(|index| ready_report(index, "v2")).collect();
     let before = paced(&reports, &schedule(&[], 4_000)).len();
     reports.extend((8..18).map(|index| report(index, EndpointState::Empty)));
@@ -448,15 +450,15 @@
 /// agents started. Without an order that names the manifest, new engines depend on the
 /// origin, and callers are refused for lack of capacity while it is down.
 #[test]
-fn engines_that_serve_already_are_told_to_offer_their_weights() {
+fn serving_engines_are_ordered_to_offer_their_weights() {
     let endpoint_addr = Some("127.0.0.1:8001".parse().expect("valid"));
     let held = EndpointReport { endpoint_addr, ..report(0, serving("v1")) };
     let orders = plan(&preset(1, content("v1", 50, None)), std::slice::from_ref(&held));
     assert_eq!(orders.len(), 1);
     assert_eq!((orders[0].serve, orders[0].reason), (true, PlanReason::OfferServed));
-    let told =
+    let offering =
         EndpointReport { order: orders[0].fencing, ordered: Some(orders[0].manifest), ..held };
-    assert!(plan(&preset(1, content("v1", 50, None)), &[told]).is_empty(), "told once");
+    assert!(plan(&preset(1, content("v1", 50, None)), &[offering]).is_empty(), "told once");
 }
 
 /// Guards against several entries that each release different switches because their reports
@@ -516,7 +518,7 @@
 /// engines would keep the oldest version until its deadline and then stop together. Half of
 /// them serve it in between, a few switching at a time; the others fetch the newest.
 #[test]
-fn a_version_that_is_whole_is_served_until_the_newest_is_there() {
+fn a_complete_version_is_served_until_the_newest_is_staged() {
     let orders = superseded(CHUNKS, [0, 4_800, 8_800]);
     let step: Vec<_> = orders.iter().filter(|order| order.version == version("v2")).collect();
     let newest: Vec<_> = orders.iter().filter(|order| order.version == version("v3")).collect();
@@ -529,11 +531,11 @@
 #[rstest]
 #[case(CHUNKS * 3 / 4, 6)]
 #[case(CHUNKS / 4, 0)]
-fn a_version_is_finished_if_most_of_it_is_there(#[case] ready: u32, #[case] finished: usize) {
+fn a_mostly_staged_version_is_completed(#[case] ready: u32, #[case] finished: usize) {
     let orders = superseded(ready, [0, 4_800, 8_800]);
     assert_eq!(orders.len(), 12);
-    let goes_on = orders.iter().filter(|order| order.version == version("v2"));
-    assert_eq!(goes_on.count(), finished);
+    let continues = orders.iter().filter(|order| order.version == version("v2"));
+    assert_eq!(continues.count(), finished);
     assert!(orders.iter().all(|order| !order.serve));
 }
 
@@ -543,7 +545,7 @@
 #[rstest]
 #[case([0, 20_000, 24_000])]
 #[case([0, 0, 2_000])]
-fn a_version_between_is_passed_over_if_it_gains_nothing(#[case] left_ms: [u64; 3]) {
+fn an_intermediate_version_without_benefit_is_skipped(#[case] left_ms: [u64; 3]) {
     let orders = superseded(CHUNKS, left_ms);
     assert!(orders.iter().all(|order| order.version == version("v3")));
 }
--- a/crates/decide/tests/preset_pull.rs
+++ b/crates/decide/tests/preset_pull.rs
@@ -19,7 +19,7 @@
 const NEAR_RATE: u64 = 5_000;
 
 /// Heartbeat interval, in milliseconds.
-const BEAT_MS: u64 = 500;
+const HEARTBEAT_MS: u64 = 500;
 
 /// One-way delay within and between regions.
 const NEAR_MS: u64 = 1;
@@ -31,7 +31,7 @@
 const APPLY_MS: u64 = 2_000;
 
 /// Retry interval of the former rule, in milliseconds.
-const ASK_AGAIN_MS: u64 = 250;
+const RETRY_MS: u64 = 250;
 
 /// Limit of the simulated time, in milliseconds.
 const LONGEST_MS: u64 = 60_000;
@@ -45,9 +45,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum PullRule {
     /// Every 250 ms from the entry that announced it last.
-    AskAnew,
+    PeriodicRetry,
     /// As [`PresetPull`] decides.
-    OneQuestion,
+    SingleRequest,
 }
 
 /// Links that transmit messages in the order in which they were sent.
@@ -66,8 +66,8 @@
     has_at: Option<u64>,
     pull: PresetPull<usize>,
     is_running: bool,
-    asks_again_at: u64,
-    last_teller: Option<usize>,
+    retry_at: u64,
+    last_announcer: Option<usize>,
     is_frozen: bool,
 }
 
@@ -111,69 +111,77 @@
             has_at: None,
             pull: PresetPull::default(),
             is_running: false,
-            asks_again_at: 0,
-            last_teller: None,
+            retry_at: 0,
+            last_announcer: None,
             is_frozen,
         }
     }
 
     /// Receives the announcement of `sender`.
     fn observe(&mut self, sender: usize, now: u64) {
-        let told = PeerRevision {
+        let announced = PeerRevision {
             instance: instance(sender),
             revision: NEW,
             is_near: self.region == sender / ENTRIES_A_REGION,
             handle: sender,
         };
-        self.is_running |= self.pull.observe(told, OLD, Timestamp(now));
-        if self.last_teller.replace(sender).is_none() {
-            self.asks_again_at = now + ASK_AGAIN_MS;
+        self.is_running |= self.pull.observe(announced, OLD, Timestamp(now));
+        if self.last_announcer.replace(sender).is_none() {
+            self.retry_at = now + RETRY_MS;
         }
     }
 
     /// The entry from which it requests the preset now.
-    fn asks(&mut self, rule: PullRule, view: PullView, rng: &mut SmallRng) -> Option<usize> {
+    fn next_request(
+        &mut self,
+        rule: PullRule,
+        view: PullView,
+        rng: &mut SmallRng,
+    ) -> Option<usize> {
         match rule {
-            PullRule::AskAnew if self.last_teller.is_some() && view.now.0 >= self.asks_again_at => {
-                self.asks_again_at = view.now.0 + ASK_AGAIN_MS;
-                self.last_teller
+            PullRule::PeriodicRetry
+                if self.last_announcer.is_some() && view.now.0 >= self.retry_at =>
+            {
+                self.retry_at = view.now.0 + RETRY_MS;
+                self.last_announcer
             }
-            PullRule::OneQuestion if self.is_running => match self.pull.step(view, |_| true, rng) {
+            PullRule::SingleRequest if self.is_running => match self.pull.step(view, |_| true, rng)
+            {
                 PullStep::Request(sender) => Some(sender),
                 PullStep::Wait(_) | PullStep::Done => None,
             },
-            PullRule::AskAnew | PullRule::OneQuestion => None,
+            PullRule::PeriodicRetry | PullRule::SingleRequest => None,
         }
     }
 }
 
 /// Spreads a preset while the store rejects the entries in `turned_away`.
-fn spread(rule: PullRule, turned_away: &[usize], frozen: &[usize], seed: u64) -> SpreadOutcome {
+fn spread(rule: PullRule, rate_limited: &[usize], frozen: &[usize], seed: u64) -> SpreadOutcome {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut links = SharedLinks { far: [0; REGIONS], near: [0; ENTRIES], far_copies: 0 };
     let mut entries: Vec<_> =
         (0..ENTRIES).map(|entry| PulledEntry::new(entry, frozen.contains(&entry))).collect();
-    let mut order: Vec<_> = (0..ENTRIES).filter(|entry| !turned_away.contains(entry)).collect();
+    let mut order: Vec<_> = (0..ENTRIES).filter(|entry| !rate_limited.contains(entry)).collect();
     order.shuffle(&mut rng);
     for entry in order {
         entries[entry].arrives.push(links.send(None, entry, START));
     }
-    let phases: Vec<u64> = (0..ENTRIES).map(|_| rng.random_range(0..BEAT_MS)).collect();
+    let phases: Vec<u64> = (0..ENTRIES).map(|_| rng.random_range(0..HEARTBEAT_MS)).collect();
     let lacks = |entry: &PulledEntry| !entry.is_frozen && entry.has_at.is_none();
     for now in (START..START + LONGEST_MS).step_by(STEP_MS as usize) {
-        let told = tell(&mut entries, &phases, now);
+        let announced = announce(&mut entries, &phases, now);
         for number in 0..ENTRIES {
             if !lacks(&entries[number]) {
                 continue;
             }
-            for sender in told.iter().copied().filter(|sender| *sender != number) {
+            for sender in announced.iter().copied().filter(|sender| *sender != number) {
                 entries[number].observe(sender, now);
             }
             let near_rank = (number % ENTRIES_A_REGION) as u32;
-            let follows_rows = !turned_away.contains(&number);
+            let follows_rows = !rate_limited.contains(&number);
             let view = PullView { known: OLD, follows_rows, near_rank, now: Timestamp(now) };
-            let asked = entries[number].asks(rule, view, &mut rng);
-            if let Some(sender) = asked.filter(|sender| !entries[*sender].is_frozen) {
+            let target = entries[number].next_request(rule, view, &mut rng);
+            if let Some(sender) = target.filter(|sender| !entries[*sender].is_frozen) {
                 let arrives = links.send(Some(sender), number, now);
                 entries[number].arrives.push(arrives);
             }
@@ -190,24 +198,24 @@
 /// Entries whose announcement arrives now: on adoption and with each heartbeat.
 ///
 /// A frozen entry adopted and announced the preset just before it froze.
-fn tell(entries: &mut [PulledEntry], phases: &[u64], now: u64) -> Vec<usize> {
-    let mut told = Vec::new();
+fn announce(entries: &mut [PulledEntry], phases: &[u64], now: u64) -> Vec<usize> {
+    let mut announced = Vec::new();
     for (index, entry) in entries.iter_mut().enumerate() {
         let arrived = entry.arrives.iter().any(|at| *at <= now);
         if arrived && entry.has_at.is_none() {
             entry.has_at = Some(now);
-            told.push(index);
+            announced.push(index);
         } else if !entry.is_frozen
             && entry.has_at.is_some()
-            && (now + phases[index]) % BEAT_MS < STEP_MS
+            && (now + phases[index]) % HEARTBEAT_MS < STEP_MS
         {
-            told.push(index);
+            announced.push(index);
         }
     }
-    told
+    announced
 }
 
-fn turned_away(seed: u64, count: usize) -> Vec<usize> {
+fn rate_limited(seed: u64, count: usize) -> Vec<usize> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut all: Vec<_> = (0..ENTRIES).collect();
     all.shuffle(&mut rng);
@@ -222,15 +230,15 @@
 /// other entry after 4.9 s, and callers still got old routes four seconds after the
 /// acknowledgement.
 #[test]
-fn a_preset_is_not_asked_for_again_while_it_is_on_its_way() {
+fn a_preset_in_flight_is_not_requested_again() {
     for seed in 0..20 {
-        let away = turned_away(seed, 14);
-        let anew = spread(PullRule::AskAnew, &away, &[], seed);
-        let asked = spread(PullRule::OneQuestion, &away, &[], seed);
-        println!("seed {seed}: anew {anew:?}, one question {asked:?}");
-        assert!(asked.last_ms <= APPLY_MS, "seed {seed}: {asked:?}");
-        assert!(asked.last_ms * 2 <= anew.last_ms, "seed {seed}: {asked:?}, {anew:?}");
-        assert!(asked.far_copies <= 2 * ENTRIES_A_REGION + 2 * REGIONS, "{asked:?}");
+        let limited = rate_limited(seed, 14);
+        let repeated = spread(PullRule::PeriodicRetry, &limited, &[], seed);
+        let single = spread(PullRule::SingleRequest, &limited, &[], seed);
+        println!("seed {seed}: periodic retry {repeated:?}, single request {single:?}");
+        assert!(single.last_ms <= APPLY_MS, "seed {seed}: {single:?}");
+        assert!(single.last_ms * 2 <= repeated.last_ms, "seed {seed}: {single:?}, {repeated:?}");
+        assert!(single.far_copies <= 2 * ENTRIES_A_REGION + 2 * REGIONS, "{single:?}");
     }
 }
 
@@ -239,25 +247,26 @@
 #[rstest]
 #[case::one_region(1)]
 #[case::two_regions(2)]
-fn a_region_that_is_turned_away_asks_another_one_few_times(#[case] regions: usize) {
-    let away: Vec<_> = (ENTRIES - regions * ENTRIES_A_REGION..ENTRIES).collect();
+fn a_rate_limited_region_sends_few_requests_to_another(#[case] regions: usize) {
+    let limited: Vec<_> = (ENTRIES - regions * ENTRIES_A_REGION..ENTRIES).collect();
     for seed in 0..20 {
-        let asked = spread(PullRule::OneQuestion, &away, &[], seed);
-        println!("seed {seed}: {asked:?}");
+        let single = spread(PullRule::SingleRequest, &limited, &[], seed);
+        println!("seed {seed}: {single:?}");
         let by_rows = (REGIONS - 1 - regions) * ENTRIES_A_REGION;
-        assert!(asked.last_ms <= APPLY_MS, "seed {seed}: {asked:?}");
-        assert!(asked.far_copies <= by_rows + 4 * regions, "seed {seed}: {asked:?}");
+        assert!(single.last_ms <= APPLY_MS, "seed {seed}: {single:?}");
+        assert!(single.far_copies <= by_rows + 4 * regions, "seed {seed}: {single:?}");
     }
 }
 
 /// Entries that freeze right after their announcement must not delay the others for long.
 #[test]
-fn a_frozen_entry_holds_nobody_up_for_long() {
+fn a_frozen_entry_delays_others_briefly() {
     for seed in 0..20 {
-        let away = turned_away(seed, 14);
-        let frozen: Vec<_> = (0..ENTRIES).filter(|entry| !away.contains(entry)).take(3).collect();
-        let asked = spread(PullRule::OneQuestion, &away, &frozen, seed);
-        println!("seed {seed}: {asked:?}");
-        assert!(asked.last_ms <= APPLY_MS, "seed {seed}: {asked:?}");
+        let limited = rate_limited(seed, 14);
+        let frozen: Vec<_> =
+            (0..ENTRIES).filter(|entry| !limited.contains(entry)).take(3).collect();
+        let single = spread(PullRule::SingleRequest, &limited, &frozen, seed);
+        println!("seed {seed}: {single:?}");
+        assert!(single.last_ms <= APPLY_MS, "seed {seed}: {single:?}");
     }
 }
--- a/crates/decide/tests/preset_window.rs
+++ b/crates/decide/tests/preset_window.rs
@@ -17,8 +17,8 @@
 const DELAY: std::ops::Range<u64> = 500..1_500;
 
 /// Share of pushes dropped by a full queue and repaired by a heartbeat.
-const SWALLOWED: f64 = 0.02;
-const BEAT: u64 = 250_000;
+const LOST_SHARE: f64 = 0.02;
+const HEARTBEAT: u64 = 250_000;
 
 /// Duration of an entry's pause, and the timeout after which it counts as failed.
 const PAUSE: u64 = 4_000_000;
@@ -39,7 +39,7 @@
 /// Arrival time of a message sent at `at`, with the next heartbeat if it is dropped.
 fn arrival(at: u64, rng: &mut SmallRng) -> u64 {
     let delayed = at + rng.random_range(DELAY);
-    if rng.random_bool(SWALLOWED) { delayed + rng.random_range(0..BEAT) } else { delayed }
+    if rng.random_bool(LOST_SHARE) { delayed + rng.random_range(0..HEARTBEAT) } else { delayed }
 }
 
 /// When each process switches if the first one does at `start`, entries first.
@@ -67,8 +67,8 @@
         (Scheme::TwoSteps, Some(_)) => HEARTBEAT_TIMEOUT,
         (Scheme::TwoSteps, None) => {
             let answers = (1..ENTRIES + AGENTS).map(|_| {
-                let asked = arrival(0, &mut rng);
-                arrival(asked, &mut rng)
+                let requested_at = arrival(0, &mut rng);
+                arrival(requested_at, &mut rng)
             });
             answers.max().unwrap_or_default()
         }
@@ -83,7 +83,9 @@
         .collect();
     let first_new = first_request.iter().flatten().min().copied().unwrap_or_default();
     let last_old = (0..AGENTS)
-        .filter_map(|agent| first_request[agent].map(|asked| asked.min(times[ENTRIES + agent])))
+        .filter_map(|agent| {
+            first_request[agent].map(|requested_at| requested_at.min(times[ENTRIES + agent]))
+        })
         .max()
         .unwrap_or_default();
     ChangeFigures { in_force, window: last_old.saturating_sub(first_new) }
--- a/crates/decide/tests/store_outage.rs
+++ b/crates/decide/tests/store_outage.rs
@@ -16,15 +16,15 @@
 const RUN_MS: u64 = 40;
 const PAUSE_MS: u64 = 6_000;
 const RESTART_MS: u64 = 2_000;
-const ASK_AGAIN_MS: u64 = 700;
-const ASKS: u32 = 4;
+const RETRY_MS: u64 = 700;
+const MAX_REQUESTS: u32 = 4;
 /// Time after the outage within which callers without an answer retry.
 const LATE_MS: u64 = 10_000;
 const HISTORIES: u64 = 150;
 
 /// Rule that decides which replica may run a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum ClaimRule {
     /// The replica that inserts the key's row first; none while the store is down.
     Claims,
     /// The key's home replica while its lease is valid, from memory if necessary.
@@ -37,14 +37,14 @@
 
 #[derive(Debug, Default)]
 struct Tally {
-    asked: u32,
+    requested: u32,
     served: u32,
     doubles: u32,
 }
 
 impl Tally {
     fn served_share(&self) -> f64 {
-        f64::from(self.served) / f64::from(self.asked)
+        f64::from(self.served) / f64::from(self.requested)
     }
 }
 
@@ -66,14 +66,14 @@
 
 struct Sale {
     key: usize,
-    ask_at: u64,
-    asks: u32,
+    next_request_at: u64,
+    requests: u32,
     ticket: Option<(usize, u64)>,
     in_outage: bool,
 }
 
 struct Model {
-    way: Way,
+    rule: ClaimRule,
     rng: SmallRng,
     replicas: Vec<Replica>,
     homes: Vec<HomeSlot>,
@@ -83,18 +83,18 @@
 }
 
 impl Model {
-    fn new(way: Way, seed: u64) -> Self {
+    fn new(rule: ClaimRule, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let pause = rng.random_range(0..SPAN_MS);
         let mut replicas = vec![Replica::default(); REPLICAS];
         replicas[rng.random_range(0..REPLICAS)].paused = pause..pause + PAUSE_MS;
-        let until = match way {
-            Way::HomeLease { life_ms } => life_ms,
-            Way::Claims | Way::GroupClaims | Way::Tickets => u64::MAX,
+        let until = match rule {
+            ClaimRule::HomeLease { life_ms } => life_ms,
+            ClaimRule::Claims | ClaimRule::GroupClaims | ClaimRule::Tickets => u64::MAX,
         };
         let slot = |holder| HomeSlot { holder, incarnation: 0, until };
         Self {
-            way,
+            rule,
             rng,
             replicas,
             homes: (0..REPLICAS).map(slot).collect(),
@@ -115,7 +115,7 @@
 
     /// Renews leases and takes over expired ones.
     fn keep_leases(&mut self, now: u64) {
-        let Way::HomeLease { life_ms } = self.way else {
+        let ClaimRule::HomeLease { life_ms } = self.rule else {
             return;
         };
         for index in 0..REPLICAS {
@@ -137,14 +137,14 @@
 
     /// The replica that may run the sale now under the rule.
     fn runner(&mut self, sale: &mut Sale, now: u64) -> Option<usize> {
-        match self.way {
-            Way::Claims => {
+        match self.rule {
+            ClaimRule::Claims => {
                 let start = self.rng.random_range(0..REPLICAS);
                 let mut all = (start..start + REPLICAS).map(|replica| replica % REPLICAS);
                 let up = Self::store_is_up(now) && !self.rows.contains(&sale.key);
                 all.find(|replica| up && self.answers(*replica, now))
             }
-            Way::HomeLease { .. } | Way::GroupClaims => {
+            ClaimRule::HomeLease { .. } | ClaimRule::GroupClaims => {
                 let slot = self.homes[sale.key % REPLICAS];
                 let is_own = self.replicas[slot.holder].incarnation == slot.incarnation;
                 let may = is_own && now < slot.until && self.answers(slot.holder, now);
@@ -152,7 +152,7 @@
                     || Self::store_is_up(now) && self.rows.contains(&sale.key);
                 (may && !known).then_some(slot.holder)
             }
-            Way::Tickets => {
+            ClaimRule::Tickets => {
                 let (replica, incarnation) = match sale.ticket {
                     Some(ticket) => ticket,
                     None => {
@@ -178,11 +178,11 @@
             self.replicas.iter().enumerate().any(|(index, replica)| {
                 replica.memory.contains(&sale.key) && self.answers(index, now)
             });
-        ran && (recorded || remembered && self.way != Way::Claims)
+        ran && (recorded || remembered && self.rule != ClaimRule::Claims)
     }
 
     /// One request; returns whether the caller has its answer.
-    fn ask(&mut self, sale: &mut Sale, now: u64) -> bool {
+    fn send_request(&mut self, sale: &mut Sale, now: u64) -> bool {
         let lost = self.rng.random_bool(0.02);
         if self.is_answered(sale, now) {
             return !lost;
@@ -209,14 +209,14 @@
         let mut sales: Vec<_> = (0..SPAN_MS / 50)
             .map(|number| Sale {
                 key: number as usize,
-                ask_at: number * 50,
-                asks: 0,
+                next_request_at: number * 50,
+                requests: 0,
                 ticket: None,
                 in_outage: OUTAGE.contains(&(number * 50)),
             })
             .collect();
-        let asked = sales.iter().filter(|sale| sale.in_outage).count() as u32;
-        let mut tally = Tally { asked, ..Tally::default() };
+        let requested = sales.iter().filter(|sale| sale.in_outage).count() as u32;
+        let mut tally = Tally { requested, ..Tally::default() };
         for now in (0..SPAN_MS + LATE_MS + 5_000).step_by(20) {
             if now / 20 == dies_at / 20 {
                 let replica = &mut self.replicas[dying];
@@ -231,16 +231,18 @@
             for (_, key) in due {
                 *self.runs.entry(key).or_default() += 1;
             }
-            for sale in sales.iter_mut().filter(|s| s.ask_at <= now && s.asks < ASKS) {
-                if self.ask(sale, now) {
+            for sale in
+                sales.iter_mut().filter(|s| s.next_request_at <= now && s.requests < MAX_REQUESTS)
+            {
+                if self.send_request(sale, now) {
                     tally.served += u32::from(sale.in_outage && OUTAGE.contains(&now));
-                    sale.asks = ASKS;
+                    sale.requests = MAX_REQUESTS;
                 } else {
-                    sale.asks += 1;
-                    sale.ask_at = now + ASK_AGAIN_MS;
-                    if sale.asks + 1 == ASKS {
+                    sale.requests += 1;
+                    sale.next_request_at = now + RETRY_MS;
+                    if sale.requests + 1 == MAX_REQUESTS {
                         let late = self.rng.random_range(0..LATE_MS);
-                        sale.ask_at = sale.ask_at.max(OUTAGE.end) + late;
+                        sale.next_request_at = sale.next_request_at.max(OUTAGE.end) + late;
                     }
                 }
             }
@@ -250,16 +252,16 @@
     }
 }
 
-fn weigh(way: Way) -> Tally {
+fn measure(rule: ClaimRule) -> Tally {
     let mut sum = Tally::default();
     for seed in 0..HISTORIES {
-        let tally = Model::new(way, seed).run();
-        sum.asked += tally.asked;
+        let tally = Model::new(rule, seed).run();
+        sum.requested += tally.requested;
         sum.served += tally.served;
         sum.doubles += tally.doubles;
     }
     println!(
-        "{way:?}: {:.4} of the sales in the outage served, {} doubles",
+        "{rule:?}: {:.4} of the sales in the outage served, {} doubles",
         sum.served_share(),
         sum.doubles
     );
@@ -270,13 +272,13 @@
 /// lease that outlives the outage fails this: the next holder does not know what the failed
 /// one sold from memory.
 #[test]
-fn a_lease_can_sell_twice_and_tickets_outlast_the_store() {
-    let claims = weigh(Way::Claims);
-    let short = weigh(Way::HomeLease { life_ms: 3_000 });
-    let outage = weigh(Way::HomeLease { life_ms: 42_000 });
-    let long = weigh(Way::HomeLease { life_ms: 90_000 });
-    let groups = weigh(Way::GroupClaims);
-    let tickets = weigh(Way::Tickets);
+fn leases_can_sell_twice_and_tickets_survive_a_store_outage() {
+    let claims = measure(ClaimRule::Claims);
+    let short = measure(ClaimRule::HomeLease { life_ms: 3_000 });
+    let outage = measure(ClaimRule::HomeLease { life_ms: 42_000 });
+    let long = measure(ClaimRule::HomeLease { life_ms: 90_000 });
+    let groups = measure(ClaimRule::GroupClaims);
+    let tickets = measure(ClaimRule::Tickets);
     assert_eq!(claims.doubles, 0);
     assert_eq!(tickets.doubles, 0);
     assert_eq!(groups.doubles, 0);
--- a/crates/decide/tests/support/rounds.rs
+++ b/crates/decide/tests/support/rounds.rs
@@ -154,7 +154,7 @@
     lies: bool,
     upload: VecDeque<QueuedFetch>,
     gained: Vec<usize>,
-    drawing: Vec<usize>,
+    open_origin_fetches: Vec<usize>,
     waiting: HashMap<usize, FetchOrder>,
 }
 
@@ -162,9 +162,9 @@
     plan: RoundPlan,
     rng: SmallRng,
     agents: Vec<RoundAgent>,
-    places: HashMap<InstanceId, usize>,
+    agent_index: HashMap<InstanceId, usize>,
     origin: VecDeque<QueuedFetch>,
-    draws: Vec<usize>,
+    origin_sends: Vec<usize>,
     round: usize,
     selections: u64,
     selection_ns: u64,
@@ -186,9 +186,9 @@
         rounds: bench.round,
         half_rounds: half_rounds.unwrap_or(bench.round),
         bound,
-        origin_chunks: bench.draws.iter().sum(),
+        origin_chunks: bench.origin_sends.iter().sum(),
         chunks: plan.chunks,
-        max_copies: bench.draws.iter().copied().max().unwrap_or(0),
+        max_copies: bench.origin_sends.iter().copied().max().unwrap_or(0),
         complete: bench.is_complete(),
         selections: bench.selections,
         selection_ns: bench.selection_ns,
@@ -199,13 +199,13 @@
     fn new(plan: RoundPlan) -> Self {
         let agents: Vec<_> = (0..plan.agents).map(|agent| RoundAgent::new(&plan, agent)).collect();
         let names = agents.iter().map(|agent| agent.name.clone());
-        let places = names.enumerate().map(|(place, name)| (name, place)).collect();
+        let agent_index = names.enumerate().map(|(enqueue, name)| (name, enqueue)).collect();
         let mut bench = Self {
             rng: SmallRng::seed_from_u64(plan.seed),
             agents,
-            places,
+            agent_index,
             origin: VecDeque::new(),
-            draws: vec![0; plan.chunks],
+            origin_sends: vec![0; plan.chunks],
             round: 0,
             selections: 0,
             selection_ns: 0,
@@ -213,7 +213,7 @@
         };
         for agent in 0..bench.agents.len() {
             if bench.agents[agent].running {
-                bench.introduce(agent, 0..agent);
+                bench.connect_peers(agent, 0..agent);
             }
         }
         bench
@@ -243,7 +243,7 @@
         order.shuffle(&mut self.rng);
         for agent in &order {
             self.time_out(*agent);
-            self.ask(*agent);
+            self.request_chunks(*agent);
         }
         self.deliver(&order);
         self.round += 1;
@@ -259,26 +259,26 @@
                 }
                 RoundFault::Joins { agent, round } if round == self.round => {
                     self.agents[agent].running = true;
-                    self.introduce(agent, 0..self.agents.len());
+                    self.connect_peers(agent, 0..self.agents.len());
                 }
                 _ => {}
             }
         }
     }
 
-    fn introduce(&mut self, joining: usize, others: std::ops::Range<usize>) {
+    fn connect_peers(&mut self, joining: usize, others: std::ops::Range<usize>) {
         let now = self.now();
         for other in others {
             if other == joining || !self.agents[other].running {
                 continue;
             }
-            for (to, about) in [(joining, other), (other, joining)] {
-                let name = self.agents[about].name.clone();
-                let told = self.agents[about].told_chunks();
+            for (to, sender) in [(joining, other), (other, joining)] {
+                let name = self.agents[sender].name.clone();
+                let announced = self.agents[sender].announced_chunks();
                 let picker = &mut self.agents[to].picker;
                 picker.expect_peer(&name, now);
                 picker.peer_connected(&name, now);
-                picker.peer_holds(&name, told, now);
+                picker.peer_holds(&name, announced, now);
                 picker.peer_inventory_complete(&name);
             }
         }
@@ -309,32 +309,32 @@
         }
     }
 
-    fn ask(&mut self, agent: usize) {
+    fn request_chunks(&mut self, agent: usize) {
         if !self.agents[agent].running || self.agents[agent].lies {
             return;
         }
         let now = self.now();
         // Refusals arrive within a fraction of a round, so a few fetches are retried.
         for _ in 0..4 * self.plan.profile.max_peer_fetches {
-            let begun = std::time::Instant::now();
+            let started_at = std::time::Instant::now();
             let order = self.agents[agent].picker.next(now, &mut self.rng);
-            self.selection_ns += begun.elapsed().as_nanos() as u64;
+            self.selection_ns += started_at.elapsed().as_nanos() as u64;
             self.selections += 1;
             let Some(order) = order else {
                 return;
             };
-            self.place(agent, order, now);
+            self.enqueue(agent, order, now);
         }
     }
 
-    fn place(&mut self, agent: usize, order: FetchOrder, now: Timestamp) {
+    fn enqueue(&mut self, agent: usize, order: FetchOrder, now: Timestamp) {
         let fetch = QueuedFetch { agent, order: order.clone() };
         let ChunkSource::Peer(peer) = &order.source else {
             self.origin.push_back(fetch);
             self.agents[agent].waiting.insert(order.index, order);
             return;
         };
-        let Some(source) = self.places.get(peer) else {
+        let Some(source) = self.agent_index.get(peer) else {
             return;
         };
         let source = &mut self.agents[*source];
@@ -349,16 +349,17 @@
     }
 
     fn deliver(&mut self, order: &[usize]) {
-        let mut room: Vec<_> =
+        let mut can_receive: Vec<_> =
             self.agents.iter().map(|agent| agent.running && !agent.stalled).collect();
         if !self.plan.origin_down.contains(&self.round) {
             for _ in 0..self.plan.origin_rate {
-                let Some(fetch) = take_deliverable(&mut self.origin, &room, &self.agents) else {
+                let Some(fetch) = take_deliverable(&mut self.origin, &can_receive, &self.agents)
+                else {
                     break;
                 };
-                room[fetch.agent] = false;
-                self.draws[fetch.order.index] += 1;
-                self.hand_over(fetch);
+                can_receive[fetch.agent] = false;
+                self.origin_sends[fetch.order.index] += 1;
+                self.complete_fetch(fetch);
             }
         }
         for source in order {
@@ -366,16 +367,16 @@
                 continue;
             }
             let mut queue = std::mem::take(&mut self.agents[*source].upload);
-            let fetch = take_deliverable(&mut queue, &room, &self.agents);
+            let fetch = take_deliverable(&mut queue, &can_receive, &self.agents);
             self.agents[*source].upload = queue;
             if let Some(fetch) = fetch {
-                room[fetch.agent] = false;
-                self.hand_over(fetch);
+                can_receive[fetch.agent] = false;
+                self.complete_fetch(fetch);
             }
         }
     }
 
-    fn hand_over(&mut self, fetch: QueuedFetch) {
+    fn complete_fetch(&mut self, fetch: QueuedFetch) {
         let corrupt = self.plan.corrupt > 0.0 && self.rng.random_bool(self.plan.corrupt);
         let now = Timestamp(self.now().0 + self.plan.profile.round_ms);
         let agent = &mut self.agents[fetch.agent];
@@ -391,26 +392,26 @@
     fn announce(&mut self) {
         let now = self.now();
         let repeat = self.round.is_multiple_of(REPEAT_ROUNDS);
-        for about in 0..self.agents.len() {
-            if !self.agents[about].running || self.agents[about].stalled {
+        for sender in 0..self.agents.len() {
+            if !self.agents[sender].running || self.agents[sender].stalled {
                 continue;
             }
-            let gained = std::mem::take(&mut self.agents[about].gained);
-            let told = if repeat { self.agents[about].told_chunks() } else { gained };
-            let drawing = self.agents[about].picker.origin_fetches();
-            let draws_differ = drawing != self.agents[about].drawing;
-            self.agents[about].drawing.clone_from(&drawing);
-            if told.is_empty() && !draws_differ && !repeat {
+            let gained = std::mem::take(&mut self.agents[sender].gained);
+            let announced = if repeat { self.agents[sender].announced_chunks() } else { gained };
+            let open_origin_fetches = self.agents[sender].picker.origin_fetches();
+            let fetches_changed = open_origin_fetches != self.agents[sender].open_origin_fetches;
+            self.agents[sender].open_origin_fetches.clone_from(&open_origin_fetches);
+            if announced.is_empty() && !fetches_changed && !repeat {
                 continue;
             }
-            let name = self.agents[about].name.clone();
-            for (_, other) in self.agents.iter_mut().enumerate().filter(|(o, _)| *o != about) {
+            let name = self.agents[sender].name.clone();
+            for (_, other) in self.agents.iter_mut().enumerate().filter(|(o, _)| *o != sender) {
                 if !other.running || other.stalled {
                     continue;
                 }
-                other.picker.peer_holds(&name, told.iter().copied(), now);
-                if draws_differ || repeat {
-                    other.picker.set_peer_origin_fetches(&name, drawing.clone(), now);
+                other.picker.peer_holds(&name, announced.iter().copied(), now);
+                if fetches_changed || repeat {
+                    other.picker.set_peer_origin_fetches(&name, open_origin_fetches.clone(), now);
                 }
             }
         }
@@ -449,7 +450,7 @@
             lies: plan.faults.iter().any(lies),
             upload: VecDeque::new(),
             gained: Vec::new(),
-            drawing: Vec::new(),
+            open_origin_fetches: Vec::new(),
             waiting: HashMap::new(),
         }
     }
@@ -459,7 +460,7 @@
         self.running && !self.stalled && !self.lies && self.picker.missing() > 0
     }
 
-    fn told_chunks(&self) -> Vec<usize> {
+    fn announced_chunks(&self) -> Vec<usize> {
         if self.lies {
             return (0..self.picker.missing()).collect();
         }
@@ -470,10 +471,10 @@
 /// The first fetch in `queue` whose agent still waits for it and can receive in this round.
 fn take_deliverable(
     queue: &mut VecDeque<QueuedFetch>,
-    room: &[bool],
+    can_receive: &[bool],
     agents: &[RoundAgent],
 ) -> Option<QueuedFetch> {
     queue.retain(|fetch| agents[fetch.agent].waiting.get(&fetch.order.index) == Some(&fetch.order));
-    let position = queue.iter().position(|fetch| room[fetch.agent])?;
+    let position = queue.iter().position(|fetch| can_receive[fetch.agent])?;
     queue.remove(position)
 }
--- a/crates/decide/tests/versions.rs
+++ b/crates/decide/tests/versions.rs
@@ -38,7 +38,7 @@
 /// Guards against a newer version that extends the deadline of an earlier one, so that
 /// callers get answers from weights that were replaced long ago.
 #[test]
-fn a_newer_version_does_not_put_off_an_earlier_deadline() {
+fn a_newer_version_does_not_postpone_an_earlier_deadline() {
     let registry = registry(&[(1, 0), (2, 18_000), (3, 20_000)]);
     assert_eq!(registry.allowed("m", at(24_900)), None);
     assert_eq!(registry.allowed("m", at(25_000)), Some(vec![version(2), version(3)]));
@@ -48,7 +48,7 @@
 
 /// A version whose row is read late, after a newer one, must not become the newest.
 #[test]
-fn an_older_version_is_never_wanted_again() {
+fn an_older_version_never_becomes_the_target_again() {
     let mut registry = registry(&[(1, 0), (3, 100)]);
     registry.record(&named(2), SPAN, at(200));
     assert_eq!(registry.newest("m").map(|newest| newest.number), Some(3));
@@ -56,7 +56,7 @@
 
 /// The first known version replaces nothing, so no version is excluded.
 #[test]
-fn the_first_version_bars_nobody() {
+fn the_first_version_excludes_no_endpoint() {
     assert_eq!(registry(&[(4, 0)]).allowed("m", at(60_000)), None);
 }
 
@@ -65,8 +65,8 @@
 #[test]
 fn the_age_counts() {
     let mut registry = registry(&[(1, 0)]);
-    let told = TargetVersion { age_ms: 5_000, ..named(2) };
-    registry.record(&told, SPAN, at(6_000));
+    let recorded = TargetVersion { age_ms: 5_000, ..named(2) };
+    registry.record(&recorded, SPAN, at(6_000));
     assert!(registry.allowed("m", at(7_900)).is_none());
     assert_eq!(registry.allowed("m", at(8_000)), Some(vec![version(2)]));
 }
@@ -79,23 +79,23 @@
 fn an_assumed_age_does_not_go_before_an_observed_one() {
     let assumed = TargetVersion { age_ms: 3_500, age_source: AgeSource::Assumed, ..named(2) };
     let observed = TargetVersion { age_ms: 250, ..named(2) };
-    for words in [[&assumed, &observed], [&observed, &assumed]] {
+    for targets in [[&assumed, &observed], [&observed, &assumed]] {
         let mut registry = registry(&[(1, 0)]);
-        for word in words {
-            registry.record(word, SPAN, at(18_250));
+        for target in targets {
+            registry.record(target, SPAN, at(18_250));
         }
         assert_eq!(registry.allowed("m", at(24_900)), None);
         assert_eq!(registry.allowed("m", at(25_000)), Some(vec![version(2)]));
-        let told = registry.named(at(19_000));
-        assert_eq!(told[1].age_source, AgeSource::Observed);
-        assert_eq!(told[1].age_ms, 1_000);
+        let recorded = registry.named(at(19_000));
+        assert_eq!(recorded[1].age_source, AgeSource::Observed);
+        assert_eq!(recorded[1].age_ms, 1_000);
     }
 }
 
 /// If all entries restart after a version was named, no age is observed. The highest assumed
 /// one counts, so that no older version answers for too long.
 #[test]
-fn the_oldest_assumed_age_counts_where_nobody_observed() {
+fn the_oldest_assumed_age_counts_without_an_observed_one() {
     let mut registry = registry(&[(1, 0)]);
     for (age_ms, ms) in [(3_500, 20_000), (3_500, 20_400)] {
         let assumed = TargetVersion { age_ms, age_source: AgeSource::Assumed, ..named(2) };
@@ -107,7 +107,7 @@
 
 /// The digest that one entry pins is adopted once and then kept.
 #[test]
-fn the_digest_is_taken_once_and_kept() {
+fn the_first_digest_is_kept() {
     let mut registry = registry(&[(1, 0)]);
     let digest = ManifestDigest::of(b"weights");
     let pinned = TargetVersion { manifest: Some(digest), ..named(1) };
@@ -119,7 +119,7 @@
 
 /// The schedule lists the versions oldest first, and those that must no longer answer.
 #[test]
-fn the_pace_tells_the_order_and_who_is_barred() {
+fn the_schedule_holds_the_order_and_the_excluded_versions() {
     let registry = registry(&[(1, 0), (2, 18_000), (3, 20_000)]);
     let schedule = registry.schedule("m", at(25_500)).expect("versions are known");
     let names: Vec<_> = schedule.versions.iter().map(|paced| paced.version.clone()).collect();
