--- a/crates/decide/tests/preset_pull.rs
+++ b/crates/decide/tests/preset_pull.rs
@@ -155,7 +155,7 @@
     }
 }
 
-/// Spreads a preset while the store rejects the entries in `turned_away`.
+/// Spreads a preset while the store rejects the entries in `rate_limited`.
 fn spread(rule: PullRule, rate_limited: &[usize], frozen: &[usize], seed: u64) -> SpreadOutcome {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut links = SharedLinks { far: [0; REGIONS], near: [0; ENTRIES], far_copies: 0 };
--- a/crates/decide/tests/preset_window.rs
+++ b/crates/decide/tests/preset_window.rs
@@ -83,9 +83,7 @@
         .collect();
     let first_new = first_request.iter().flatten().min().copied().unwrap_or_default();
     let last_old = (0..AGENTS)
-        .filter_map(|agent| {
-            first_request[agent].map(|requested_at| requested_at.min(times[ENTRIES + agent]))
-        })
+        .filter_map(|agent| first_request[agent].map(|first| first.min(times[ENTRIES + agent])))
         .max()
         .unwrap_or_default();
     ChangeFigures { in_force, window: last_old.saturating_sub(first_new) }
--- a/crates/decide/tests/support/rounds.rs
+++ b/crates/decide/tests/support/rounds.rs
@@ -199,7 +199,7 @@
     fn new(plan: RoundPlan) -> Self {
         let agents: Vec<_> = (0..plan.agents).map(|agent| RoundAgent::new(&plan, agent)).collect();
         let names = agents.iter().map(|agent| agent.name.clone());
-        let agent_index = names.enumerate().map(|(enqueue, name)| (name, enqueue)).collect();
+        let agent_index = names.enumerate().map(|(index, name)| (name, index)).collect();
         let mut bench = Self {
             rng: SmallRng::seed_from_u64(plan.seed),
             agents,
