--- a/crates/decide/tests/keyed_history/world.rs
+++ b/crates/decide/tests/keyed_history/world.rs
@@ -204,7 +204,7 @@
         self.events.push(Reverse((at, self.details.len() - 1)));
     }
 
-    fn schedule_soon(&mut self, event: Event) {
+    fn enqueue(&mut self, event: Event) {
         let at = self.now + self.rng.random_range(1..20);
         self.at(at, event);
     }
@@ -225,7 +225,7 @@
             Event::Effect(attempt) => self.attempts[attempt].effects += 1,
             Event::Apply(attempt, call) => {
                 let reply = self.apply(attempt, &call);
-                self.schedule_soon(Event::Answer(attempt, call, reply));
+                self.enqueue(Event::Answer(attempt, call, reply));
             }
             Event::ApplyWithoutReply(attempt, call) => drop(self.apply(attempt, &call)),
             Event::Begin(fault) => self.begin(fault),
@@ -287,7 +287,7 @@
             revision: 0,
             ended: false,
         });
-        self.schedule_soon(Event::Dispatch(number));
+        self.enqueue(Event::Dispatch(number));
     }
 
     fn receive_response(&mut self, attempt: usize, result: Result<String, AttemptFailure>) {
@@ -335,7 +335,7 @@
 
     fn cancel_last(&mut self, index: usize) {
         if let Some(attempt) = self.requests[index].attempts.last().copied() {
-            self.schedule_soon(Event::Cancel(attempt));
+            self.enqueue(Event::Cancel(attempt));
         }
     }
 
@@ -387,10 +387,10 @@
     fn give_up(&mut self, attempt: usize, end: AttemptFailure) {
         self.leave_gate(attempt);
         self.attempts[attempt].ended = true;
-        self.schedule_soon(Event::AgentResponse(attempt, Err(end)));
+        self.enqueue(Event::AgentResponse(attempt, Err(end)));
         let uncertain = self.attempts[attempt].tracker.is_uncertain();
         if uncertain && self.missing != MissingGuard::LateRelease {
-            self.schedule_soon(Event::Send(attempt, StoreCall::ReleaseRead));
+            self.enqueue(Event::Send(attempt, StoreCall::ReleaseRead));
         }
     }
 
@@ -416,7 +416,7 @@
         if self.store_down > 0 {
             let reply =
                 if self.rng.random_bool(0.5) { ClaimReply::NoEffect } else { ClaimReply::Lost };
-            return self.schedule_soon(Event::Answer(attempt, call, reply));
+            return self.enqueue(Event::Answer(attempt, call, reply));
         }
         if self.store_slow > 0 && self.rng.random_bool(0.5) {
             // The client times out on a write that takes effect long after.
@@ -424,7 +424,7 @@
             self.at(late, Event::ApplyWithoutReply(attempt, call.clone()));
             return self.at(self.now + 50, Event::Answer(attempt, call, ClaimReply::Lost));
         }
-        self.schedule_soon(Event::Apply(attempt, call));
+        self.enqueue(Event::Apply(attempt, call));
     }
 
     fn answered(&mut self, attempt: usize, call: StoreCall, reply: ClaimReply) {
@@ -443,9 +443,7 @@
                 let nonce = self.attempts[attempt].tracker.record().nonce.clone();
                 match release_step(&nonce, &reply) {
                     ReleaseStep::Done => {}
-                    ReleaseStep::Write(guard) => {
-                        self.schedule_soon(again(StoreCall::Release(guard)))
-                    }
+                    ReleaseStep::Write(guard) => self.enqueue(again(StoreCall::Release(guard))),
                     ReleaseStep::Poll => self.at(self.now + 60, again(StoreCall::ReleaseRead)),
                 }
             }
@@ -470,15 +468,13 @@
             return self.begin_run(attempt, 1);
         }
         match step {
-            ClaimStep::Write(guard) => {
-                self.schedule_soon(Event::Send(attempt, StoreCall::Claim(guard)))
-            }
-            ClaimStep::Poll => self.schedule_soon(Event::Send(attempt, StoreCall::Read)),
+            ClaimStep::Write(guard) => self.enqueue(Event::Send(attempt, StoreCall::Claim(guard))),
+            ClaimStep::Poll => self.enqueue(Event::Send(attempt, StoreCall::Read)),
             ClaimStep::Run(revision) => self.begin_run(attempt, revision),
             ClaimStep::Replay(answer) => {
                 self.leave_gate(attempt);
                 self.attempts[attempt].ended = true;
-                self.schedule_soon(Event::AgentResponse(attempt, Ok(answer.body)));
+                self.enqueue(Event::AgentResponse(attempt, Ok(answer.body)));
             }
             ClaimStep::Unknown(detail) => self.give_up(attempt, AttemptFailure::Unanswered(detail)),
             ClaimStep::Conflict => self.refuse(attempt, NotRunReason::KeyConflict),
@@ -516,10 +512,8 @@
         if self.rng.random_bool(0.1) {
             let detail = "answer cut".to_owned();
             self.settle(attempt, ClaimState::Unanswered { detail: detail.clone() }, revision);
-            return self.schedule_soon(Event::AgentResponse(
-                attempt,
-                Err(AttemptFailure::Unanswered(detail)),
-            ));
+            return self
+                .enqueue(Event::AgentResponse(attempt, Err(AttemptFailure::Unanswered(detail))));
         }
         let key = self.requests[self.attempts[attempt].request].key;
         let body = expected_answer(key, attempt);
@@ -532,11 +526,11 @@
             body: body.clone(),
         };
         self.settle(attempt, ClaimState::Answered(answer), revision);
-        self.schedule_soon(Event::AgentResponse(attempt, Ok(body)));
+        self.enqueue(Event::AgentResponse(attempt, Ok(body)));
     }
 
     fn settle(&mut self, attempt: usize, state: ClaimState, revision: u64) {
-        self.schedule_soon(Event::Send(attempt, StoreCall::Settle(state, revision)));
+        self.enqueue(Event::Send(attempt, StoreCall::Settle(state, revision)));
     }
 
     // Table service.
@@ -640,7 +634,7 @@
             if self.attempts[index].agent == agent {
                 self.attempts[index].permit = false;
                 let lost = AttemptFailure::Unknown("connection lost".to_owned());
-                self.schedule_soon(Event::AgentResponse(index, Err(lost)));
+                self.enqueue(Event::AgentResponse(index, Err(lost)));
             }
         }
     }
