--- a/crates/testkit/tests/origin_connections.rs
+++ b/crates/testkit/tests/origin_connections.rs
@@ -67,7 +67,7 @@
 /// version in the seconds before and kept the connection to the origin, which accepts 48 in
 /// total. Instances that lose power do not close their connections, so the origin still counted
 /// them and reset every new one after it was made. No entry could read the manifest, and without
-/// it no agent gets an order. The entries' logs showed `A manifest cannot be read` with a reset
+/// it no agent gets an order. The entries' logs showed `Cannot read a manifest` with a reset
 /// after connecting, fifteen times a second without a success, while the agents' logs stayed
 /// empty.
 #[test]
